--- a/crates/steer/examples/choose_cost.rs
+++ b/crates/steer/examples/choose_cost.rs
@@ -1,4 +1,4 @@
-//! Cost of one choice for each policy at the brief's sizes.
+//! Measures the cost of one upstream selection for each policy, with 5 and 20 upstreams.
 //!
 //! `cargo run --release -p steer --example choose_cost`
 
--- a/crates/steer/src/choose/baseline.rs
+++ b/crates/steer/src/choose/baseline.rs
@@ -1,7 +1,7 @@
-//! Published policies that ours is measured against, kept in the tree for each round.
+//! Published load-balancing policies that the default policy is compared with.
 //!
-//! They have no shares: by [`BaselineLimits::None`] they send whatever comes. All of them leave
-//! out upstreams that are known to be leaving, as their users would configure them to.
+//! They own no slots: with [`BaselineLimits::None`] they send every request. All of them skip
+//! upstreams that are known to be leaving, as their users would configure them to.
 
 use super::Choose;
 use crate::{
@@ -15,16 +15,16 @@
 };
 use std::time::Duration;
 
-/// What binds a baseline.
+/// Limits that apply to a baseline.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum BaselineLimits {
-    /// Nothing: as published.
+    /// No limits, as published.
     #[default]
     None,
-    /// The slots that the entry owns, as for ours.
+    /// The slots that the entry owns, as for the default policy.
     Owned,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Each in turn.
+/// Round robin.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RoundRobin {
     limits: BaselineLimits,
@@ -46,7 +46,7 @@
 }
 
 impl RoundRobin {
-    /// Starts at the first upstream.
+    /// Creates a policy that is bound by `limits` and starts at the first upstream.
     pub fn new(limits: BaselineLimits) -> Self {
         Self { limits, next: 0 }
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Least loaded by what the upstreams report, however old.
+/// Least loaded by the upstreams' reports, regardless of their age.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeastReported {
     limits: BaselineLimits,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Load of an upstream by its own words; by the entry's own requests when it never reported.
+/// Load of an upstream by its report, or by the entry's own requests if there is none.
 fn reported_load(view: &View) -> f64 {
     match view.reported {
         Some(reported) => {
@@ -100,7 +100,7 @@
     }
 }
 
-/// The less loaded, by the entry's own requests in flight, of two drawn at random.
+/// The less loaded of two random upstreams, by the entry's own requests in flight.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PowerOfTwo {
     limits: BaselineLimits,
@@ -122,7 +122,7 @@
         }
         let first = seed::below(seed, count);
         let other = seed::below(seed::mix(seed), count.max(2) - 1);
-        // Skips the first, so that the two differ.
+        // Skips `first`, so that the two differ.
         let second = if other >= first { other + 1 } else { other };
         let nth = |n: usize| (0..views.len()).filter(permitted).nth(n);
         let first = nth(first)?;
@@ -133,26 +133,26 @@
     }
 }
 
-/// Probes that the hot and cold rule looks at for a request.
+/// Probes that the hot-cold rule compares for one request.
 const PROBES: usize = 3;
-/// Probes older than this are not used.
+/// Maximum age of a probe.
 const PROBE_AGE_MAX: Duration = Duration::from_secs(1);
-/// Counts of requests in flight that the threshold is taken from.
-const REMEMBERED: usize = 32;
-/// Place of the threshold among them, in increasing order: about the quantile 0.8.
-const THRESHOLD_AT: usize = 25;
+/// Number of recent in-flight counts from which the threshold is computed.
+const RECENT_LEN: usize = 32;
+/// Index of the threshold among the sorted counts: about the 0.8 quantile.
+const THRESHOLD_INDEX: usize = 25;
 
-/// The published hot and cold rule, over a few fresh probes.
+/// The published hot-cold rule, over a few recent probes.
 ///
-/// A probe is hot when its requests in flight exceed the threshold, a quantile of the counts seen
-/// of late. The cold one with the lowest latency wins; among hot ones only, the one with the
-/// fewest requests in flight. The upstream's report stands for the probe while it is fresh; this
-/// entry's own count stands in for one that is not, as the published rule falls back on it.
+/// A probe is hot if its requests in flight exceed the threshold, a quantile of the recent counts.
+/// The cold probe with the lowest latency is chosen; if all are hot, the one with the fewest
+/// requests in flight. The upstream's report serves as the probe while it is recent; otherwise this
+/// entry's own count is used, as in the published rule.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HotCold {
     limits: BaselineLimits,
-    remembered: [u32; REMEMBERED],
-    at: usize,
+    recent: [u32; RECENT_LEN],
+    next: usize,
 }
 
 impl HotCold {
@@ -164,14 +164,14 @@
         }
     }
 
-    fn remember(&mut self, in_flight: u32) {
-        self.remembered[self.at] = in_flight;
-        self.at = (self.at + 1) % REMEMBERED;
+    fn record(&mut self, in_flight: u32) {
+        self.recent[self.next] = in_flight;
+        self.next = (self.next + 1) % RECENT_LEN;
     }
 
     fn threshold(&self) -> u32 {
-        let mut counts = self.remembered;
-        let (_, threshold, _) = counts.select_nth_unstable(THRESHOLD_AT);
+        let mut counts = self.recent;
+        let (_, threshold, _) = counts.select_nth_unstable(THRESHOLD_INDEX);
         *threshold
     }
 }
@@ -185,24 +185,24 @@
         }
         let threshold = self.threshold();
         let mut best: Option<(bool, u128, usize)> = None;
-        let mut draw = seed;
+        let mut random = seed;
         for _ in 0..PROBES {
-            draw = seed::mix(draw);
-            let nth = seed::below(draw, count);
+            random = seed::mix(random);
+            let nth = seed::below(random, count);
             let limits = self.limits;
             let index = (0..views.len())
                 .filter(|&index| limits.permits(&views[index]))
                 .nth(nth)?;
             let view = &views[index];
             let in_flight = probed_in_flight(view);
-            self.remember(in_flight);
+            self.record(in_flight);
             let hot = in_flight > threshold;
             let order = if hot {
                 u128::from(in_flight)
             } else {
                 view.latency.as_nanos()
             };
-            if best.is_none_or(|(h, o, _)| (hot, order) < (h, o)) {
+            if best.is_none_or(|(best_hot, best_order, _)| (hot, order) < (best_hot, best_order)) {
                 best = Some((hot, order, index));
             }
         }
@@ -210,7 +210,7 @@
     }
 }
 
-/// Requests in flight by a fresh probe, and at least those of this entry.
+/// Requests in flight by a recent probe, but at least those of this entry.
 fn probed_in_flight(view: &View) -> u32 {
     match view.reported {
         Some(reported) if reported.age <= PROBE_AGE_MAX => {
--- a/crates/steer/src/choose/ours.rs
+++ b/crates/steer/src/choose/least_loaded.rs
@@ -1,4 +1,4 @@
-//! The policy that ships: the least loaded of the owned slots, weighted by latency seen.
+//! Default policy: the upstream with the least load on the owned slots, weighted by latency.
 
 use super::Choose;
 use crate::{
@@ -8,40 +8,40 @@
 use base::Now;
 use std::time::Duration;
 
-/// Latencies below this count as equal: their differences are noise of the machine.
+/// Latencies below this are treated as equal, as their differences are noise.
 const LATENCY_FLOOR: Duration = Duration::from_micros(200);
 
-/// How upstreams with a free slot are ranked; the variants that were measured.
+/// Ranking of the upstreams with a free slot.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Rank {
-    /// By the share of the owned slots in use alone.
+    /// By the fraction of the owned slots in use.
     Load,
-    /// By that share after this request, times the latency seen.
+    /// By that fraction after this request, times the observed latency.
     #[default]
     LoadTimesLatency,
-    /// By the latency seen alone.
+    /// By the observed latency.
     Latency,
 }
 
-/// Least loaded of the slots owned, weighted by latency seen.
+/// Selects the upstream with the least load on the owned slots, weighted by observed latency.
 ///
-/// Upstreams that are leaving or have no free slot within [`View::limit`] are never returned.
-/// A suspect or cold one is returned only for a probe that is due, with nothing of this entry in
-/// flight there; such a probe goes before the rest, or no free slot elsewhere would ever let a
-/// recovered upstream prove itself. One of which nothing fresh is known is used when no other
-/// will do.
+/// Upstreams that are leaving or have no free slot within [`View::limit`] are never returned. A
+/// suspect or cold upstream is returned only for a probe that is due, while no request of this
+/// entry is in flight there. Such a probe takes precedence: otherwise, as long as slots are free
+/// elsewhere, a recovered upstream would never be probed. An upstream without recent information is
+/// used only if there is no other.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ours {
+pub struct LeastLoaded {
     rank: Rank,
 }
 
-impl Ours {
-    /// Policy that ranks by `rank`.
+impl LeastLoaded {
+    /// Creates a policy that ranks by `rank`.
     pub fn new(rank: Rank) -> Self {
         Self { rank }
     }
 
-    /// Cost of sending one more request there; lower is better.
+    /// Cost of sending one more request to the upstream; lower is better.
     fn cost(self, view: &View, limit: u32) -> f64 {
         let load = f64::from(view.in_flight + 1) / f64::from(limit);
         let latency = view.latency.max(LATENCY_FLOOR).as_secs_f64();
@@ -53,11 +53,11 @@
     }
 }
 
-impl Choose for Ours {
+impl Choose for LeastLoaded {
     fn choose(&mut self, views: &[View], _now: Now, seed: u64) -> Option<usize> {
         let start = seed::below(seed, views.len());
         let mut best: Option<(bool, f64, usize)> = None;
-        // Starts at a random place: among equals, entries would else all prefer the first.
+        // Starts at a random index: among equals, all entries would otherwise prefer the first.
         for index in (start..views.len()).chain(0..start) {
             let view = &views[index];
             let limit = view.limit();
@@ -65,17 +65,17 @@
                 continue;
             }
             if view.probes_only() {
-                if view.takes_probe() {
+                if view.accepts_probe() {
                     return Some(index);
                 }
                 continue;
             }
             let cost = self.cost(view, limit);
-            let better = match best {
+            let is_better = match best {
                 None => true,
                 Some((stale, least, _)) => (!view.fresh, cost) < (stale, least),
             };
-            if better {
+            if is_better {
                 best = Some((!view.fresh, cost, index));
             }
         }
--- a/crates/steer/src/choose/mod.rs
+++ b/crates/steer/src/choose/mod.rs
@@ -1,9 +1,9 @@
-//! Which upstream: the trait, the policies by name, and their dispatch.
+//! Upstream selection: the trait, the policies by name, and their dispatch.
 //!
-//! [`Ours`] lives in `ours`, what it is measured against in `baseline`.
+//! [`LeastLoaded`] is in `least_loaded`, the policies that it is compared with in `baseline`.
 
 mod baseline;
-mod ours;
+mod least_loaded;
 
 pub use baseline::{
     BaselineLimits,
@@ -12,8 +12,8 @@
     PowerOfTwo,
     RoundRobin, //
 };
-pub use ours::{
-    Ours,
+pub use least_loaded::{
+    LeastLoaded,
     Rank, //
 };
 
@@ -28,22 +28,23 @@
     str::FromStr, //
 };
 
-/// Choice of an upstream for one request.
+/// Selection of an upstream for one request.
 pub trait Choose {
-    /// Index of the upstream in `views` for a request at `now`; none when none may be used.
+    /// Index in `views` of the upstream for a request at `now`; `None` if none may be used.
     ///
-    /// The `seed` should differ for each request: it breaks ties and draws samples.
+    /// The `seed` should differ for each request: it breaks ties and selects random samples.
     fn choose(&mut self, views: &[View], now: Now, seed: u64) -> Option<usize>;
 }
 
-/// Policies by the name that the settings give.
+/// Policies by their name in the settings.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// [`Ours`].
+    /// [`LeastLoaded`], the default.
     #[default]
+    #[serde(rename = "ours")]
     Ours,
     /// [`RoundRobin`].
     RoundRobin,
@@ -56,7 +57,7 @@
 }
 
 impl Policy {
-    /// Every policy, ours first.
+    /// Every policy, the default first.
     pub const ALL: [Self; 5] = [
         Self::Ours,
         Self::RoundRobin,
@@ -76,10 +77,10 @@
         }
     }
 
-    /// The policy, ready to choose; `limits` says what binds the baselines.
+    /// Creates the policy; `limits` applies to the baselines only.
     pub fn chooser(self, limits: BaselineLimits) -> Chooser {
         match self {
-            Self::Ours => Chooser::Ours(Ours::default()),
+            Self::Ours => Chooser::LeastLoaded(LeastLoaded::default()),
             Self::RoundRobin => Chooser::RoundRobin(RoundRobin::new(limits)),
             Self::LeastReported => Chooser::LeastReported(LeastReported::new(limits)),
             Self::PowerOfTwo => Chooser::PowerOfTwo(PowerOfTwo::new(limits)),
@@ -94,7 +95,7 @@
     }
 }
 
-/// Text that names no policy.
+/// Error of parsing an unknown policy name.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UnknownPolicy;
 
@@ -122,11 +123,11 @@
     }
 }
 
-/// Any of the policies, without a box: a traffic thread owns one for each service.
+/// Any of the policies, without dynamic dispatch: a traffic thread owns one for each service.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Chooser {
-    /// The policy that ships.
-    Ours(Ours),
+    /// Default policy.
+    LeastLoaded(LeastLoaded),
     /// Baseline.
     RoundRobin(RoundRobin),
     /// Baseline.
@@ -140,7 +141,7 @@
 impl Choose for Chooser {
     fn choose(&mut self, views: &[View], now: Now, seed: u64) -> Option<usize> {
         match self {
-            Self::Ours(policy) => policy.choose(views, now, seed),
+            Self::LeastLoaded(policy) => policy.choose(views, now, seed),
             Self::RoundRobin(policy) => policy.choose(views, now, seed),
             Self::LeastReported(policy) => policy.choose(views, now, seed),
             Self::PowerOfTwo(policy) => policy.choose(views, now, seed),
--- a/crates/steer/src/displaced.rs
+++ b/crates/steer/src/displaced.rs
@@ -1,20 +1,21 @@
-//! Which region takes callers whose own region is drained or lost.
+//! Selects the region for callers whose own region is drained or lost.
 //!
-//! Callers name regions in an order, nearest first. Were all of them sent to the next one, it would
-//! be filled past its headroom while the one after it stays half empty, which one would notice as a
-//! region below its target during another's drain. The more of the next region is taken, the more
-//! of the callers go on to the one after it.
+//! Callers list regions in order of preference, nearest first. Sending all of them to the next
+//! region would exceed its headroom target while the region after it stays half empty; the symptom
+//! is a region below its target while another one is drained. The less headroom the next region
+//! has left, the more callers are passed on to the one after it.
 
 /// Headroom above the target, in percent of the slots, from which a region takes all callers.
 ///
-/// What is known of a region lags by a beat, and callers by a look-up's time to live. A narrower
-/// band would send all of them to one region and then all to the other, over and over.
+/// Information about a region lags by one heartbeat, and callers follow with a delay of up to the
+/// lookup's time to live. A narrower band would make all callers oscillate between two regions.
 const BAND_PCT: u32 = 25;
 
-/// Index of the region that takes a caller, among those that are left, in its order of preference.
+/// Index of the region that takes a caller, among the remaining ones in its order of preference.
 ///
-/// `headrooms_left_pct` is the free part of each region's slots, where it is known of late; a region
-/// that is not known takes whoever prefers it. When none has room the first one takes all.
+/// `headrooms_left_pct` is the free percentage of each region's slots, if recently known; a region
+/// with unknown headroom takes every caller that prefers it. When no region has room, the first
+/// one takes all callers.
 pub fn place_displaced(
     headrooms_left_pct: &[Option<u32>],
     headroom_pct: u32,
@@ -22,13 +23,13 @@
 ) -> Option<usize> {
     let mut seed = seed;
     for (index, left_pct) in headrooms_left_pct.iter().enumerate() {
-        let draw = seed % u64::from(BAND_PCT);
+        let sample = seed % u64::from(BAND_PCT);
         seed /= u64::from(BAND_PCT);
-        let takes = left_pct.is_none_or(|left_pct| {
+        let accepts = left_pct.is_none_or(|left_pct| {
             let room_pct = left_pct.saturating_sub(headroom_pct);
-            draw < u64::from(room_pct)
+            sample < u64::from(room_pct)
         });
-        if takes {
+        if accepts {
             return Some(index);
         }
     }
--- a/crates/steer/src/fresh.rs
+++ b/crates/steer/src/freshness.rs
@@ -1,23 +1,23 @@
-//! How far a fact may be used, by its age.
+//! Use that information permits, by its age.
 
 use std::{
     fmt,
     time::Duration, //
 };
 
-/// Use that a fact allows by its age; none of them drops anything to zero.
+/// Use that information permits by its age; no level reduces the use to zero.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Freshness {
     /// Full use.
     Fresh,
-    /// No growth, no new shifts, home only; what runs already goes on.
+    /// No growth, no new shifts, local region only; existing use continues.
     Old,
 }
 
-/// Age at which facts narrow.
+/// Ages at which information permits less use.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct FreshnessLimits {
-    /// Age from which a fact is old.
+    /// Age from which information is old.
     pub old_after: Duration,
 }
 
@@ -30,7 +30,8 @@
 }
 
 impl Freshness {
-    /// Judges a fact by its `age`, the time since it was true at its source, at worst.
+    /// Freshness for an `age`, the upper bound of the time since the information was true at its
+    /// source.
     pub fn of_age(age: Duration, limits: &FreshnessLimits) -> Self {
         if age < limits.old_after {
             Self::Fresh
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Whether limits that depend on the fact may grow.
+    /// Whether limits that depend on the information may grow.
     pub fn allows_growth(self) -> bool {
         self == Self::Fresh
     }
 
-    /// Whether work that does not go there yet may start to.
+    /// Whether work may be shifted to a region that receives none yet.
     pub fn allows_new_shift(self) -> bool {
         self == Self::Fresh
     }
--- a/crates/steer/src/hedge.rs
+++ b/crates/steer/src/hedge.rs
@@ -1,63 +1,64 @@
-//! Hedging: a second copy of a quick idempotent request that is late.
+//! Request hedging: a second copy of a quick idempotent request whose response is late.
 
 use crate::{
     latency::LatencyHistogram,
-    place::ClassTarget,
+    placement::ClassTarget,
     retry::RetryBudget, //
 };
 use std::time::Duration;
 
-/// Quantile after which a request is late.
-const LATE_PERMILLE: u32 = 950;
+/// Latency quantile after which a request is late.
+const LATE_QUANTILE_PERMILLE: u32 = 950;
 
-/// Where hedging is allowed.
+/// Conditions under which hedging is allowed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HedgeSettings {
-    /// Off until a measurement shows that it pays.
+    /// Off by default, as its benefit has not been measured.
     pub enabled: bool,
-    /// Classes with a latency target above this are not quick.
-    pub quick_at_most: Duration,
-    /// Percent of slots that must stay free beyond the class's headroom target.
-    pub spare_pct: u32,
-    /// Answers that must have been seen before their quantile means anything.
-    pub answers_min: u32,
+    /// Classes with a latency target above this are not hedged.
+    pub latency_target_max: Duration,
+    /// Percentage of slots that must be free beyond the class's headroom target.
+    pub spare_headroom_pct: u32,
+    /// Responses needed before their quantile is used.
+    pub responses_min: u32,
 }
 
 impl Default for HedgeSettings {
     fn default() -> Self {
         Self {
             enabled: false,
-            quick_at_most: Duration::from_millis(250),
-            spare_pct: 20,
-            answers_min: 200,
+            latency_target_max: Duration::from_millis(250),
+            spare_headroom_pct: 20,
+            responses_min: 200,
         }
     }
 }
 
-/// Rule of when to hedge.
+/// Decides when a request is hedged.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Hedge {
+pub struct HedgePolicy {
     settings: HedgeSettings,
 }
 
-impl Hedge {
-    /// Rule under `settings`.
+impl HedgePolicy {
+    /// Creates a policy with `settings`.
     pub fn new(settings: HedgeSettings) -> Self {
         Self { settings }
     }
 
-    /// Time after the sending at which a second copy may go out; none when it never may.
-    pub fn after(&self, target: &ClassTarget, seen: &LatencyHistogram) -> Option<Duration> {
-        let quick = target.idempotent && target.latency_target <= self.settings.quick_at_most;
-        if !self.settings.enabled || !quick || seen.total() < self.settings.answers_min {
+    /// Time after which a second copy may be sent; `None` if it never may.
+    pub fn delay(&self, target: &ClassTarget, latencies: &LatencyHistogram) -> Option<Duration> {
+        let eligible =
+            target.idempotent && target.latency_target <= self.settings.latency_target_max;
+        if !self.settings.enabled || !eligible || latencies.total() < self.settings.responses_min {
             return None;
         }
-        seen.quantile(LATE_PERMILLE)
+        latencies.quantile(LATE_QUANTILE_PERMILLE)
     }
 
-    /// Whether the copy that is due may go out now; takes it from the `budget` when it does.
+    /// Whether the copy that is due may be sent now; if so, takes it from the `budget`.
     ///
-    /// `headroom_left_pct` is the percent of slots free in this region.
+    /// `headroom_left_pct` is the free percentage of the slots in this region.
     #[must_use]
     pub fn take(
         &self,
@@ -65,7 +66,9 @@
         headroom_left_pct: u32,
         budget: &mut RetryBudget,
     ) -> bool {
-        let needed = target.headroom_pct.saturating_add(self.settings.spare_pct);
+        let needed = target
+            .headroom_pct
+            .saturating_add(self.settings.spare_headroom_pct);
         self.settings.enabled && headroom_left_pct > needed && budget.take()
     }
 }
--- a/crates/steer/src/latency.rs
+++ b/crates/steer/src/latency.rs
@@ -1,42 +1,42 @@
-//! Latencies as an entry sees them: smoothed, summed over a window, and as a quantile.
+//! Latencies observed by an entry: smoothed, summed over a window, and as quantiles.
 
 use std::time::Duration;
 
-/// Weight of one sample in the smoothed latency, as a power of two: 1/8.
+/// Weight of one sample in the smoothed latency, as a negative power of two: 1/8.
 const SMOOTH_SHIFT: u32 = 3;
 
-/// Smoothed latency after one more `sample`; a `seen` of zero means that none was seen before.
+/// Exponential moving average after one more `sample`; a `previous` of zero means no sample yet.
 ///
-/// One sample weighs an eighth, so that about twenty answers carry it to a new level.
-pub fn smooth_latency(seen: Duration, sample: Duration) -> Duration {
-    if seen.is_zero() {
+/// One sample weighs an eighth, so that the average reaches a new level after about twenty samples.
+pub fn smooth_latency(previous: Duration, sample: Duration) -> Duration {
+    if previous.is_zero() {
         return sample;
     }
-    if sample >= seen {
-        seen + (sample - seen) / (1 << SMOOTH_SHIFT)
+    if sample >= previous {
+        previous + (sample - previous) / (1 << SMOOTH_SHIFT)
     } else {
-        seen - (seen - sample) / (1 << SMOOTH_SHIFT)
+        previous - (previous - sample) / (1 << SMOOTH_SHIFT)
     }
 }
 
-/// What an entry saw of one upstream in a window of time; a window may be a single answer.
+/// Outcomes that an entry observed at one upstream in a time window, possibly of one response.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Seen {
-    /// Whole answers.
+    /// Complete responses.
     pub answers: u32,
-    /// Sum of the latencies of these answers.
+    /// Sum of the latencies of the complete responses.
     pub latency_sum: Duration,
     /// Requests that timed out.
     pub timeouts: u32,
-    /// Connections refused.
+    /// Refused connections.
     pub refused: u32,
-    /// Answers shorter than declared.
+    /// Responses shorter than declared.
     pub truncated: u32,
 }
 
 impl Seen {
-    /// Window of one whole answer.
-    pub fn answer(latency: Duration) -> Self {
+    /// Window of one complete response.
+    pub fn response(latency: Duration) -> Self {
         Self {
             answers: 1,
             latency_sum: latency,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Mean latency of the whole answers, if there were any.
+    /// Mean latency of the complete responses, if there were any.
     pub fn mean_latency(&self) -> Option<Duration> {
         self.latency_sum.checked_div(self.answers)
     }
@@ -56,7 +56,7 @@
             .saturating_add(self.truncated)
     }
 
-    /// Adds what another window saw.
+    /// Adds the outcomes of another window.
     pub fn add(&mut self, other: &Self) {
         self.answers = self.answers.saturating_add(other.answers);
         self.latency_sum = self.latency_sum.saturating_add(other.latency_sum);
@@ -66,14 +66,14 @@
     }
 }
 
-/// Buckets of a [`LatencyHistogram`]: four for each doubling from 1 µs to more than an hour.
+/// Buckets of a [`LatencyHistogram`]: four per power of two, from 1 µs to more than an hour.
 const BUCKETS: usize = 128;
-/// Buckets of one doubling, as a power of two.
+/// Base-2 logarithm of the buckets per power of two.
 const SUB_BITS: u32 = 2;
-/// Answers after which the counts are halved, so that old ones fade.
-const FADE_AT: u32 = 4096;
+/// Number of samples at which the counts are halved, so that old samples lose weight.
+const DECAY_AT: u32 = 4096;
 
-/// Recent latencies of one class, for quantiles; the error is below a fifth.
+/// Recent latencies of one class, for quantiles with a relative error below 20%.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LatencyHistogram {
     counts: [u32; BUCKETS],
@@ -90,35 +90,35 @@
 }
 
 impl LatencyHistogram {
-    /// Adds one answer's latency.
+    /// Adds the latency of one response.
     pub fn record(&mut self, latency: Duration) {
-        if self.total >= FADE_AT {
-            self.fade();
+        if self.total >= DECAY_AT {
+            self.decay();
         }
         self.counts[bucket(latency)] += 1;
         self.total += 1;
     }
 
-    /// Answers that the counts still hold.
+    /// Number of samples in the histogram.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Upper bound of the bucket that holds the quantile `permille`, if anything was recorded.
+    /// Upper bound of the bucket that holds the quantile `permille`, if there are samples.
     pub fn quantile(&self, permille: u32) -> Option<Duration> {
         let rank = u64::from(self.total) * u64::from(permille.min(1000));
-        let wanted = rank.div_ceil(1000).max(1);
-        let mut below = 0;
+        let target = rank.div_ceil(1000).max(1);
+        let mut cumulative = 0;
         for (index, &count) in self.counts.iter().enumerate() {
-            below += u64::from(count);
-            if below >= wanted {
+            cumulative += u64::from(count);
+            if cumulative >= target {
                 return Some(upper_bound(index));
             }
         }
         None
     }
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for count in &mut self.counts {
             *count /= 2;
         }
@@ -126,7 +126,7 @@
     }
 }
 
-/// Bucket of `latency`: its leading bit and the two bits after it.
+/// Bucket index of `latency`, from its leading bit and the two bits after it.
 fn bucket(latency: Duration) -> usize {
     let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
     if micros < 1 << SUB_BITS {
@@ -140,7 +140,7 @@
     (index as usize).min(BUCKETS - 1)
 }
 
-/// Latency at which bucket `index` ends.
+/// Upper bound of the bucket `index`.
 fn upper_bound(index: usize) -> Duration {
     // Below 128, which fits.
     let index = index as u64;
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,46 +1,49 @@
-//! Decisions: which region, which upstream, admit or refuse.
+//! Routing and admission decisions for one request.
 //!
-//! Start here. A request passes three decisions, each a pure function of what this entry knows:
+//! A request passes three decisions, each a pure function of the state known to this entry:
 //!
-//! 1. [`place()`]: the region. Home as long as it beats the link plus the other region, and only
-//!    what exceeds the class's headroom target ([`Demand`]) leaves it. A shift also needs room in
-//!    [`ShiftLimit`], the entry's part of the cap between the two regions.
-//! 2. [`Admit`]: send now, wait in the entry's short queue, or refuse at once with an honest
-//!    retry delay.
-//! 3. [`Choose`]: the upstream, among the slots that this entry owns. [`Ours`] is the policy that
-//!    ships; the [`baseline`](RoundRobin) policies exist to be measured against.
+//! 1. [`place`]: selects the region. A request stays in the local region, unless another region is
+//!    faster including the round trip, or the request exceeds the class's headroom target
+//!    ([`Demand`]). A shift also needs capacity in [`ShiftLimit`], this entry's part of the cap
+//!    between the two regions.
+//! 2. [`Admit`]: sends the request now, queues it in the entry's short queue, or refuses it at
+//!    once with a retry delay that reflects the expected wait.
+//! 3. [`Choose`]: selects the upstream, among the slots that this entry owns. [`LeastLoaded`] is
+//!    the default policy; the [`baseline`](RoundRobin) policies exist for comparison.
 //!
-//! Beside the requests, control feeds what the entry saw itself ([`Seen`]) to the machines that
-//! narrow or widen the use of one upstream: [`Ramp`] (slow start) and [`Suspect`] (suspicion, and
-//! recovery by single probes). [`RetryBudget`] and [`Hedge`] bound what the entry adds by itself.
+//! Outside the request path, the control task feeds the outcomes observed by this entry ([`Seen`])
+//! to the state machines that limit the use of one upstream: [`Ramp`] (slow start) and [`Suspect`]
+//! (failure detection, with recovery by single probes). [`RetryBudget`] and [`HedgePolicy`] bound
+//! the requests that the entry adds to the offered load.
 //!
 //! Invariants of the crate:
 //!
-//! - [`Ours`] never returns an upstream that is leaving, nor one whose requests in flight have
-//!   reached [`View::limit`]. Where several threads count requests in flight, the count must be
-//!   raised by compare-and-exchange against the same limit, and the choice repeated when it fails.
-//! - What an upstream says of itself ([`Reported`]) can only lower what it is sent.
-//! - Silence narrows use (see [`Freshness`]) and never drops it to zero.
-//! - There is no clock, socket or randomness: `now` and seeds are arguments. Nothing on the path
-//!   of a request allocates.
+//! - [`LeastLoaded`] never returns an upstream that is leaving, nor one whose requests in flight
+//!   have reached [`View::limit`]. Where several threads count requests in flight, the count must
+//!   be raised by compare-and-exchange against the same limit, and the choice repeated when it
+//!   fails.
+//! - The load that an upstream reports ([`Reported`]) can only lower what it is sent.
+//! - Missing updates reduce the use of an upstream or region (see [`Freshness`]) but never to zero.
+//! - There is no clock, socket or randomness: `now` and seeds are arguments. Nothing on the
+//!   request path allocates.
 
-mod admit;
+mod admission;
 mod choose;
 mod displaced;
-mod fresh;
+mod failure_detector;
+mod freshness;
 mod hedge;
 mod latency;
-mod place;
-mod ramp;
+mod occupancy;
+mod placement;
 mod retry;
 mod seed;
 mod shift;
+mod slow_start;
 mod spill;
-mod spread;
-mod suspect;
 mod view;
 
-pub use admit::{
+pub use admission::{
     Admission,
     Admit,
     Load, //
@@ -50,8 +53,8 @@
     Choose,
     Chooser,
     HotCold,
+    LeastLoaded,
     LeastReported,
-    Ours,
     Policy,
     PowerOfTwo,
     Rank,
@@ -59,12 +62,17 @@
     UnknownPolicy, //
 };
 pub use displaced::place_displaced;
-pub use fresh::{
+pub use failure_detector::{
+    Suspect,
+    SuspectSettings,
+    Suspicion, //
+};
+pub use freshness::{
     Freshness,
     FreshnessLimits, //
 };
 pub use hedge::{
-    Hedge,
+    HedgePolicy,
     HedgeSettings, //
 };
 pub use latency::{
@@ -72,7 +80,11 @@
     LatencyHistogram,
     Seen, //
 };
-pub use place::{
+pub use occupancy::{
+    least_occupied,
+    Occupancy, //
+};
+pub use placement::{
     place,
     ClassTarget,
     Estimate,
@@ -80,33 +92,24 @@
     Placement,
     Question, //
 };
-pub use ramp::{
-    Ramp,
-    RampCause,
-    RampPhase,
-    RampSettings,
-    Relief, //
-};
 pub use retry::RetryBudget;
 pub use shift::{
     ShiftCap,
     ShiftLimit,
     ShiftRefusal, //
 };
+pub use slow_start::{
+    Ramp,
+    RampCause,
+    RampPhase,
+    RampSettings,
+    Relief, //
+};
 pub use spill::{
     is_excess,
     Allowance,
     Demand, //
 };
-pub use spread::{
-    least_occupied,
-    Occupancy, //
-};
-pub use suspect::{
-    Suspect,
-    SuspectSettings,
-    Suspicion, //
-};
 pub use view::{
     due_probe,
     Capacity,
--- a/crates/steer/src/retry.rs
+++ b/crates/steer/src/retry.rs
@@ -1,21 +1,21 @@
-//! Budget of retries: a fixed part of the offered work.
+//! Retry budget: a fixed fraction of the offered requests.
 
 use std::fmt;
 
 /// Cost of one retry, in thousandths.
 const RETRY_COST: u64 = 1000;
-/// Highest ratio: below a tenth of the offered work.
+/// Maximum ratio: below a tenth of the offered requests.
 const RATIO_MAX_PERMILLE: u32 = 99;
-/// Retries that may be saved up for a bad moment.
-const SAVED_MAX: u64 = 10;
-/// Of these, those that nothing but a retry may take.
-const RESERVED: u64 = 5;
+/// Maximum number of saved-up retries, for a burst of failures.
+const SAVED_RETRIES_MAX: u64 = 10;
+/// Saved-up retries that probes may not use.
+const RETRY_RESERVE: u64 = 5;
 
-/// Retries and hedges that an entry may send of its own, as a part of the offered work.
+/// Limits the retries and hedges that an entry adds, as a fraction of the offered requests.
 ///
-/// Without it an upstream that fails each request gets several times the load that made it fail,
-/// which one would notice as retries growing with errors. Credit comes only from offered requests
-/// and starts at zero, so that for any sequence `retries * 1000 <= offered * ratio`.
+/// Without it, an upstream that fails every request receives several times the load that made it
+/// fail; the symptom is retries that grow with errors. Credit comes only from offered requests and
+/// starts at zero, so that for any sequence `retries * 1000 <= offered * ratio`.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RetryBudget {
     ratio_permille: u32,
@@ -23,7 +23,7 @@
 }
 
 impl RetryBudget {
-    /// Budget of `ratio_permille` thousandths of the offered work; 99 at most.
+    /// Creates a budget of `ratio_permille` thousandths of the offered requests, at most 99.
     pub fn new(ratio_permille: u32) -> Self {
         Self {
             ratio_permille: ratio_permille.min(RATIO_MAX_PERMILLE),
@@ -31,25 +31,25 @@
         }
     }
 
-    /// Counts one offered request, which is no retry itself.
+    /// Counts one offered request that is not itself a retry.
     pub fn offer(&mut self) {
         let credit = self.credit + u64::from(self.ratio_permille);
-        self.credit = credit.min(SAVED_MAX * RETRY_COST);
+        self.credit = credit.min(SAVED_RETRIES_MAX * RETRY_COST);
     }
 
-    /// Takes one retry or hedge from the budget, if it holds one.
+    /// Takes one retry or hedge from the budget, if available.
     #[must_use]
     pub fn take(&mut self) -> bool {
         self.take_above(0)
     }
 
-    /// Takes one copy that serves as a probe, if the budget holds more than a bad moment needs.
+    /// Takes one copy that serves as a probe, if the budget exceeds the reserve for retries.
     ///
-    /// Two budgets apart would leave one of them idle while the other starves: an upstream that
-    /// comes back cold is warmed by copies just when nothing fails.
+    /// With two separate budgets, one would stay unused while the other is exhausted: copies warm
+    /// an upstream that returns cold at times when no requests fail.
     #[must_use]
     pub fn take_spare(&mut self) -> bool {
-        self.take_above(RESERVED * RETRY_COST)
+        self.take_above(RETRY_RESERVE * RETRY_COST)
     }
 
     fn take_above(&mut self, reserve: u64) -> bool {
--- a/crates/steer/src/shift.rs
+++ b/crates/steer/src/shift.rs
@@ -1,76 +1,77 @@
-//! Limits of what is shifted from one region to another.
+//! Limits on the work that is shifted from one region to another.
 
-use crate::fresh::Freshness;
+use crate::freshness::Freshness;
 use base::Now;
 use std::{
     fmt,
     time::Duration, //
 };
 
-/// Part of a second's bytes or growth, as a divisor, that may come at once; the steady pace is
-/// lowered by as much.
-const BURST_PART: u64 = 16;
-/// Thousandths of a request: the unit in which the growth of a shift is counted.
+/// Divisor of one second's bytes or growth that gives the burst size; the steady rate is lowered by
+/// the same amount.
+const BURST_DIVISOR: u64 = 16;
+/// Thousandths of a request, the unit of the growth of a shift.
 const MILLI: u64 = 1000;
 const NANOS_PER_S: u128 = 1_000_000_000;
 const NANOS_PER_S_SIGNED: i128 = 1_000_000_000;
 
-/// This entry's part of the cap of one ordered pair of regions.
+/// This entry's part of the cap for one ordered pair of regions.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ShiftCap {
-    /// Bytes a second, both ways together.
+    /// Bytes per second, both directions together.
     pub bytes_per_s: u64,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Requests in flight by which the shift may grow each second.
+    /// Requests in flight by which the shift may grow per second.
     pub growth_per_s: u32,
 }
 
-/// Why a shift is not open now.
+/// Reason why a shift is refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ShiftRefusal {
-    /// Requests in flight are at the cap.
+    /// The requests in flight have reached the cap.
     InFlight,
-    /// The shift grows as fast as it may.
+    /// The shift already grows at the maximum rate.
     Growth,
-    /// Bytes went out ahead of the cap.
+    /// The byte rate has reached the cap.
     Bytes,
 }
 
-/// Meter of the shift from one region to another, on an escrowed part of the cap.
+/// Limits the shift from one region to another to this entry's escrowed part of the cap.
 ///
-/// Invariants: requests in flight admitted here stay within the cap in force when they were
-/// admitted, and grow by `growth_per_s` in any second at most, beyond the first; in any window of a second or more the
-/// bytes let through stay within the cap, for chunks up to a sixteenth of a second's bytes.
+/// Invariants: the requests in flight admitted here stay within the cap that was in force when they
+/// were admitted, and beyond the first request grow by at most `growth_per_s` in any second. In any
+/// window of a second or more, the bytes let through stay within the cap, for chunks of up to a
+/// sixteenth of one second's bytes.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ShiftLimit {
     cap: ShiftCap,
     in_flight: u32,
-    open_milli: u64,
-    opened_at: Now,
+    limit_milli: u64,
+    limit_updated_at: Now,
     may_grow: bool,
-    /// Bytes that may go out at once, less those booked ahead; in parts of a nanosecond's refill.
+    /// Bytes that may be sent at once, less those booked ahead, in units of 10^-9 bytes.
     balance: i128,
     refilled_at: Now,
 }
 
 impl ShiftLimit {
-    /// Meter with nothing in flight, on the part `cap`.
+    /// Creates a limiter with nothing in flight for the part `cap`.
     pub fn new(now: Now, cap: ShiftCap) -> Self {
-        let mut limit = Self {
+        let mut limiter = Self {
             cap,
             in_flight: 0,
-            open_milli: MILLI,
-            opened_at: now,
+            limit_milli: MILLI,
+            limit_updated_at: now,
             may_grow: false,
             balance: 0,
             refilled_at: now,
         };
-        limit.balance = limit.burst();
-        limit
+        limiter.balance = limiter.burst();
+        limiter
     }
 
-    /// Changes the part; what is in flight goes on, nothing more is admitted above it.
+    /// Changes the part. Requests in flight continue; no more are admitted above the new part.
     pub fn set_cap(&mut self, now: Now, cap: ShiftCap) {
         self.refill(now);
         self.cap = cap;
@@ -83,8 +84,8 @@
     ///
     /// The first limit that holds it back.
     pub fn check(&self, now: Now, freshness: Freshness) -> Result<(), ShiftRefusal> {
-        let mut later = *self;
-        later.admit(now, freshness)
+        let mut trial = *self;
+        trial.admit(now, freshness)
     }
 
     /// Whether one more request, of which `expected_bytes` are expected, would be admitted.
@@ -98,15 +99,15 @@
         freshness: Freshness,
         expected_bytes: u64,
     ) -> Result<(), ShiftRefusal> {
-        let mut later = *self;
-        later.admit_sized(now, freshness, expected_bytes)
+        let mut trial = *self;
+        trial.admit_sized(now, freshness, expected_bytes)
     }
 
-    /// Admits one request and books what it is expected to pass.
+    /// Admits one request and books its expected bytes.
     ///
-    /// Bytes that are booked when they have come were on the link before: many requests admitted
-    /// in one moment, none of them booked, pass together and exceed the cap for a second. So the
-    /// balance must hold what is expected, or be as full as it gets.
+    /// Bytes that are booked only on arrival have already used the link: many requests admitted at
+    /// the same time without booking would transfer their bytes together and exceed the cap for a
+    /// second. The balance must therefore cover the expected bytes, or be at its maximum.
     ///
     /// # Errors
     ///
@@ -127,16 +128,17 @@
         Ok(())
     }
 
-    /// Gives back `bytes` that were booked and are not passed.
+    /// Returns `bytes` that were booked but not transferred.
     pub fn give_back(&mut self, now: Now, bytes: u64) {
         self.refill(now);
-        let given = i128::from(bytes) * NANOS_PER_S_SIGNED;
-        self.balance = (self.balance + given).min(self.burst());
+        let returned = i128::from(bytes) * NANOS_PER_S_SIGNED;
+        self.balance = (self.balance + returned).min(self.burst());
     }
 
     /// Admits one request, which is then in flight until [`ShiftLimit::finish`].
     ///
-    /// `freshness` is that of what is known of the other region: nothing grows on an old picture.
+    /// `freshness` is that of the information about the other region: the shift does not grow on
+    /// old information.
     ///
     /// # Errors
     ///
@@ -144,11 +146,11 @@
     pub fn admit(&mut self, now: Now, freshness: Freshness) -> Result<(), ShiftRefusal> {
         self.refill(now);
         self.may_grow = freshness.allows_growth();
-        self.follow(now);
+        self.update_limit(now);
         if self.in_flight >= self.cap.in_flight {
             return Err(ShiftRefusal::InFlight);
         }
-        if (u64::from(self.in_flight) + 1) * MILLI > self.open_milli {
+        if (u64::from(self.in_flight) + 1) * MILLI > self.limit_milli {
             return Err(ShiftRefusal::Growth);
         }
         if self.cap.bytes_per_s == 0 || self.balance < 0 {
@@ -158,16 +160,16 @@
         Ok(())
     }
 
-    /// Notes that a request is no longer in flight.
+    /// Records that a request is no longer in flight.
     pub fn finish(&mut self, now: Now) {
-        self.follow(now);
+        self.update_limit(now);
         debug_assert!(self.in_flight > 0);
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Books `bytes` that are to be passed on; returns how long they must wait before they are.
+    /// Books `bytes` to be transferred; returns how long they must be delayed.
     ///
-    /// A wait of [`Duration::MAX`] means that the part allows no bytes at all.
+    /// A delay of [`Duration::MAX`] means that the part allows no bytes at all.
     pub fn pass(&mut self, now: Now, bytes: u64) -> Duration {
         self.refill(now);
         let refill = self.refill_per_s();
@@ -191,14 +193,14 @@
     }
 
     fn refill_per_s(&self) -> u64 {
-        self.cap.bytes_per_s - self.cap.bytes_per_s / BURST_PART
+        self.cap.bytes_per_s - self.cap.bytes_per_s / BURST_DIVISOR
     }
 
     fn burst(&self) -> i128 {
-        i128::from(self.cap.bytes_per_s / BURST_PART) * NANOS_PER_S_SIGNED
+        i128::from(self.cap.bytes_per_s / BURST_DIVISOR) * NANOS_PER_S_SIGNED
     }
 
-    /// Adds the refill since the last call, up to the burst.
+    /// Adds the refill since the last call, up to the burst size.
     fn refill(&mut self, now: Now) {
         let elapsed_ns = now.saturating_sub(self.refilled_at).as_nanos();
         self.refilled_at = self.refilled_at.max(now);
@@ -207,36 +209,38 @@
         self.balance = self.balance.saturating_add(refill).min(self.burst());
     }
 
-    /// Moves the open limit towards what is in flight and a burst more, at the pace of growth.
+    /// Moves the limit towards the requests in flight plus one burst, at the growth rate.
     ///
-    /// It follows use down as well: a shift that ended starts small again, or the next one would
-    /// reach a region whose caches have forgotten it with the whole load at once. Without the
-    /// burst two requests that arrive together would be refused at any pace.
-    fn follow(&mut self, now: Now) {
+    /// The limit also falls with the use, so that after a shift has ended the next one starts small
+    /// again. Otherwise the whole load would reach at once a region whose caches no longer hold the
+    /// data for it. Without the burst, one of two requests that arrive together would be refused at
+    /// any growth rate.
+    fn update_limit(&mut self, now: Now) {
         let growth_milli = u64::from(self.cap.growth_per_s) * MILLI;
-        let burst = growth_milli / BURST_PART;
-        let pace = u128::from(growth_milli - burst);
-        let elapsed_ns = now.saturating_sub(self.opened_at).as_nanos();
-        let step = elapsed_ns * pace / NANOS_PER_S;
+        let burst = growth_milli / BURST_DIVISOR;
+        let rate_milli = u128::from(growth_milli - burst);
+        let elapsed_ns = now.saturating_sub(self.limit_updated_at).as_nanos();
+        let step = elapsed_ns * rate_milli / NANOS_PER_S;
         if step == 0 {
             return;
         }
-        // What is left of a step is kept: frequent calls would else lose all growth to rounding.
-        let used_ns = (step * NANOS_PER_S).div_ceil(pace);
-        self.opened_at += Duration::from_nanos(u64::try_from(used_ns).unwrap_or(u64::MAX));
+        // The remainder of a step is kept, as frequent calls would otherwise lose all growth to
+        // rounding.
+        let step_ns = (step * NANOS_PER_S).div_ceil(rate_milli);
+        self.limit_updated_at += Duration::from_nanos(u64::try_from(step_ns).unwrap_or(u64::MAX));
         let step = u64::try_from(step).unwrap_or(u64::MAX);
         let goal = (u64::from(self.in_flight) + 1) * MILLI + burst;
-        if goal <= self.open_milli {
-            self.open_milli = self.open_milli.saturating_sub(step).max(goal);
+        if goal <= self.limit_milli {
+            self.limit_milli = self.limit_milli.saturating_sub(step).max(goal);
         } else if self.may_grow {
-            self.open_milli = self.open_milli.saturating_add(step).min(goal);
+            self.limit_milli = self.limit_milli.saturating_add(step).min(goal);
         }
     }
 }
 
 impl fmt::Display for ShiftLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let open = self.open_milli / MILLI;
+        let open = self.limit_milli / MILLI;
         let cap = self.cap.in_flight;
         let rate = self.cap.bytes_per_s;
         write!(
--- a/crates/steer/tests/properties.rs
+++ b/crates/steer/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the decisions over any input.
+//! Property tests of the decisions over arbitrary input.
 
 use std::time::Duration;
 use steer::*;
@@ -7,13 +7,13 @@
 
 type Bits = (u8, u8, u8, u16, Option<(u8, u8)>, u8);
 
-fn view(&(usable, ramp, in_flight, latency_ms, report, flags): &Bits) -> View {
+fn view(&(usable, slow_start, in_flight, latency_ms, report, flags): &Bits) -> View {
     View {
         usable: u32::from(usable % 10),
-        ramp_limit: if ramp > 200 {
+        ramp_limit: if slow_start > 200 {
             NO_LIMIT
         } else {
-            u32::from(ramp % 10)
+            u32::from(slow_start % 10)
         },
         in_flight: u32::from(in_flight % 12),
         latency: Duration::from_millis(latency_ms.into()),
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn choice_keeps_limits() {
+fn policies_respect_limits() {
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<Bits>, u64)>()
         .for_each(|(bits, seed)| {
             let views: Vec<View> = bits.iter().map(view).collect();
-            let chosen = Ours::default().choose(&views, Duration::ZERO, *seed);
+            let chosen = LeastLoaded::default().choose(&views, Duration::ZERO, *seed);
             let open = |view: &View| {
                 let probe = view.probe_due && view.in_flight == 0;
                 !view.leaving
@@ -46,7 +46,7 @@
                     && view.in_flight < view.limit()
                     && (probe || !(view.suspect || view.cold))
             };
-            // Nothing idles while there is an open slot, and nothing goes where none is.
+            // An upstream is chosen exactly if one has an open slot, and it is such an upstream.
             assert_eq!(chosen.is_some(), views.iter().any(open));
             assert!(chosen.is_none_or(|index| open(&views[index])));
             for policy in Policy::ALL {
@@ -61,7 +61,7 @@
         });
 }
 
-/// A report never raises what is sent, and never drops it to zero.
+/// A report never raises the limit of an upstream and never reduces it to zero.
 #[test]
 fn reports_only_lower() {
     bolero::check!()
@@ -79,21 +79,21 @@
 }
 
 #[test]
-fn ramp_is_monotone_under_good_latency() {
+fn slow_start_is_monotone_under_low_latency() {
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<(u8, u8, bool)>, u8)>()
         .for_each(|(windows, usable)| {
             let warm = Duration::from_millis(100);
-            let mut ramp = Ramp::warm(RampSettings::default());
-            ramp.restart(Duration::ZERO, RampCause::Silence, Some(warm), true);
+            let mut slow_start = Ramp::warm(RampSettings::default());
+            slow_start.restart(Duration::ZERO, RampCause::Silence, Some(warm), true);
             let mut now = Duration::ZERO;
             for &(answers, latency_ms, fresh) in windows {
                 now += Duration::from_millis(10);
                 let latency = Duration::from_millis(u64::from(latency_ms % 126));
                 let answers = u32::from(answers);
                 let latency_sum = latency * answers;
-                let seen = Seen {
+                let stats = Seen {
                     answers,
                     latency_sum,
                     ..Seen::default()
@@ -103,12 +103,12 @@
                 } else {
                     Freshness::Old
                 };
-                let before = ramp.limit();
-                let was_warm = ramp.phase() == RampPhase::Warm;
-                ramp.observe(now, &seen, u32::from(*usable), freshness);
-                assert!(ramp.limit() >= before);
-                let grown = ramp.limit().saturating_sub(before);
-                assert!(grown <= 1 || ramp.phase() == RampPhase::Warm);
+                let before = slow_start.limit();
+                let was_warm = slow_start.phase() == RampPhase::Warm;
+                slow_start.observe(now, &stats, u32::from(*usable), freshness);
+                assert!(slow_start.limit() >= before);
+                let grown = slow_start.limit().saturating_sub(before);
+                assert!(grown <= 1 || slow_start.phase() == RampPhase::Warm);
                 assert!(fresh || grown == 0 || was_warm);
             }
         });
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn no_shift_exceeds_headroom_or_enters_a_drain() {
+fn no_shift_exceeds_headroom_or_targets_a_drained_region() {
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<(u16, u8, u8)>, Option<u8>, u8, bool, bool)>()
@@ -190,48 +190,50 @@
         });
 }
 
-/// A request that is sent leaves the slots free that the classes before it reserve.
+/// A request that is sent leaves the slots free that are reserved for higher-ranked classes.
 #[test]
 fn admission_keeps_the_reserve() {
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(u8, u8, u8, u8, u16)>()
-        .for_each(|&(headroom_pct, slots, in_flight, queued, patience_ms)| {
-            let strict = ClassTarget {
-                latency_target: Duration::from_millis(100),
-                headroom_pct: u32::from(headroom_pct % 100),
-                idempotent: true,
-                priority: None,
-            };
-            let lax = ClassTarget {
-                latency_target: Duration::from_secs(9),
-                ..strict
-            };
-            let admit = Admit::new(vec![strict, lax], 8);
-            let load = Load {
-                slots: slots.into(),
-                in_flight: in_flight.into(),
-                queued_ahead: queued.into(),
-                queued: queued.into(),
-                service: Duration::from_millis(10),
-                completion_gap: Duration::from_millis(3),
-            };
-            let patience = Duration::from_millis(patience_ms.into());
-            match admit.admit(1, &load, Duration::ZERO, patience, 1) {
-                Admission::Send => {
-                    let left = load.slots - load.in_flight - 1;
-                    let kept = left * 100 >= load.slots * strict.headroom_pct;
-                    assert!(kept || load.slots == left + 1);
-                }
-                Admission::Queue { expected_wait } => {
-                    assert!(queued < 8 && expected_wait + load.service <= patience);
+        .for_each(
+            |&(headroom_pct, slots, in_flight, queued, deadline_left_ms)| {
+                let strict = ClassTarget {
+                    latency_target: Duration::from_millis(100),
+                    headroom_pct: u32::from(headroom_pct % 100),
+                    idempotent: true,
+                    priority: None,
+                };
+                let lenient = ClassTarget {
+                    latency_target: Duration::from_secs(9),
+                    ..strict
+                };
+                let admit = Admit::new(vec![strict, lenient], 8);
+                let load = Load {
+                    slots: slots.into(),
+                    in_flight: in_flight.into(),
+                    queued_ahead: queued.into(),
+                    queued: queued.into(),
+                    service: Duration::from_millis(10),
+                    completion_gap: Duration::from_millis(3),
+                };
+                let deadline_left = Duration::from_millis(deadline_left_ms.into());
+                match admit.admit(1, &load, Duration::ZERO, deadline_left, 1) {
+                    Admission::Send => {
+                        let left = load.slots - load.in_flight - 1;
+                        let kept = left * 100 >= load.slots * strict.headroom_pct;
+                        assert!(kept || load.slots == left + 1);
+                    }
+                    Admission::Queue { expected_wait } => {
+                        assert!(queued < 8 && expected_wait + load.service <= deadline_left);
+                    }
+                    Admission::Refuse { retry_after } => assert!(!retry_after.is_zero()),
                 }
-                Admission::Refuse { retry_after } => assert!(!retry_after.is_zero()),
-            }
-        });
+            },
+        );
 }
 
-/// In flight, growth and bytes of a shift stay within the cap for any sequence of requests.
+/// Requests in flight, growth and bytes of a shift stay within the cap for any request sequence.
 #[test]
 fn shift_keeps_its_cap() {
     let cap = ShiftCap {
@@ -273,7 +275,7 @@
         });
 }
 
-/// The same at its limits: requests and bytes come as fast as they can.
+/// Requests and bytes that arrive at the maximum rate reach the cap and do not exceed it.
 #[test]
 fn shift_reaches_its_cap() {
     let cap = ShiftCap {
@@ -307,10 +309,10 @@
     );
 }
 
-/// Symptom: a region whose caches are cold for the shifted work gets all of it at once. Sequence:
-/// the picture is old and requests keep coming. Cause: growth on what nobody confirms.
+/// Guards against shifting all work at once to a region whose caches are cold for it. It occurs if
+/// the shift grows on old information while requests keep arriving.
 #[test]
-fn shift_does_not_grow_on_an_old_picture() {
+fn shift_does_not_grow_on_old_information() {
     let cap = ShiftCap {
         bytes_per_s: 1,
         in_flight: 40,
@@ -319,8 +321,8 @@
     let mut shift = ShiftLimit::new(Duration::ZERO, cap);
     assert_eq!(shift.admit(Duration::ZERO, Freshness::Fresh), Ok(()));
     for second in 1..60 {
-        let verdict = shift.admit(Duration::from_secs(second), Freshness::Old);
-        assert_eq!(verdict, Err(ShiftRefusal::Growth));
+        let admitted = shift.admit(Duration::from_secs(second), Freshness::Old);
+        assert_eq!(admitted, Err(ShiftRefusal::Growth));
     }
     assert_eq!(
         shift.admit(Duration::from_secs(61), Freshness::Fresh),
--- a/crates/steer/tests/sim/mod.rs
+++ b/crates/steer/tests/sim/mod.rs
@@ -1,7 +1,7 @@
-//! A small event loop of two regions with a few entries and upstreams, where queues matter.
+//! Discrete-event simulation of two regions with a few entries and upstreams and their queues.
 //!
-//! It calls the functions that the daemon calls. Shares are fixed, nothing is lost, and one class
-//! is offered: its figures are the model's, not those of processes.
+//! It calls the same functions as the daemon. Shares are fixed, no message is lost, and there is
+//! one class: its results are those of a model and not of real processes.
 
 use std::{
     cmp::Reverse,
@@ -17,7 +17,7 @@
 const UPSTREAMS: usize = 5;
 const SLOTS: u32 = 9;
 const SERVICE_MS: f64 = 10.0;
-/// Time over which callers' cached look-ups expire.
+/// Time within which callers' cached lookup results expire.
 const LOOKUP_TTL_S: f64 = 2.0;
 const HOP: Duration = Duration::from_micros(500);
 const REPORT_EVERY: Duration = Duration::from_millis(100);
@@ -29,68 +29,68 @@
     priority: None,
 };
 
-/// What happens in region 0; region 1 is alike, steady at a fifth of its capacity.
+/// Events in region 0. Region 1 is alike, with a steady load of 20% of its capacity.
 #[derive(Clone, Copy)]
-pub(crate) struct Scene {
+pub(crate) struct Scenario {
     pub name: &'static str,
-    /// Offered load, as a part of the region's capacity.
+    /// Offered load as a fraction of the region's capacity.
     pub load: f64,
-    /// Factor of the load from 2 s to 5 s.
+    /// Load factor from 2 s to 5 s.
     pub burst: f64,
-    /// Factor of upstream 0's service time from 2 s to 5 s.
-    pub slow: f64,
-    /// Upstream 0 reports that it is idle.
-    pub lies: bool,
+    /// Factor of the service time of upstream 0 from 2 s to 5 s.
+    pub slowdown: f64,
+    /// Whether upstream 0 always reports that it is idle.
+    pub false_reports: bool,
     pub report_lag: Duration,
-    /// Upstreams that start with a cold cache; callers come back as their look-ups expire.
-    pub cold: usize,
-    /// Requests that warm one; the first takes four times as long as a warm one.
+    /// Number of upstreams that start with a cold cache; callers return as their lookups expire.
+    pub cold_upstreams: usize,
+    /// Requests that warm an upstream; the first takes four times as long as on a warm one.
     pub cold_requests: f64,
-    /// Round trip between the regions.
-    pub link: Duration,
-    /// How long requests are offered.
+    /// Round-trip time between the regions.
+    pub round_trip: Duration,
+    /// Time during which requests are offered.
     pub seconds: u64,
 }
 
-pub(crate) const STEADY: Scene = Scene {
+pub(crate) const STEADY: Scenario = Scenario {
     name: "steady",
     load: 0.5,
     burst: 1.0,
-    slow: 1.0,
-    lies: false,
+    slowdown: 1.0,
+    false_reports: false,
     report_lag: REPORT_EVERY,
-    cold: 0,
+    cold_upstreams: 0,
     cold_requests: 100.0,
-    link: Duration::from_millis(110),
+    round_trip: Duration::from_millis(110),
     seconds: 6,
 };
 
-/// What callers and upstreams of region 0 saw.
-pub(crate) struct Figures {
+/// Results for the callers and upstreams of region 0.
+pub(crate) struct Results {
     latencies: Vec<Duration>,
-    local: Vec<Duration>,
+    local_latencies: Vec<Duration>,
     pub offered: u32,
-    /// Answered whole within the deadline.
-    pub answered: u32,
+    /// Requests with a complete response within the deadline.
+    pub completed: u32,
     pub refused: u32,
     pub shifted: u32,
-    /// Copies sent as probes, in both regions.
+    /// Copies sent as probes in both regions.
     pub copies: u32,
-    /// Ticks in which less than the headroom was free, as a mean of five ticks.
-    pub(crate) short_ticks: u32,
-    busy: VecDeque<u32>,
-    /// Requests that waited at an upstream for a slot.
+    /// Ticks in which the free slots, averaged over five ticks, were below the headroom target.
+    pub(crate) ticks_below_headroom: u32,
+    busy_slots: VecDeque<u32>,
+    /// Requests that waited for a slot at an upstream.
     pub queued: u32,
 }
 
-impl Figures {
+impl Results {
     pub(crate) fn quantile(&self, permille: usize) -> Duration {
         quantile(&self.latencies, permille)
     }
 
-    /// The same of answers that this region gave itself.
+    /// Latency quantile of the responses given by the local region.
     pub(crate) fn local_quantile(&self, permille: usize) -> Duration {
-        quantile(&self.local, permille)
+        quantile(&self.local_latencies, permille)
     }
 }
 
@@ -102,19 +102,19 @@
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    Offer(usize),
+    Arrived(usize),
     Shifted(usize),
-    Reached(usize),
+    ReachedUpstream(usize),
     Served(usize),
-    Answered(usize),
+    Responded(usize),
     Report,
 }
 
 #[derive(Clone, Copy)]
 struct Request {
-    born: Duration,
-    came: Duration,
-    sent: Duration,
+    arrived_at: Duration,
+    received_at: Duration,
+    sent_at: Duration,
     home: usize,
     entry: usize,
     upstream: usize,
@@ -122,7 +122,7 @@
 }
 
 struct Upstream {
-    busy: u32,
+    busy_slots: u32,
     queue: VecDeque<usize>,
     served: u32,
     reports: VecDeque<Reported>,
@@ -131,30 +131,30 @@
 struct Entry {
     chooser: Chooser,
     views: Vec<View>,
-    ramps: Vec<Ramp>,
-    suspects: Vec<Suspect>,
+    slow_starts: Vec<Ramp>,
+    detectors: Vec<Suspect>,
     queue: VecDeque<usize>,
     service: Duration,
     completion_gap: Duration,
-    completed_at: Duration,
+    last_completion_at: Duration,
     counts: Counts,
-    relief: Relief,
+    starvation: Relief,
     copies: RetryBudget,
     shift: ShiftLimit,
     previous: Option<usize>,
 }
 
-/// What an entry counts between two ticks.
+/// Counts of an entry between two ticks.
 #[derive(Clone, Copy, Default)]
 struct Counts {
     arrived: u32,
     carried: u32,
     shifted: u32,
     unserved: u32,
-    seen: Seen,
+    stats: Seen,
 }
 
-/// What the entries of a region tell each other and the other region at each tick.
+/// State that the entries of a region share with each other and the other region at each tick.
 #[derive(Clone, Copy, Default)]
 struct Region {
     arriving: Demand,
@@ -166,7 +166,7 @@
 }
 
 pub(crate) struct Sim {
-    scene: Scene,
+    scenario: Scenario,
     policy: Policy,
     admit: Admit,
     now: Duration,
@@ -176,10 +176,10 @@
     entries: Vec<Entry>,
     upstreams: Vec<Upstream>,
     regions: [Region; 2],
-    figures: Figures,
+    results: Results,
 }
 
-fn mixed(seed: u64) -> u64 {
+fn mix(seed: u64) -> u64 {
     let bits = seed.wrapping_mul(0x5851_f42d_4c95_7f2d) ^ 0x1405_7b7e_f767_814f;
     let bits = (bits ^ (bits >> 29)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     bits ^ (bits >> 32)
@@ -190,21 +190,21 @@
 }
 
 impl Sim {
-    /// Runs `scene` under `chooser`, the policy of the name `policy`.
-    pub(crate) fn run(scene: Scene, policy: Policy, chooser: &Chooser) -> Figures {
+    /// Runs `scenario` under `chooser`, the policy named `policy`.
+    pub(crate) fn run(scenario: Scenario, policy: Policy, chooser: &Chooser) -> Results {
         let entry = |index: usize| Entry {
             chooser: chooser.clone(),
             views: (0..UPSTREAMS)
-                .map(|upstream| owned(index, upstream))
+                .map(|upstream| owned_slots(index, upstream))
                 .collect(),
-            ramps: vec![Ramp::warm(RampSettings::default()); UPSTREAMS],
-            suspects: vec![Suspect::trusted(SuspectSettings::default()); UPSTREAMS],
+            slow_starts: vec![Ramp::warm(RampSettings::default()); UPSTREAMS],
+            detectors: vec![Suspect::trusted(SuspectSettings::default()); UPSTREAMS],
             queue: VecDeque::new(),
             service: Duration::from_millis(10),
             completion_gap: Duration::ZERO,
-            completed_at: Duration::ZERO,
+            last_completion_at: Duration::ZERO,
             counts: Counts::default(),
-            relief: Relief::default(),
+            starvation: Relief::default(),
             copies: RetryBudget::default(),
             shift: ShiftLimit::new(
                 Duration::ZERO,
@@ -217,13 +217,13 @@
             previous: None,
         };
         let upstream = |_| Upstream {
-            busy: 0,
+            busy_slots: 0,
             queue: VecDeque::new(),
             served: 0,
             reports: VecDeque::new(),
         };
         let mut sim = Self {
-            scene,
+            scenario,
             policy,
             admit: Admit::new(vec![TARGET], 64),
             now: Duration::ZERO,
@@ -233,16 +233,16 @@
             entries: (0..2 * ENTRIES).map(entry).collect(),
             upstreams: (0..2 * UPSTREAMS).map(upstream).collect(),
             regions: [Region::default(); 2],
-            figures: Figures {
+            results: Results {
                 latencies: Vec::new(),
-                local: Vec::new(),
+                local_latencies: Vec::new(),
                 offered: 0,
-                answered: 0,
+                completed: 0,
                 refused: 0,
                 shifted: 0,
                 copies: 0,
-                short_ticks: 0,
-                busy: VecDeque::new(),
+                ticks_below_headroom: 0,
+                busy_slots: VecDeque::new(),
                 queued: 0,
             },
         };
@@ -251,24 +251,24 @@
             sim.now = at;
             sim.step(event);
         }
-        sim.figures.latencies.sort_unstable();
-        sim.figures.local.sort_unstable();
-        sim.figures
+        sim.results.latencies.sort_unstable();
+        sim.results.local_latencies.sort_unstable();
+        sim.results
     }
 
     fn start(&mut self) {
-        let siblings = Some(Duration::from_millis(11));
-        let cold = self.scene.cold;
+        let sibling_latency = Some(Duration::from_millis(11));
+        let cold_upstreams = self.scenario.cold_upstreams;
         for entry in &mut self.entries[..ENTRIES] {
-            for ramp in &mut entry.ramps[..cold] {
-                let another_will_do = cold < UPSTREAMS;
+            for slow_start in &mut entry.slow_starts[..cold_upstreams] {
+                let has_alternative = cold_upstreams < UPSTREAMS;
                 let cause = RampCause::RegionReturn;
-                ramp.restart(Duration::ZERO, cause, siblings, another_will_do);
+                slow_start.restart(Duration::ZERO, cause, sibling_latency, has_alternative);
             }
         }
         self.after(Duration::ZERO, Event::Report);
-        self.after(Duration::ZERO, Event::Offer(0));
-        self.after(Duration::ZERO, Event::Offer(1));
+        self.after(Duration::ZERO, Event::Arrived(0));
+        self.after(Duration::ZERO, Event::Arrived(1));
     }
 
     fn after(&mut self, delay: Duration, event: Event) {
@@ -278,60 +278,60 @@
 
     fn random(&mut self) -> u64 {
         self.seed += 1;
-        mixed(self.seed)
+        mix(self.seed)
     }
 
-    /// Exponential deviate; one for each use of a seed, so that policies meet the same load.
+    /// Exponential deviate that depends only on `seed`, so that all policies get the same load.
     fn exponential(seed: u64, mean_s: f64) -> Duration {
-        let unit = ((mixed(seed) >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
+        let unit = ((mix(seed) >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
         Duration::from_secs_f64(-unit.ln() * mean_s)
     }
 
-    fn is_in_scene(&self) -> bool {
+    fn is_disturbed(&self) -> bool {
         (2..5).contains(&self.now.as_secs())
     }
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Offer(region) => self.offer(region),
+            Event::Arrived(region) => self.arrive(region),
             Event::Shifted(id) => self.receive(id),
-            Event::Reached(id) => self.reach(id),
-            Event::Served(id) => self.serve(id),
-            Event::Answered(id) => self.answer(id),
+            Event::ReachedUpstream(id) => self.reach_upstream(id),
+            Event::Served(id) => self.complete(id),
+            Event::Responded(id) => self.respond(id),
             Event::Report => self.report(),
         }
     }
 
-    fn offer(&mut self, region: usize) {
+    fn arrive(&mut self, region: usize) {
         let capacity = f64::from(SLOTS) * UPSTREAMS as f64 * 1000.0 / SERVICE_MS;
-        let burst = if self.is_in_scene() {
-            self.scene.burst
+        let burst = if self.is_disturbed() {
+            self.scenario.burst
         } else {
             1.0
         };
-        let back = if self.scene.cold > 0 {
+        let returned_fraction = if self.scenario.cold_upstreams > 0 {
             (self.now.as_secs_f64() / LOOKUP_TTL_S).clamp(0.05, 1.0)
         } else {
             1.0
         };
-        let rate = [self.scene.load * burst * back, 0.2][region] * capacity;
-        let arrival = mixed(self.now.as_nanos() as u64) ^ region as u64;
-        let gap = Self::exponential(arrival, 1.0 / rate);
-        if self.now < Duration::from_secs(self.scene.seconds) {
-            self.after(gap, Event::Offer(region));
+        let rate = [self.scenario.load * burst * returned_fraction, 0.2][region] * capacity;
+        let arrival_seed = mix(self.now.as_nanos() as u64) ^ region as u64;
+        let gap = Self::exponential(arrival_seed, 1.0 / rate);
+        if self.now < Duration::from_secs(self.scenario.seconds) {
+            self.after(gap, Event::Arrived(region));
         }
-        let entry = region * ENTRIES + (arrival >> 16) as usize % ENTRIES;
-        let (born, sent) = (self.now, Duration::ZERO);
+        let entry = region * ENTRIES + (arrival_seed >> 16) as usize % ENTRIES;
+        let (arrived_at, sent_at) = (self.now, Duration::ZERO);
         self.requests.push(Request {
-            born,
-            came: born,
-            sent,
+            arrived_at,
+            received_at: arrived_at,
+            sent_at,
             home: entry,
             entry,
             upstream: 0,
             copy: false,
         });
-        self.figures.offered += u32::from(region == 0);
+        self.results.offered += u32::from(region == 0);
         let id = self.requests.len() - 1;
         if self.policy != Policy::Ours {
             return self.send(id);
@@ -340,12 +340,12 @@
         let placement = self.place(entry);
         let entry = &mut self.entries[entry];
         match placement {
-            Placement::Shift(other) if entry.shift.admit(born, Freshness::Fresh).is_ok() => {
+            Placement::Shift(other) if entry.shift.admit(arrived_at, Freshness::Fresh).is_ok() => {
                 entry.previous = Some(other);
                 entry.counts.shifted += 1;
-                self.figures.shifted += u32::from(region == 0);
+                self.results.shifted += u32::from(region == 0);
                 self.requests[id].entry = other * ENTRIES + self.random() as usize % ENTRIES;
-                self.after(self.link() / 2, Event::Shifted(id));
+                self.after(self.round_trip() / 2, Event::Shifted(id));
             }
             _ => {
                 entry.previous = None;
@@ -354,7 +354,7 @@
         }
     }
 
-    /// Sends a copy of the request to an upstream whose probe is due, within the budget.
+    /// Sends a copy of the request to an upstream with a due probe, if the budget allows.
     fn copy_to_due_probe(&mut self, id: usize) {
         let request = self.requests[id];
         self.refresh(request.entry, true);
@@ -366,9 +366,9 @@
         if !entry.copies.take() {
             return;
         }
-        entry.ramps[upstream].probe_sent(self.now);
-        entry.suspects[upstream].probe_sent();
-        self.figures.copies += 1;
+        entry.slow_starts[upstream].probe_sent(self.now);
+        entry.detectors[upstream].probe_sent();
+        self.results.copies += 1;
         self.requests.push(Request {
             copy: true,
             ..request
@@ -376,8 +376,8 @@
         self.dispatch(self.requests.len() - 1, upstream);
     }
 
-    fn link(&self) -> Duration {
-        self.scene.link
+    fn round_trip(&self) -> Duration {
+        self.scenario.round_trip
     }
 
     fn place(&mut self, entry: usize) -> Placement {
@@ -406,7 +406,7 @@
             link: if region == here {
                 Duration::ZERO
             } else {
-                self.link()
+                self.round_trip()
             },
             headroom_left_pct: self.regions[region]
                 .carrying
@@ -441,36 +441,36 @@
         }
     }
 
-    /// Brings the views up to date with the machines of slow start and suspicion.
+    /// Updates the views from the state of slow start and failure detection.
     fn refresh(&mut self, entry: usize, probes: bool) {
         let now = self.now;
         let Entry {
             views,
-            ramps,
-            suspects,
+            slow_starts,
+            detectors,
             ..
         } = &mut self.entries[entry];
         for (upstream, view) in views.iter_mut().enumerate() {
             let server = &self.upstreams[region_of(entry) * UPSTREAMS + upstream];
             view.reported = server.reports.front().copied();
             if self.policy == Policy::Ours {
-                view.ramp_limit = ramps[upstream].limit();
-                view.suspect = suspects[upstream].is_suspected();
-                view.cold = ramps[upstream].phase() == RampPhase::Trickle;
-                view.probe_due =
-                    probes && (ramps[upstream].probe_due(now) || suspects[upstream].probe_due(now));
+                view.ramp_limit = slow_starts[upstream].limit();
+                view.suspect = detectors[upstream].is_suspected();
+                view.cold = slow_starts[upstream].phase() == RampPhase::Trickle;
+                view.probe_due = probes
+                    && (slow_starts[upstream].probe_due(now) || detectors[upstream].probe_due(now));
             }
         }
     }
 
-    /// Admits a request at the entry that is to carry it.
+    /// Runs admission control at the entry that carries the request.
     fn receive(&mut self, id: usize) {
-        self.requests[id].came = self.now;
+        self.requests[id].received_at = self.now;
         let entry = self.requests[id].entry;
         self.entries[entry].counts.carried += 1;
         self.refresh(entry, false);
         let load = self.load(entry, self.entries[entry].queue.len());
-        match self.verdict(id, &load) {
+        match self.decide(id, &load) {
             Admission::Send => self.send(id),
             Admission::Queue { .. } => {
                 self.entries[entry].counts.unserved += 1;
@@ -480,12 +480,12 @@
         }
     }
 
-    fn verdict(&mut self, id: usize, load: &Load) -> Admission {
+    fn decide(&mut self, id: usize, load: &Load) -> Admission {
         let request = self.requests[id];
-        let waited = self.now - request.came;
-        let patience = (request.born + DEADLINE).saturating_sub(self.now);
+        let waited = self.now - request.received_at;
+        let deadline_left = (request.arrived_at + DEADLINE).saturating_sub(self.now);
         let seed = self.random();
-        self.admit.admit(0, load, waited, patience, seed)
+        self.admit.admit(0, load, waited, deadline_left, seed)
     }
 
     fn refuse(&mut self, id: usize) {
@@ -494,7 +494,7 @@
         if home != entry {
             self.entries[home].shift.finish(self.now);
         }
-        self.figures.refused += u32::from(region_of(home) == 0);
+        self.results.refused += u32::from(region_of(home) == 0);
     }
 
     fn send(&mut self, id: usize) {
@@ -511,63 +511,67 @@
     fn dispatch(&mut self, id: usize, upstream: usize) {
         let request = &mut self.requests[id];
         request.upstream = region_of(request.entry) * UPSTREAMS + upstream;
-        request.sent = self.now;
+        request.sent_at = self.now;
         self.entries[request.entry].views[upstream].in_flight += 1;
-        self.after(HOP, Event::Reached(id));
+        self.after(HOP, Event::ReachedUpstream(id));
     }
 
-    fn reach(&mut self, id: usize) {
+    fn reach_upstream(&mut self, id: usize) {
         let upstream = self.requests[id].upstream;
-        if self.upstreams[upstream].busy < SLOTS {
-            return self.begin(id);
+        if self.upstreams[upstream].busy_slots < SLOTS {
+            return self.start_service(id);
         }
         self.upstreams[upstream].queue.push_back(id);
-        self.figures.queued += u32::from(upstream < UPSTREAMS);
+        self.results.queued += u32::from(upstream < UPSTREAMS);
     }
 
-    fn begin(&mut self, id: usize) {
+    fn start_service(&mut self, id: usize) {
         let index = self.requests[id].upstream;
-        let slow = index == 0 && self.is_in_scene();
+        let is_slow = index == 0 && self.is_disturbed();
         let server = &mut self.upstreams[index];
-        server.busy += 1;
+        server.busy_slots += 1;
         server.served += 1;
-        let cold = index < self.scene.cold;
-        let left = 1.0 - f64::from(server.served) / self.scene.cold_requests;
-        let cache = if cold { 3.0 * left.max(0.0) } else { 0.0 };
-        let factor = (1.0 + cache) * if slow { self.scene.slow } else { 1.0 };
-        let seed = self.requests[id].born.as_nanos() as u64;
+        let is_cold = index < self.scenario.cold_upstreams;
+        let coldness = 1.0 - f64::from(server.served) / self.scenario.cold_requests;
+        let cache_penalty = if is_cold {
+            3.0 * coldness.max(0.0)
+        } else {
+            0.0
+        };
+        let factor = (1.0 + cache_penalty) * if is_slow { self.scenario.slowdown } else { 1.0 };
+        let seed = self.requests[id].arrived_at.as_nanos() as u64;
         let work = Duration::from_secs_f64(SERVICE_MS * 0.6e-3)
             + Self::exponential(!seed, SERVICE_MS * 0.4e-3);
         self.after(work.mul_f64(factor), Event::Served(id));
     }
 
-    fn serve(&mut self, id: usize) {
+    fn complete(&mut self, id: usize) {
         let upstream = self.requests[id].upstream;
-        self.upstreams[upstream].busy -= 1;
+        self.upstreams[upstream].busy_slots -= 1;
         if let Some(next) = self.upstreams[upstream].queue.pop_front() {
-            self.begin(next);
+            self.start_service(next);
         }
-        self.after(HOP, Event::Answered(id));
+        self.after(HOP, Event::Responded(id));
     }
 
-    fn answer(&mut self, id: usize) {
+    fn respond(&mut self, id: usize) {
         let request = self.requests[id];
-        self.learn(&request);
+        self.record_response(&request);
         if request.copy {
             return;
         }
         let region = region_of(request.home);
         let shifted = request.home != request.entry;
-        let mut latency = self.now - request.born;
+        let mut latency = self.now - request.arrived_at;
         if shifted {
-            latency += self.link() / 2;
+            latency += self.round_trip() / 2;
             self.entries[request.home].shift.finish(self.now);
         }
         if region == 0 {
-            self.figures.answered += u32::from(latency <= DEADLINE);
-            self.figures.latencies.push(latency);
+            self.results.completed += u32::from(latency <= DEADLINE);
+            self.results.latencies.push(latency);
             if !shifted {
-                self.figures.local.push(latency);
+                self.results.local_latencies.push(latency);
             }
         }
         if self.policy == Policy::Ours {
@@ -575,32 +579,32 @@
         }
     }
 
-    /// Feeds an answer to the machines of the upstream that gave it.
-    fn learn(&mut self, request: &Request) {
+    /// Updates the slow start and failure detection of the upstream that responded.
+    fn record_response(&mut self, request: &Request) {
         let now = self.now;
         let upstream = request.upstream % UPSTREAMS;
-        let took = now - request.sent;
+        let latency = now - request.sent_at;
         let entry = &mut self.entries[request.entry];
         entry.views[upstream].in_flight -= 1;
         let view = &mut entry.views[upstream];
-        view.latency = smooth_latency(view.latency, took);
+        view.latency = smooth_latency(view.latency, latency);
         if !request.copy {
-            entry.service = smooth_latency(entry.service, took);
-            entry.counts.seen.add(&Seen::answer(took));
-            let gap = now - entry.completed_at;
+            entry.service = smooth_latency(entry.service, latency);
+            entry.counts.stats.add(&Seen::response(latency));
+            let gap = now - entry.last_completion_at;
             entry.completion_gap = smooth_latency(entry.completion_gap, gap);
-            entry.completed_at = now;
+            entry.last_completion_at = now;
         }
         let mut others: Vec<_> = entry.views.iter().map(|view| view.latency).collect();
         others.swap_remove(upstream);
-        let siblings = Suspect::typical(&mut others);
-        let seen = Seen::answer(took);
+        let sibling_latency = Suspect::typical(&mut others);
+        let stats = Seen::response(latency);
         let usable = entry.views[upstream].usable;
-        let phase = entry.ramps[upstream].phase();
-        entry.ramps[upstream].observe(now, &seen, usable, Freshness::Fresh);
-        let verdict = entry.suspects[upstream].observe(now, &seen, siblings, phase);
-        if verdict == Some(Suspicion::Cleared) {
-            entry.ramps[upstream].restart(now, RampCause::Silence, siblings, true);
+        let phase = entry.slow_starts[upstream].phase();
+        entry.slow_starts[upstream].observe(now, &stats, usable, Freshness::Fresh);
+        let change = entry.detectors[upstream].observe(now, &stats, sibling_latency, phase);
+        if change == Some(Suspicion::Cleared) {
+            entry.slow_starts[upstream].restart(now, RampCause::Silence, sibling_latency, true);
         }
     }
 
@@ -608,7 +612,7 @@
         while let Some(&id) = self.entries[entry].queue.front() {
             self.refresh(entry, false);
             let load = self.load(entry, 0);
-            match self.verdict(id, &load) {
+            match self.decide(id, &load) {
                 Admission::Queue { .. } => return,
                 Admission::Send => self.send(id),
                 Admission::Refuse { .. } => self.refuse(id),
@@ -617,7 +621,7 @@
         }
     }
 
-    /// What control does at each entry of a region; returns their counts together.
+    /// Runs the control tick at each entry of a region and returns the sum of their counts.
     fn tick(&mut self, region: usize) -> Counts {
         let mut sum = Counts::default();
         self.regions[region].open = 0;
@@ -625,63 +629,65 @@
             self.refresh(entry, false);
             let entry = &mut self.entries[entry];
             let counts = std::mem::take(&mut entry.counts);
-            if entry.relief.tick(counts.arrived, counts.unserved) {
+            if entry.starvation.tick(counts.arrived, counts.unserved) {
                 entry
-                    .ramps
+                    .slow_starts
                     .iter_mut()
-                    .for_each(|ramp| ramp.relieve(self.now));
+                    .for_each(|slow_start| slow_start.relieve(self.now));
             }
             sum.arrived += counts.arrived;
             sum.carried += counts.carried;
             sum.shifted += counts.shifted;
-            sum.seen.add(&counts.seen);
+            sum.stats.add(&counts.stats);
             self.regions[region].open += Capacity::of(&entry.views).open;
         }
         sum
     }
 
-    /// What the entries of a region work out from their counts together.
-    fn tell(&mut self, region: usize) {
+    /// Updates the shared state of a region from the sum of its entries' counts.
+    fn update_region(&mut self, region: usize) {
         let counts = self.tick(region);
         let now = self.now;
-        let there = self.regions[1 - region];
+        let other = self.regions[1 - region];
         let own = &mut self.regions[region];
-        if let Some(mean) = counts.seen.mean_latency() {
+        if let Some(mean) = counts.stats.mean_latency() {
             own.service = smooth_latency(own.service, mean);
         }
         own.arriving.tick(now, counts.arrived, own.service);
         own.carrying.tick(now, counts.carried, own.service);
         own.shifting.tick(now, counts.shifted, own.service);
         own.allowance.tick(
-            &there.carrying,
-            there.open,
+            &other.carrying,
+            other.open,
             TARGET.headroom_pct,
             &own.shifting,
             1,
         );
     }
 
-    fn judge_headroom(&mut self) {
-        let busy = self.upstreams[..UPSTREAMS].iter().map(|server| server.busy);
-        self.figures.busy.push_back(busy.sum());
-        if self.figures.busy.len() > 5 {
-            self.figures.busy.pop_front();
+    fn check_headroom(&mut self) {
+        let busy_slots = self.upstreams[..UPSTREAMS]
+            .iter()
+            .map(|server| server.busy_slots);
+        self.results.busy_slots.push_back(busy_slots.sum());
+        if self.results.busy_slots.len() > 5 {
+            self.results.busy_slots.pop_front();
         }
         let fits = 5 * SLOTS * UPSTREAMS as u32 * (100 - TARGET.headroom_pct) / 100;
-        let busy: u32 = self.figures.busy.iter().sum();
-        self.figures.short_ticks += u32::from(busy > fits);
+        let busy_slots: u32 = self.results.busy_slots.iter().sum();
+        self.results.ticks_below_headroom += u32::from(busy_slots > fits);
     }
 
     fn report(&mut self) {
-        let kept = (self.scene.report_lag.as_millis() / REPORT_EVERY.as_millis()) as usize;
+        let kept = (self.scenario.report_lag.as_millis() / REPORT_EVERY.as_millis()) as usize;
         for (index, server) in self.upstreams.iter_mut().enumerate() {
-            let lies = self.scene.lies && index == 0;
-            let (in_flight, queued) = if lies {
+            let is_false = self.scenario.false_reports && index == 0;
+            let (in_flight, queued) = if is_false {
                 (0, 0)
             } else {
-                (server.busy, server.queue.len() as u32)
+                (server.busy_slots, server.queue.len() as u32)
             };
-            let (slots, age) = (SLOTS, self.scene.report_lag);
+            let (slots, age) = (SLOTS, self.scenario.report_lag);
             server.reports.push_back(Reported {
                 in_flight,
                 queued,
@@ -692,20 +698,20 @@
                 server.reports.pop_front();
             }
         }
-        self.tell(0);
-        self.tell(1);
-        self.judge_headroom();
-        if self.now < Duration::from_secs(self.scene.seconds) {
+        self.update_region(0);
+        self.update_region(1);
+        self.check_headroom();
+        if self.now < Duration::from_secs(self.scenario.seconds) {
             self.after(REPORT_EVERY, Event::Report);
         }
     }
 }
 
-/// Fixed share of an upstream's slots; the slots that do not divide go to each entry in turn.
-fn owned(entry: usize, upstream: usize) -> View {
-    let turn = (entry + upstream) % ENTRIES;
-    let rest = SLOTS as usize % ENTRIES;
-    let usable = SLOTS / ENTRIES as u32 + u32::from(turn < rest);
+/// Fixed share of an upstream's slots; the remaining slots are distributed round robin.
+fn owned_slots(entry: usize, upstream: usize) -> View {
+    let position = (entry + upstream) % ENTRIES;
+    let remainder = SLOTS as usize % ENTRIES;
+    let usable = SLOTS / ENTRIES as u32 + u32::from(position < remainder);
     View {
         usable,
         ..View::default()
