--- a/crates/balance/examples/choice_time.rs
+++ b/crates/balance/examples/choice_time.rs
@@ -1,4 +1,4 @@
-//! Time of one choice among many upstreams: `cargo run --release -p balance --example choice_time`.
+//! Measures the time of one choice among many upstreams: `cargo run --release -p balance --example choice_time`.
 
 use balance::{
     affinity,
@@ -14,11 +14,11 @@
     Instant, //
 };
 
-/// Choices for each number of upstreams.
+/// Choices per number of upstreams.
 const CHOICES: u64 = 2000;
-/// Keys that are asked for.
+/// Number of different affinity keys.
 const KEYS: u64 = 700;
-/// Regions, of three failure domains each.
+/// Number of regions, each with three failure domains.
 const REGIONS: usize = 3;
 
 fn upstream(number: usize) -> Upstream {
@@ -40,7 +40,7 @@
     };
     for count in [100, 1_000, 10_000] {
         let mut upstreams: Vec<Upstream> = (0..count).map(upstream).collect();
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut sent = 0;
         for number in 0..CHOICES {
             let now = Duration::from_millis(1000 + number);
@@ -62,7 +62,7 @@
                 sent += 1;
             }
         }
-        let each = begun.elapsed() / CHOICES as u32;
+        let each = start.elapsed() / CHOICES as u32;
         println!("{count} upstreams: {each:?} a choice, {sent} sent");
     }
 }
--- a/crates/balance/src/choose.rs
+++ b/crates/balance/src/choose.rs
@@ -1,22 +1,24 @@
-//! The decision on one request.
+//! Selection of the upstream for one request.
 //!
-//! Each upstream that may do the work is expected to answer after the way there and back, the wait
-//! for a slot, and the work; of those that answer within the target the request goes to the nearest, as
-//! long as that has not to be waited for much longer than one farther away. Work takes a fraction of
-//! its time at an upstream that had the request's affinity key lately, which is latency and capacity
-//! at once, and each upstream has to be warmed for a key by a request that is slow. So a key has homes in
-//! its callers' region: there the one that it ranks highest is used by all entries, even by those that
-//! know nothing yet, such as after a restart. Others are used where they are known to be warm, by what this entry
-//! saw and what the others of its region told, or when the first is full. Now and then the one of the
-//! entry's own failure domain is tried in the place of a warm one beyond it, which warms it bit by bit.
+//! The estimated response time of an upstream is the sum of the network round trip, the wait for a slot and the service
+//! time. Of the upstreams that are expected to answer within the latency target, the nearest is chosen, unless one
+//! farther away is faster by a considerable part of the target.
 //!
-//! A request that would wait for a slot and come late is refused at once: in overload its wait
-//! would only make the next ones late, too.
+//! The service time is several times shorter at an upstream that served the request's affinity key recently, which
+//! saves latency and capacity alike, and each upstream is warmed for a key by a slow request. A key's requests are
+//! therefore kept on few upstreams in the region of its callers. All entries use the one that the key ranks highest
+//! there, even entries without any observations, such as after a restart. Other upstreams are used if they are known to
+//! be warm, from this entry's requests or from what the other entries of the region stated, or if the first one is
+//! full. Some requests explore: they use the highest-ranked upstream of the entry's own failure domain instead of a
+//! warm one outside it, which warms that upstream gradually.
+//!
+//! A request that would wait for a slot and miss its target is refused at once, because its wait would only delay the
+//! requests after it.
 
 use crate::{
-    rank::rank,
-    upstream::Upstream,
-    work::Work, //
+    rendezvous::rank,
+    service_times::Work,
+    upstream::Upstream, //
 };
 use base::{
     DomainId,
@@ -29,188 +31,188 @@
     time::Duration, //
 };
 
-/// Upstreams of this entry's failure domain, and of the rest of its region, that a key's requests may have to
-/// warm: the one that the key ranks highest, and another one for when that is full.
-const USED_NEAR: usize = 2;
-/// Upstreams of each other region that they may have to warm.
-const USED_FAR: usize = 1;
-/// What crossing a failure domain's boundary costs, as a part of the target: a wait of so much longer is accepted
-/// at the nearer upstream, which saves bytes between failure domains.
-const DOMAIN_COST: f64 = 0.15;
-/// What a region's busy slots cost, as a part of the target if all are busy: work goes elsewhere bit by bit while
-/// there still is room, since the bound on shifts lets little go at once when there is none. Without it a region
-/// with few slots for its callers refuses requests for many seconds while others stand idle.
-const BUSY_COST: f64 = 0.5;
-/// What crossing a region's boundary costs besides the way, as a part of the target.
-const REGION_COST: f64 = 0.3;
-/// Part of the time left that the expected answer may take: it is a mean, and half of all answers
-/// take longer.
+/// Number of upstreams of this entry's region that a key's requests may have to warm: the one that the key ranks
+/// highest, and another for when that is full.
+const KEY_UPSTREAMS_OWN_REGION: usize = 2;
+/// Number of upstreams of each other region that a key's requests may have to warm.
+const KEY_UPSTREAMS_OTHER_REGION: usize = 1;
+/// Cost of crossing a failure domain's boundary, as a fraction of the target. A wait that is longer by this much is
+/// accepted at the nearer upstream, which saves traffic between failure domains.
+const DOMAIN_CROSSING_COST: f64 = 0.15;
+/// Cost of a region's busy slots, as a fraction of the target if all are busy. It moves requests elsewhere gradually
+/// while there are free slots, since the limit on shifts lets few move at once when there are none. Without it, a
+/// region with few slots for its callers refuses requests for many seconds while other regions are idle.
+const REGION_LOAD_COST: f64 = 0.5;
+/// Cost of crossing a region's boundary in addition to the round trip, as a fraction of the target.
+const REGION_CROSSING_COST: f64 = 0.3;
+/// Fraction of the remaining time that the estimated response time may take. The estimate is a mean, and half of all
+/// answers take longer.
 const TIME_USED: f64 = 0.9;
-/// Wait for a slot, as a part of the mean work, that is accepted for a request that comes late
-/// anyway: some requests of a burst, not a queue.
-const LATE_WAIT: f64 = 0.34;
-/// An upstream whose answers take longer than the service's by this factor is counted as slow;
-/// below it the difference is one of keys.
-const SLOW: f64 = 2.0;
-/// Shortest delay that a refused caller is told: a round trip to come back takes about as long.
+/// Maximum wait for a slot of a request that misses its target anyway, as a fraction of the warm service time. It
+/// admits some requests of a burst without building a queue.
+const LATE_WAIT_MAX: f64 = 0.34;
+/// Ratio of an upstream's latency to the service time above which the upstream counts as slow. A smaller difference may
+/// be due to the keys that it serves.
+const SLOWDOWN_MIN: f64 = 2.0;
+/// Minimum delay stated to a refused caller, about the round trip of a new attempt.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
-/// Longest delay that a refused caller is told; the picture behind a longer one is too old by then.
+/// Maximum delay stated to a refused caller. The state behind a longer delay is outdated by then.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
-/// When to come back if no upstream may do the work: as long as a replaced one takes to be listed.
-const RETRY_AFTER_NONE: Duration = Duration::from_millis(300);
-/// Round trip to a region that was not measured yet: far.
+/// Delay stated if no upstream may serve the request: the time until the replacement of an upstream is listed.
+const RETRY_AFTER_NO_UPSTREAM: Duration = Duration::from_millis(300);
+/// Round trip assumed for a region that has not been measured yet: that of a distant one.
 const ROUND_TRIP_UNKNOWN: Duration = Duration::from_millis(110);
 
-/// Where this entry is, and how far the other regions are.
+/// Location of this entry, and the round trips to other regions.
 #[derive(Clone, Debug, Default)]
 pub struct Location {
-    /// This entry's region.
+    /// Region of this entry.
     pub region: RegionId,
-    /// This entry's failure domain.
+    /// Failure domain of this entry.
     pub failure_domain: DomainId,
-    /// Measured round trip to each other region; one that is missing counts as far.
+    /// Measured round trips to other regions; a missing region counts as distant.
     pub round_trips: FastMap<RegionId, Duration>,
 }
 
 impl Location {
-    /// Round trip to `region`.
+    /// Returns the round trip to `region`.
     pub fn round_trip(&self, region: &str) -> Duration {
         if region == &*self.region {
             return Duration::ZERO;
         }
-        let known = self.round_trips.get(region);
-        known.copied().unwrap_or(ROUND_TRIP_UNKNOWN)
+        let measured = self.round_trips.get(region);
+        measured.copied().unwrap_or(ROUND_TRIP_UNKNOWN)
     }
 }
 
-/// What a request needs.
+/// Request for which an upstream is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Hash of its affinity key, or of its own id if it has none.
+    /// Hash of its affinity key, or of its id if it has none.
     pub key: u64,
-    /// Whether it has an affinity key that makes a difference.
+    /// Whether it has an affinity key and its route is sticky, so that a warm upstream is faster.
     pub keyed: bool,
-    /// Whether the highest of this failure domain is tried in place of a warm one beyond it.
+    /// Whether to use the highest-ranked upstream of this failure domain instead of a warm one outside it.
     pub explores: bool,
-    /// Time left within which an answer is worth most.
+    /// Time left until the latency target is missed.
     pub target_left: Duration,
-    /// Time left until the caller gives up.
+    /// Time left until the caller's deadline.
     pub deadline_left: Duration,
-    /// Regions that may do it; empty is all.
+    /// Regions that may serve it; empty means all.
     pub homes: &'a [RegionId],
-    /// Upstreams that had it already.
+    /// Indices of the upstreams that it was already sent to.
     pub tried: &'a [usize],
-    /// Regions that get no more for now, by the bound on shifts.
+    /// Regions that may get no more requests for now because of the limit on shifts.
     pub full_regions: &'a [RegionId],
-    /// Requests in a second that a cold upstream bears.
+    /// Requests per second that a cold upstream accepts.
     pub cold_per_s: f64,
-    /// Times of the service's work.
+    /// Estimated service times.
     pub work: Work,
 }
 
-/// What is expected of one upstream.
+/// Estimated times of a request at one upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Expectation {
-    /// Wait for a slot there.
+    /// Wait for a slot.
     pub wait: Duration,
-    /// The way there and back, the wait and the work.
+    /// Response time: network round trip, wait and service time.
     pub answer: Duration,
 }
 
-/// What to do with a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it to the upstream at this place.
+    /// Send it to this upstream.
     Send {
-        /// Place among the upstreams.
+        /// Index of the upstream.
         place: usize,
-        /// The upstream had its key lately.
+        /// Whether the upstream is known to have served the request's key recently.
         warm: bool,
-        /// It should find a free slot.
+        /// Whether the upstream should have a free slot.
         idle: bool,
-        /// What is expected of it.
+        /// Estimated times at the upstream.
         expected: Expectation,
     },
-    /// No slot in time: refuse, and say when to come back.
+    /// Refuse it, because no slot is available in time.
     Refuse {
-        /// When room is expected.
+        /// Time after which a slot is expected.
         retry_after: Duration,
-        /// What was expected of the upstream that would have answered first.
+        /// Estimated times at the upstream that would have answered first.
         expected: Expectation,
     },
-    /// No upstream may do it now: none is listed, or all are closed.
+    /// No upstream may serve it now: none is listed, or all are excluded.
     NoUpstream {
-        /// When to come back.
+        /// Time after which to try again.
         retry_after: Duration,
     },
 }
 
-/// Boundaries that a request crosses on its way to an upstream.
+/// Boundary that a request crosses to reach an upstream.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Crossing {
-    /// None: the upstream is in the entry's failure domain.
+    /// None; the upstream is in the entry's failure domain.
     None,
-    /// That of the failure domain.
+    /// Boundary of the failure domain.
     Domain,
-    /// That of the region.
+    /// Boundary of the region.
     Region,
 }
 
-/// An upstream that may do the request.
+/// An upstream that may serve the request.
 #[derive(Clone, Copy)]
 struct Candidate {
-    place: usize,
-    rank: u64,
+    index: usize,
+    score: u64,
     crossing: Crossing,
     known_warm: bool,
-    /// How many upstreams of the same region the key ranks higher.
-    order: usize,
-    /// It is the one of this entry's failure domain that the key ranks highest.
-    nearest: bool,
+    /// Number of candidates of the same region that the key ranks higher.
+    rank_in_region: usize,
+    /// Whether the key ranks it highest of the candidates in this entry's failure domain.
+    is_first_in_domain: bool,
 }
 
-/// What is expected of a candidate.
+/// A candidate with its estimated times.
 #[derive(Clone, Copy)]
-struct Expected {
-    place: usize,
+struct Estimate {
+    index: usize,
     crossing: Crossing,
     known_warm: bool,
-    order: usize,
-    nearest: bool,
-    /// Part of its region's slots that are busy.
-    busy: f64,
+    rank_in_region: usize,
+    is_first_in_domain: bool,
+    /// Fraction of its region's slots that are busy.
+    region_load: f64,
     expectation: Expectation,
 }
 
-/// Decides on one request; `upstreams` are those of its service.
+/// Chooses the upstream for a request among the upstreams of its service.
 pub fn choose(upstreams: &mut [Upstream], query: &Query<'_>, here: &Location, now: Now) -> Choice {
     let mut candidates = candidates(upstreams, query, here, now);
-    let open = |candidate: &Candidate| {
-        let region = &upstreams[candidate.place].region;
+    let is_open = |candidate: &Candidate| {
+        let region = &upstreams[candidate.index].region;
         !query.full_regions.contains(region)
     };
-    // Where no other region has an upstream for it, a bound on their change means nothing.
-    if candidates.iter().any(open) {
-        candidates.retain(open);
+    // The limit on shifts is ignored if only the limited regions have an upstream for the request.
+    if candidates.iter().any(is_open) {
+        candidates.retain(is_open);
     }
-    put_in_order(&mut candidates, upstreams);
-    let busy = busy_parts(upstreams, now);
-    let used = candidates
+    rank_candidates(&mut candidates, upstreams);
+    let region_loads = region_loads(upstreams, now);
+    let eligible = candidates
         .iter()
-        .filter(|candidate| is_used(candidate, query));
-    let expected: Vec<Expected> = used
-        .map(|candidate| expect(upstreams, candidate, &busy, query, here, now))
+        .filter(|candidate| is_eligible(candidate, query));
+    let estimates: Vec<Estimate> = eligible
+        .map(|candidate| estimate(upstreams, candidate, &region_loads, query, here, now))
         .collect();
-    let Some(best) = best(&expected, query) else {
+    let Some(best) = best(&estimates, query) else {
         return Choice::NoUpstream {
-            retry_after: RETRY_AFTER_NONE,
+            retry_after: RETRY_AFTER_NO_UPSTREAM,
         };
     };
-    let in_deadline = best.expectation.answer <= query.deadline_left.mul_f64(TIME_USED);
-    let late_wait = query.work.warm().mul_f64(LATE_WAIT);
-    if is_in_target(best, query) || (in_deadline && best.expectation.wait <= late_wait) {
+    let is_in_deadline = best.expectation.answer <= query.deadline_left.mul_f64(TIME_USED);
+    let late_wait_max = query.work.warm().mul_f64(LATE_WAIT_MAX);
+    if is_in_target(best, query) || (is_in_deadline && best.expectation.wait <= late_wait_max) {
         return Choice::Send {
-            place: best.place,
+            place: best.index,
             warm: best.known_warm,
             idle: best.expectation.wait.is_zero(),
             expected: best.expectation,
@@ -225,146 +227,158 @@
     }
 }
 
-/// Puts the candidates into the order in which the key prefers them, and notes it.
-fn put_in_order(candidates: &mut [Candidate], upstreams: &[Upstream]) {
-    candidates.sort_unstable_by_key(|candidate| Reverse(candidate.rank));
-    let mut higher: FastMap<&RegionId, usize> = FastMap::default();
-    let mut nearest_found = false;
+/// Sorts the candidates by their score for the key, and sets their ranks.
+fn rank_candidates(candidates: &mut [Candidate], upstreams: &[Upstream]) {
+    candidates.sort_unstable_by_key(|candidate| Reverse(candidate.score));
+    let mut counts: FastMap<&RegionId, usize> = FastMap::default();
+    let mut domain_found = false;
     for candidate in candidates {
-        let higher = higher
-            .entry(&upstreams[candidate.place].region)
+        let count = counts
+            .entry(&upstreams[candidate.index].region)
             .or_default();
-        candidate.order = *higher;
-        *higher += 1;
+        candidate.rank_in_region = *count;
+        *count += 1;
         if candidate.crossing == Crossing::None {
-            candidate.nearest = !std::mem::replace(&mut nearest_found, true);
+            candidate.is_first_in_domain = !std::mem::replace(&mut domain_found, true);
         }
     }
 }
 
-/// Whether a key's requests may go to a candidate: each further upstream has to be warmed for the key.
-fn is_used(candidate: &Candidate, query: &Query<'_>) -> bool {
-    let used = match candidate.crossing {
-        Crossing::None | Crossing::Domain => USED_NEAR,
-        Crossing::Region => USED_FAR,
+/// Returns whether a key's requests may be sent to a candidate. Their number is limited because each further upstream
+/// has to be warmed for the key.
+fn is_eligible(candidate: &Candidate, query: &Query<'_>) -> bool {
+    let limit = match candidate.crossing {
+        Crossing::None | Crossing::Domain => KEY_UPSTREAMS_OWN_REGION,
+        Crossing::Region => KEY_UPSTREAMS_OTHER_REGION,
     };
-    !query.keyed || candidate.known_warm || candidate.nearest || candidate.order < used
+    !query.keyed
+        || candidate.known_warm
+        || candidate.is_first_in_domain
+        || candidate.rank_in_region < limit
 }
 
-/// Part of the slots of each region's open upstreams that are busy.
-fn busy_parts(upstreams: &[Upstream], now: Now) -> FastMap<&RegionId, f64> {
+/// Returns the fraction of busy slots among each region's open upstreams.
+fn region_loads(upstreams: &[Upstream], now: Now) -> FastMap<&RegionId, f64> {
     let mut sums: FastMap<&RegionId, (f64, f64)> = FastMap::default();
     for upstream in upstreams.iter().filter(|upstream| !upstream.is_closed()) {
         let (load, slots) = sums.entry(&upstream.region).or_default();
-        let own = f64::from(upstream.slots);
-        *load += upstream.load(now).min(own);
-        *slots += own;
+        let own_slots = f64::from(upstream.slots);
+        *load += upstream.load(now).min(own_slots);
+        *slots += own_slots;
     }
-    let parts = sums.into_iter();
-    parts
-        .map(|(region, (load, slots))| (region, load / slots))
+    let sums = sums.into_iter();
+    sums.map(|(region, (load, slots))| (region, load / slots))
         .collect()
 }
 
-/// Whether an answer is expected in target. As long as no answer was seen, that is known of no upstream which may have
-/// to be warmed first: the key's first one is used by all entries, and not another one by those of each domain.
-fn is_in_target(expected: &Expected, query: &Query<'_>) -> bool {
-    let known = query.work.is_known() || !query.keyed || expected.known_warm;
-    known && expected.expectation.answer <= query.target_left.mul_f64(TIME_USED)
+/// Returns whether an answer is expected within the target.
+///
+/// Before any answer has been observed, this is false for upstreams that may have to be warmed first. All entries then
+/// use the upstream that the key ranks highest, rather than a different one in each failure domain.
+fn is_in_target(estimate: &Estimate, query: &Query<'_>) -> bool {
+    let known = query.work.is_known() || !query.keyed || estimate.known_warm;
+    known && estimate.expectation.answer <= query.target_left.mul_f64(TIME_USED)
 }
 
-/// Where the request goes, if it is to be sent at all.
+/// Returns the best upstream for the request.
 ///
-/// Of upstreams that answer in time it is the nearest, unless one farther away is earlier by a good part of the
-/// target. If none does, it is late in any case, and warms an upstream for the next ones.
-fn best<'a>(expected: &'a [Expected], query: &Query<'_>) -> Option<&'a Expected> {
-    let in_target = expected.iter().filter(|one| is_in_target(one, query));
+/// Of the upstreams that answer within the target, this is the nearest, unless one farther away is faster by a
+/// considerable part of the target. If there is none, the request is late in any case, and warms an upstream for the
+/// requests after it.
+fn best<'a>(estimates: &'a [Estimate], query: &Query<'_>) -> Option<&'a Estimate> {
+    let in_target = estimates.iter().filter(|one| is_in_target(one, query));
     let target = query.target_left;
-    let cost = |one: &&Expected| {
-        let crossed = match one.crossing {
+    let cost = |one: &&Estimate| {
+        let crossing = match one.crossing {
             Crossing::None => 0.0,
-            // Requests without a key are spread over the region: an upstream that gets none is not known to work.
+            // Requests without a key are spread over the region, since an upstream without requests is not known to
+            // work.
             Crossing::Domain if !query.keyed => 0.0,
-            Crossing::Domain => DOMAIN_COST,
-            Crossing::Region => REGION_COST,
+            Crossing::Domain => DOMAIN_CROSSING_COST,
+            Crossing::Region => REGION_CROSSING_COST,
         };
-        one.expectation.answer + target.mul_f64(crossed + BUSY_COST * one.busy)
+        one.expectation.answer + target.mul_f64(crossing + REGION_LOAD_COST * one.region_load)
     };
     let Some(best) = in_target.min_by_key(cost) else {
-        let idle = expected.iter().filter(|one| one.expectation.wait.is_zero());
-        let near = idle.min_by_key(|one| {
+        let idle = estimates
+            .iter()
+            .filter(|one| one.expectation.wait.is_zero());
+        let nearest = idle.min_by_key(|one| {
             (
                 one.crossing == Crossing::Region,
-                one.order,
+                one.rank_in_region,
                 one.expectation.answer,
             )
         });
-        return near.or_else(|| expected.iter().min_by_key(|one| one.expectation.answer));
+        return nearest.or_else(|| estimates.iter().min_by_key(|one| one.expectation.answer));
     };
     if query.explores && best.crossing > Crossing::None {
-        // The nearest place that the key could be warm at, and isn't.
-        let nearer = expected
+        // The key's first upstream in this failure domain, if it is not known to be warm.
+        let first = estimates
             .iter()
-            .find(|one| one.nearest && one.expectation.wait.is_zero());
-        return Some(nearer.filter(|one| !one.known_warm).unwrap_or(best));
+            .find(|one| one.is_first_in_domain && one.expectation.wait.is_zero());
+        return Some(first.filter(|one| !one.known_warm).unwrap_or(best));
     }
     Some(best)
 }
 
-fn expect(
+fn estimate(
     upstreams: &[Upstream],
     candidate: &Candidate,
-    busy: &FastMap<&RegionId, f64>,
+    region_loads: &FastMap<&RegionId, f64>,
     query: &Query<'_>,
     here: &Location,
     now: Now,
-) -> Expected {
-    let upstream = &upstreams[candidate.place];
-    let work = if query.keyed && candidate.known_warm {
+) -> Estimate {
+    let upstream = &upstreams[candidate.index];
+    let service_time = if query.keyed && candidate.known_warm {
         query.work.warm()
-    } else if query.keyed && candidate.order == 0 {
-        query.work.assumed()
+    } else if query.keyed && candidate.rank_in_region == 0 {
+        query.work.assumed_warm()
     } else {
         query.work.cold()
     };
-    let slowness = slowness(upstream, query);
+    let slowdown = slowdown(upstream, query);
     let slots = f64::from(upstream.slots);
     let ahead = (upstream.load(now) - slots + 1.0).max(0.0);
-    let wait = query.work.warm().mul_f64(slowness * ahead / slots);
-    let way = here.round_trip(&upstream.region);
-    Expected {
-        place: candidate.place,
+    let wait = query.work.warm().mul_f64(slowdown * ahead / slots);
+    let round_trip = here.round_trip(&upstream.region);
+    Estimate {
+        index: candidate.index,
         crossing: candidate.crossing,
         known_warm: candidate.known_warm,
-        order: candidate.order,
-        nearest: candidate.nearest,
-        busy: busy.get(&upstream.region).copied().unwrap_or_default(),
+        rank_in_region: candidate.rank_in_region,
+        is_first_in_domain: candidate.is_first_in_domain,
+        region_load: region_loads
+            .get(&upstream.region)
+            .copied()
+            .unwrap_or_default(),
         expectation: Expectation {
             wait,
-            answer: way + wait + work.mul_f64(slowness),
+            answer: round_trip + wait + service_time.mul_f64(slowdown),
         },
     }
 }
 
-/// How much longer than the service's usual work an upstream takes; 1 within the usual spread.
-fn slowness(upstream: &Upstream, query: &Query<'_>) -> f64 {
+/// Returns the ratio of an upstream's latency to the service time, or 1 if it is within the usual variation.
+fn slowdown(upstream: &Upstream, query: &Query<'_>) -> f64 {
     let Some(latency) = upstream.health.latency() else {
         return 1.0;
     };
     let usual = query.work.cold().as_secs_f64();
     let ratio = latency.as_secs_f64() / usual.max(0.001);
-    if ratio > SLOW {
+    if ratio > SLOWDOWN_MIN {
         ratio
     } else {
         1.0
     }
 }
 
-/// Upstreams that may do the request.
+/// Returns the upstreams that may serve the request.
 ///
-/// Those that fail are passed over, unless that leaves less than half of those that are there: when
-/// most fail a part of their requests, the rest can't take the whole load, and a part that succeeds is
-/// better than none.
+/// Ejected upstreams are excluded, unless that would exclude more than half of the reachable ones. If most upstreams
+/// fail some of their requests, the others can't take the whole load, and sending requests that partly succeed is
+/// better than refusing them.
 fn candidates(
     upstreams: &mut [Upstream],
     query: &Query<'_>,
@@ -373,33 +387,33 @@
 ) -> Vec<Candidate> {
     let mut candidates = Vec::with_capacity(upstreams.len());
     let mut failing = Vec::new();
-    for (place, upstream) in upstreams.iter_mut().enumerate() {
-        let local = upstream.region == here.region;
-        let home = query.homes.is_empty() || query.homes.contains(&upstream.region);
-        if upstream.is_closed() || !home || query.tried.contains(&place) {
+    for (index, upstream) in upstreams.iter_mut().enumerate() {
+        let is_local = upstream.region == here.region;
+        let is_home = query.homes.is_empty() || query.homes.contains(&upstream.region);
+        if upstream.is_closed() || !is_home || query.tried.contains(&index) {
             continue;
         }
         if !upstream.accepts(query.cold_per_s, now) {
             continue;
         }
-        let crossing = match (local, upstream.failure_domain == here.failure_domain) {
+        let crossing = match (is_local, upstream.failure_domain == here.failure_domain) {
             (true, true) => Crossing::None,
             (true, false) => Crossing::Domain,
             (false, _) => Crossing::Region,
         };
         let candidate = Candidate {
-            place,
-            rank: rank(query.key, upstream.hash),
+            index,
+            score: rank(query.key, upstream.hash),
             crossing,
-            known_warm: query.keyed && upstream.warm.has(query.key, now),
-            order: 0,
-            nearest: false,
+            known_warm: query.keyed && upstream.warm.is_warm(query.key, now),
+            rank_in_region: 0,
+            is_first_in_domain: false,
         };
-        // One request at a time finds out whether a failing upstream is back.
-        let on_trial = upstream.health.on_trial(now) && upstream.in_flight > 0;
-        if !upstream.health.is_away(now) && !on_trial {
+        // One request at a time probes whether a failing upstream has recovered.
+        let probe_pending = upstream.health.is_probing(now) && upstream.in_flight > 0;
+        if !upstream.health.is_ejected(now) && !probe_pending {
             candidates.push(candidate);
-        } else if upstream.health.is_there() {
+        } else if upstream.health.is_reachable() {
             failing.push(candidate);
         }
     }
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -1,109 +1,109 @@
-//! What this entry saw of an upstream: failures, and how long it took.
+//! Observed failures and latency of an upstream.
 
 use base::Now;
 use std::time::Duration;
 
-/// Part of the latest result in the mean of failures: some eight results count.
+/// Weight of the latest result in the moving average of failures: about the last eight results count.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Mean of failures above which an upstream is passed over while others have room: an upstream that
-/// fails a tenth of its requests still serves nine of ten.
-const FAILING: f64 = 0.45;
-/// First time for which a failing upstream is passed over.
-const AWAY_MIN: Duration = Duration::from_millis(400);
-/// Longest such time: one trial in it costs little, and it is how long a sound upstream stays unused.
-const AWAY_MAX: Duration = Duration::from_millis(3200);
-/// Part of the latest time in the mean of times.
+/// Failure rate from which an upstream is ejected while others have capacity. It is well above a tenth, since an
+/// upstream that fails a tenth of its requests still serves nine of ten.
+const EJECTION_THRESHOLD: f64 = 0.45;
+/// Duration of the first ejection.
+const EJECTION_MIN: Duration = Duration::from_millis(400);
+/// Maximum duration of an ejection. One probe per ejection costs little, and a recovered upstream stays unused for this
+/// long.
+const EJECTION_MAX: Duration = Duration::from_millis(3200);
+/// Weight of the latest latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// Failures and latency of one upstream.
+/// Failure rate and latency of one upstream, with outlier ejection.
 #[derive(Clone, Debug)]
 pub struct Health {
-    /// Mean of results: 0 all good, 1 all failed.
-    failures: f64,
-    /// Passed over until then.
-    away_until: Now,
-    /// It isn't there, rather than failing a part of its requests.
-    hard: bool,
-    /// How long it is passed over at the next failure.
-    away: Duration,
-    /// Mean time of an answer, in seconds; zero before the first.
+    /// Moving average of results: 0 if all succeeded, 1 if all failed.
+    failure_rate: f64,
+    /// End of the last ejection.
+    ejected_until: Now,
+    /// Whether the last failure means that the upstream does not run, rather than fails some of its requests.
+    unreachable: bool,
+    /// Duration of the next ejection.
+    next_ejection: Duration,
+    /// Moving average of the latency in seconds; zero before the first answer.
     latency_s: f64,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            failures: 0.0,
-            away_until: Now::ZERO,
-            hard: false,
-            away: AWAY_MIN,
+            failure_rate: 0.0,
+            ejected_until: Now::ZERO,
+            unreachable: false,
+            next_ejection: EJECTION_MIN,
             latency_s: 0.0,
         }
     }
 }
 
 impl Health {
-    /// Notes an answer that came whole after `took`; whether that ends a time of being passed over.
-    pub fn note_answer(&mut self, took: Duration) -> bool {
-        let was_failing = self.failures >= FAILING;
-        self.failures *= 1.0 - FAILURE_WEIGHT;
-        self.hard = false;
-        if self.failures < FAILING / 2.0 {
-            self.away = AWAY_MIN;
+    /// Records a complete answer. Returns whether the upstream has recovered from failing.
+    pub fn note_answer(&mut self, latency: Duration) -> bool {
+        let was_failing = self.failure_rate >= EJECTION_THRESHOLD;
+        self.failure_rate *= 1.0 - FAILURE_WEIGHT;
+        self.unreachable = false;
+        if self.failure_rate < EJECTION_THRESHOLD / 2.0 {
+            self.next_ejection = EJECTION_MIN;
         }
-        let took_s = took.as_secs_f64();
+        let latency_s = latency.as_secs_f64();
         self.latency_s = if self.latency_s == 0.0 {
-            took_s
+            latency_s
         } else {
-            self.latency_s + LATENCY_WEIGHT * (took_s - self.latency_s)
+            self.latency_s + LATENCY_WEIGHT * (latency_s - self.latency_s)
         };
-        was_failing && self.failures < FAILING
+        was_failing && self.failure_rate < EJECTION_THRESHOLD
     }
 
-    /// Notes a failure; `hard` is one that means the upstream isn't there, such as a refused
-    /// connection, and passes it over at once. Gives for how long it is passed over, if it begins to be.
-    pub fn note_failure(&mut self, hard: bool, now: Now) -> Option<Duration> {
-        self.failures += FAILURE_WEIGHT * (1.0 - self.failures);
-        self.hard = hard;
-        if hard {
-            self.failures = self.failures.max(FAILING);
+    /// Records a failure. `unreachable` marks one that shows that the upstream does not run, such as a refused
+    /// connection, and ejects it at once. Returns the duration of the ejection if one begins.
+    pub fn note_failure(&mut self, unreachable: bool, now: Now) -> Option<Duration> {
+        self.failure_rate += FAILURE_WEIGHT * (1.0 - self.failure_rate);
+        self.unreachable = unreachable;
+        if unreachable {
+            self.failure_rate = self.failure_rate.max(EJECTION_THRESHOLD);
         }
-        if self.failures < FAILING || now < self.away_until {
+        if self.failure_rate < EJECTION_THRESHOLD || now < self.ejected_until {
             return None;
         }
-        let away = self.away;
-        self.away_until = now + away;
-        self.away = (away * 2).min(AWAY_MAX);
-        Some(away)
+        let ejection = self.next_ejection;
+        self.ejected_until = now + ejection;
+        self.next_ejection = (ejection * 2).min(EJECTION_MAX);
+        Some(ejection)
     }
 
-    /// Notes that its process has ended, and passes it over for `away` in any case. Gives that time if it begins to be
-    /// passed over.
-    pub fn note_ended(&mut self, away: Duration, now: Now) -> Option<Duration> {
-        let begins = !self.is_away(now);
-        self.failures = self.failures.max(FAILING);
-        self.hard = true;
-        self.away_until = self.away_until.max(now + away);
-        begins.then_some(away)
+    /// Records that the upstream's process has ended, and ejects it for at least `ejection`. Returns that duration if
+    /// an ejection begins.
+    pub fn note_ended(&mut self, ejection: Duration, now: Now) -> Option<Duration> {
+        let begins = !self.is_ejected(now);
+        self.failure_rate = self.failure_rate.max(EJECTION_THRESHOLD);
+        self.unreachable = true;
+        self.ejected_until = self.ejected_until.max(now + ejection);
+        begins.then_some(ejection)
     }
 
-    /// Whether it is passed over at `now`.
-    pub fn is_away(&self, now: Now) -> bool {
-        now < self.away_until
+    /// Returns whether the upstream is ejected at `now`.
+    pub fn is_ejected(&self, now: Now) -> bool {
+        now < self.ejected_until
     }
 
-    /// Whether it is there, whatever part of its requests it fails.
-    pub fn is_there(&self) -> bool {
-        !self.hard
+    /// Returns whether the upstream runs, even if it fails some of its requests.
+    pub fn is_reachable(&self) -> bool {
+        !self.unreachable
     }
 
-    /// Whether the next request is a trial: it failed, and the time of being passed over has run
-    /// out without an answer since.
-    pub fn on_trial(&self, now: Now) -> bool {
-        !self.is_away(now) && self.failures >= FAILING
+    /// Returns whether the next request is a probe: the ejection has ended, and no answer has arrived since.
+    pub fn is_probing(&self, now: Now) -> bool {
+        !self.is_ejected(now) && self.failure_rate >= EJECTION_THRESHOLD
     }
 
-    /// Mean time of an answer; `None` before the first.
+    /// Returns the average latency, or `None` before the first answer.
     pub fn latency(&self) -> Option<Duration> {
         (self.latency_s > 0.0).then(|| Duration::from_secs_f64(self.latency_s))
     }
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,34 +1,33 @@
-//! Which upstream does a request, and whether now.
+//! Selection of an upstream for a request, and the limits on what this entry sends.
 //!
-//! Start with [`choose()`], the decision on one request: it ranks the upstreams of a service by
-//! expected time of the answer (the way there, the wait for a slot, and work that is short where the
-//! request's affinity key was had lately), and refuses when no upstream can do it in time. What it reads of
-//! an upstream is an [`Upstream`]: its own requests in flight, the load of others as the upstream
-//! last reported it, and its [`Health`] as this entry saw it.
+//! Start with [`choose()`], which decides on one request. It estimates the response time of each upstream of a service
+//! from the network round trip, the wait for a slot and the service time, which is short at an upstream that served the
+//! request's affinity key recently. It refuses the request if no upstream can answer in time. Its input is one
+//! [`Upstream`] each: this entry's requests in flight, the load from other entries as last reported, and the
+//! [`Health`] that this entry observed.
 //!
-//! What all entries together may not pass is cut into parts that each entry keeps by itself:
-//! [`RetryBudget`] (sends beyond a request's first) and [`ShiftBound`] (how fast the part of requests that
-//! leaves its region may change). What a cold upstream bears is too little to be cut: the entry that holds its
-//! lease has it whole ([`ColdGate`]), all others have nothing.
+//! Limits that apply to all entries combined are divided into shares that each entry enforces on its own:
+//! [`RetryBudget`] limits the sends after a request's first, and [`ShiftBound`] limits how fast the share of requests
+//! that leave their region may change. The rate that a cold upstream accepts is too low to divide: the entry that holds
+//! the upstream's lease may use all of it ([`ColdStartLimiter`]), and the other entries may use none.
 //!
-//! Invariants: no clock, socket or randomness; `now` is an argument. An upstream that is leaving,
-//! in an evacuated failure domain or outside a route's home regions is never chosen.
+//! Invariants: no clock, socket or randomness; `now` is an argument. An upstream that is leaving, in an evacuated
+//! failure domain or outside a route's home regions is never chosen.
 
-mod census;
 mod choose;
-mod cold;
+mod cold_start_limiter;
+mod entry_share;
 mod health;
-mod limit;
-mod part;
-mod rank;
-mod retry;
+mod rate_limiter;
+mod rendezvous;
+mod retry_budget;
+mod service_times;
 mod shift;
 mod upstream;
-mod warm;
+mod upstream_counts;
+mod warm_keys;
 mod window;
-mod work;
 
-pub use census::Census;
 pub use choose::{
     choose,
     Choice,
@@ -36,20 +35,21 @@
     Location,
     Query, //
 };
-pub use cold::ColdGate;
+pub use cold_start_limiter::ColdStartLimiter;
+pub use entry_share::part;
 pub use health::Health;
-pub use limit::LimitGate;
-pub use part::part;
-pub use rank::{
+pub use rate_limiter::RateLimiter;
+pub use rendezvous::{
     affinity,
     rank, //
 };
-pub use retry::RetryBudget;
+pub use retry_budget::RetryBudget;
+pub use service_times::Work;
 pub use shift::ShiftBound;
 pub use upstream::{
     Reported,
     Upstream, //
 };
-pub use warm::WarmKeys;
+pub use upstream_counts::Census;
+pub use warm_keys::WarmKeys;
 pub use window::Window;
-pub use work::Work;
--- a/crates/balance/src/limit.rs
+++ b/crates/balance/src/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Request allowance of an upstream that states a rate limit, for the entry that holds its lease.
+//! Rate limiter for an upstream that states a rate limit, used by the entry that holds its lease.
 
 use crate::window::Window;
 use base::Now;
@@ -18,14 +18,14 @@
 /// A request counts from the moment the upstream is chosen for it, since it may wait for a connection, until the window
 /// after its sending has passed.
 #[derive(Clone, Debug)]
-pub struct LimitGate {
+pub struct RateLimiter {
     /// Number of requests for which the upstream was chosen and that are neither sent nor withdrawn yet.
     waiting: u32,
     burst: Window,
     sent: Window,
 }
 
-impl Default for LimitGate {
+impl Default for RateLimiter {
     fn default() -> Self {
         Self {
             waiting: 0,
@@ -35,16 +35,16 @@
     }
 }
 
-impl LimitGate {
+impl RateLimiter {
     /// Returns whether one more request may be sent under a limit of `limit_per_s`.
-    pub fn fits(&mut self, limit_per_s: f64, now: Now) -> bool {
+    pub fn allows(&mut self, limit_per_s: f64, now: Now) -> bool {
         let waiting = u64::from(self.waiting);
-        let allowed = |span: Duration, part: f64| {
-            let allowed = limit_per_s * span.as_secs_f64() * part;
+        let allowed = |span: Duration, fraction: f64| {
+            let allowed = limit_per_s * span.as_secs_f64() * fraction;
             allowed.floor().max(1.0)
         };
-        let burst = (self.burst.count(now) + waiting) as f64;
-        let sent = (self.sent.count(now) + waiting) as f64;
+        let burst = (self.burst.count_upper_bound(now) + waiting) as f64;
+        let sent = (self.sent.count_upper_bound(now) + waiting) as f64;
         burst < allowed(BURST_SPAN, 1.0) && sent < allowed(SPAN, USED_PCT / 100.0)
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Stops counting a request as waiting, because it is being sent or has been withdrawn.
-    pub fn note_waited(&mut self) {
+    pub fn note_wait_ended(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 }
--- a/crates/balance/src/shift.rs
+++ b/crates/balance/src/shift.rs
@@ -1,6 +1,6 @@
-//! How fast the regions in which requests run may change.
+//! Limit on how fast the distribution of requests over regions may change.
 
-use crate::rank::{
+use crate::rendezvous::{
     affinity,
     rank, //
 };
@@ -11,51 +11,52 @@
 };
 use std::time::Duration;
 
-/// Least requests before their parts say anything.
-const FEW: f64 = 10.0;
-/// Windows without any request after which nothing is known of the time before.
-const FORGET_AFTER: u128 = 8;
+/// Minimum number of requests from which a distribution is compared.
+const REQUESTS_MIN: f64 = 10.0;
+/// Maximum number of windows between two requests. After a longer pause all counts are discarded.
+const IDLE_WINDOWS_MAX: u128 = 8;
 
-/// Bound on the change of the regions in which this entry's requests run.
+/// Limits the change of the distribution of this entry's requests over regions.
 ///
-/// A region that suddenly gets much of another one's work meets it with cold caches; what came must
-/// be small against what was there. From one window to the next, all regions together may gain at most
-/// the bound, in parts of the requests; what they gain the others lose, so the way back is bound as the
-/// way there. A window without one before it may have any parts, as the first of a process does. Each
-/// entry keeps it for its own requests, which keeps it for their sum.
+/// A region that suddenly receives many requests of another region serves them with cold caches, so the increase must
+/// be small compared to what the region served before. From one window to the next, all regions together may gain at
+/// most the limit, as a fraction of the requests. The other regions lose what these gain, so requests move back no
+/// faster than they moved away. A window without a previous one, such as the first of a process, may have any
+/// distribution. Each entry enforces the limit on its own requests, and thereby on the sum over all entries.
 ///
-/// Many entries with few requests each must not round alike. What goes wrong otherwise: 22 entries with 13 requests a
-/// window may each send one more away, and 27 in 100 requests of their region change theirs. So the bound of a
-/// window and region is rounded up or down by a number that belongs to the entry and the window, and the sum over
-/// entries keeps the bound as it is.
+/// Entries that have few requests each must not all round in the same direction: if 22 entries with 13 requests per
+/// window each send one more request away, 27 % of their region's requests move. The limit of a window and region is
+/// therefore rounded up or down by a pseudorandom number that depends on the entry, window and region, so that the sum
+/// over the entries stays at the limit.
 ///
-/// Windows begin with the first request, not with the process. What goes wrong otherwise: callers come in the middle of a
-/// window, the next one is still free, and the bound of the one after it is taken from a part of their first seconds.
+/// Windows begin at the first request and not at the start of the process. Otherwise the first requests could arrive in
+/// the middle of a window that is not limited, and the next window's limit would be based on a fraction of their first
+/// seconds.
 #[derive(Clone, Debug)]
 pub struct ShiftBound {
     window: Duration,
-    /// Another number for each entry.
+    /// Differs between entries.
     seed: u64,
-    current: Counts,
-    /// Counts of the last windows that had enough requests together, mostly of one.
-    previous: Counts,
+    current: RegionCounts,
+    /// Counts of the last windows that had enough requests together, which usually is a single window.
+    previous: RegionCounts,
     /// Counts of the windows since then.
-    gathered: Counts,
-    /// When the window with number zero began; `None` before the first request.
+    accumulated: RegionCounts,
+    /// Start of the window with index zero; `None` before the first request.
     origin: Option<Now>,
-    /// Number of the current window, from there.
-    number: u128,
+    /// Index of the current window, counted from `origin`.
+    window_index: u128,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Counts {
-    all: f64,
+struct RegionCounts {
+    total: f64,
     by_region: FastMap<RegionId, f64>,
 }
 
-impl Counts {
+impl RegionCounts {
     fn add(&mut self, other: Self) {
-        self.all += other.all;
+        self.total += other.total;
         for (region, count) in other.by_region {
             *self.by_region.entry(region).or_insert(0.0) += count;
         }
@@ -67,50 +68,54 @@
 }
 
 impl ShiftBound {
-    /// Bound over windows of this length; `seed` is another number for each entry.
+    /// Returns a limiter over windows of this length; `seed` must differ between entries.
     pub fn new(window: Duration, seed: u64) -> Self {
         Self {
             window,
             seed,
-            current: Counts::default(),
-            previous: Counts::default(),
-            gathered: Counts::default(),
+            current: RegionCounts::default(),
+            previous: RegionCounts::default(),
+            accumulated: RegionCounts::default(),
             origin: None,
-            number: 0,
+            window_index: 0,
         }
     }
 
-    /// Whether one more request may run in `region`, when all may gain `growth` a window.
+    /// Returns whether one more request may run in `region` if all regions together may gain the fraction `growth` of
+    /// the requests per window.
     pub fn fits(&mut self, region: &str, growth: f64, now: Now) -> bool {
         self.advance(now);
         let previous = &self.previous;
-        if previous.all < FEW {
+        if previous.total < REQUESTS_MIN {
             return true;
         }
-        let all = self.current.all + 1.0;
-        let due = |region: &str| previous.of(region) / previous.all * all;
-        let own = self.current.of(region) + 1.0 - due(region);
+        let total = self.current.total + 1.0;
+        let expected = |region: &str| previous.of(region) / previous.total * total;
+        let own = self.current.of(region) + 1.0 - expected(region);
         if own <= 0.0 {
             return true;
         }
         let others = self.current.by_region.iter();
         let others = others.filter(|(other, _)| **other != *region);
         let gained: f64 = others
-            .map(|(other, count)| (count - due(other)).max(0.0))
+            .map(|(other, count)| (count - expected(other)).max(0.0))
             .sum();
-        gained + own <= growth * all + self.rounding(region)
+        gained + own <= growth * total + self.rounding_offset(region)
     }
 
-    /// A number from 0 to 1 that belongs to this entry, window and region.
-    fn rounding(&self, region: &str) -> f64 {
-        let number = rank(self.seed ^ self.number as u64, affinity(region.as_bytes()));
+    /// Returns a pseudorandom number from 0 to 1 for this entry, window and region.
+    fn rounding_offset(&self, region: &str) -> f64 {
+        let number = rank(
+            self.seed ^ self.window_index as u64,
+            affinity(region.as_bytes()),
+        );
         (number >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Counts a request that was sent to an upstream of `region`.
+    /// Counts a request that was sent to an upstream in `region`.
     pub fn note(&mut self, region: &RegionId, now: Now) {
         self.advance(now);
-        self.current.all += 1.0;
+        self.current.total += 1.0;
         if let Some(count) = self.current.by_region.get_mut(region) {
             *count += 1.0;
         } else {
@@ -120,21 +125,21 @@
 
     fn advance(&mut self, now: Now) {
         let origin = *self.origin.get_or_insert(now);
-        let number = now.saturating_sub(origin).as_nanos() / self.window.as_nanos().max(1);
-        if number > self.number {
+        let window_index = now.saturating_sub(origin).as_nanos() / self.window.as_nanos().max(1);
+        if window_index > self.window_index {
             let ended = std::mem::take(&mut self.current);
-            if number > self.number + FORGET_AFTER {
-                self.previous = Counts::default();
-                self.gathered = Counts::default();
+            if window_index > self.window_index + IDLE_WINDOWS_MAX {
+                self.previous = RegionCounts::default();
+                self.accumulated = RegionCounts::default();
                 self.origin = Some(now);
-                self.number = 0;
+                self.window_index = 0;
                 return;
             }
-            self.gathered.add(ended);
-            if self.gathered.all >= FEW {
-                self.previous = std::mem::take(&mut self.gathered);
+            self.accumulated.add(ended);
+            if self.accumulated.total >= REQUESTS_MIN {
+                self.previous = std::mem::take(&mut self.accumulated);
             }
-            self.number = number;
+            self.window_index = window_index;
         }
     }
 }
--- a/crates/balance/src/upstream.rs
+++ b/crates/balance/src/upstream.rs
@@ -1,11 +1,11 @@
-//! One upstream as an entry sees it.
+//! State of one upstream as this entry sees it.
 
 use crate::{
-    cold::ColdGate,
+    cold_start_limiter::ColdStartLimiter,
     health::Health,
-    limit::LimitGate,
-    rank::affinity,
-    warm::WarmKeys, //
+    rate_limiter::RateLimiter,
+    rendezvous::affinity,
+    warm_keys::WarmKeys, //
 };
 use base::{
     DomainId,
@@ -15,71 +15,72 @@
 };
 use std::time::Duration;
 
-/// How long a report is nearer to the truth than what other entries said some tenths of a second ago.
+/// Age up to which an upstream's report is more accurate than the other entries' counts, which are some tenths of a
+/// second old.
 const REPORT_EXACT: Duration = Duration::from_millis(100);
-/// How long a report of the load of others is worth its full weight.
+/// Age up to which a report of the load from other entries has its full weight.
 const REPORT_FRESH: Duration = Duration::from_millis(400);
-/// Age at which a report says nothing any more: most requests of its time have ended.
+/// Age from which a report has no weight, because most of the requests that it counted have ended.
 const REPORT_STALE: Duration = Duration::from_millis(2000);
 
-/// Load as an upstream states it in an answer.
+/// Load that an upstream states in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reported {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait for a slot there.
+    /// Requests that wait for a slot at the upstream.
     pub waiting: u32,
-    /// Requests that it works on at a time.
+    /// Requests that it can process concurrently.
     pub slots: u32,
 }
 
 /// One incarnation of an upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its name, which an earlier incarnation may have had.
+    /// Name, which an earlier incarnation may have had as well.
     pub id: UpstreamId,
-    /// When it started, in Unix milliseconds; with the name it tells incarnations apart.
+    /// Start time in Unix milliseconds; identifies the incarnation together with the name.
     pub started_ms: u64,
-    /// Hash of the name, for affinity.
+    /// Hash of the name, for rendezvous hashing.
     pub hash: u64,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: DomainId,
-    /// Requests that it works on at a time.
+    /// Requests that it can process concurrently.
     pub slots: u32,
-    /// Whether it gets no new work: it leaves, or its failure domain is evacuated.
+    /// Whether it gets no new requests because it is leaving or its failure domain is evacuated.
     pub closed: bool,
-    /// Whether it is gone by its own address's word, whatever the list says: for good, since an
-    /// incarnation doesn't come back.
+    /// Whether its address has shown that it has ended, even if it is still listed. This is permanent, since an
+    /// incarnation does not return.
     pub gone: bool,
-    /// Cold until then.
+    /// End of the time for which it is cold.
     pub cold_until: Now,
     /// End of this entry's lease, during which it alone may send while the upstream is cold or states a limit; `None`
     /// without a lease.
     pub lease_until: Option<Now>,
-    /// What it may get while cold.
-    pub cold_gate: ColdGate,
+    /// Limits the requests sent to it while it is cold.
+    pub cold_start_limiter: ColdStartLimiter,
     /// Maximum requests per second from all entries combined, as stated in its last answer; `None` if it stated none.
     pub limit_per_s: Option<f64>,
-    /// Bounds the requests sent to it while it states a limit.
-    pub limit_gate: LimitGate,
-    /// Requests of this entry that it works on.
+    /// Limits the requests sent to it while it states a limit.
+    pub rate_limiter: RateLimiter,
+    /// Requests that this entry has in flight there.
     pub in_flight: u32,
-    /// Requests of others that it works on, by its last report.
-    reported: f64,
-    /// When that report came.
+    /// Requests that other entries had in flight there, according to its last report.
+    reported_others: f64,
+    /// Time of the last report.
     reported_at: Now,
-    /// Requests of others that it works on, by what they said.
+    /// Requests that other entries have in flight there, according to those entries.
     pub told: Option<u32>,
-    /// Affinity keys that it had lately.
+    /// Affinity keys that it served recently.
     pub warm: WarmKeys,
     /// Failures and latency.
     pub health: Health,
 }
 
 impl Upstream {
-    /// An upstream of which nothing was seen yet.
+    /// Returns an upstream without any observations.
     pub fn new(id: UpstreamId, region: RegionId, failure_domain: DomainId, slots: u32) -> Self {
         Self {
             hash: affinity(id.as_bytes()),
@@ -92,11 +93,11 @@
             gone: false,
             cold_until: Now::ZERO,
             lease_until: None,
-            cold_gate: ColdGate::default(),
+            cold_start_limiter: ColdStartLimiter::default(),
             limit_per_s: None,
-            limit_gate: LimitGate::default(),
+            rate_limiter: RateLimiter::default(),
             in_flight: 0,
-            reported: 0.0,
+            reported_others: 0.0,
             reported_at: Now::ZERO,
             told: None,
             warm: WarmKeys::default(),
@@ -104,38 +105,38 @@
         }
     }
 
-    /// Takes what an answer said of the load, before that answer's request is taken off
+    /// Stores the load stated in an answer. Must be called while the answered request still counts in
     /// [`Self::in_flight`].
     ///
-    /// The report counts this entry's own requests, too; what is left belongs to others.
+    /// The report includes this entry's own requests; the remainder is attributed to other entries.
     pub fn report(&mut self, reported: Reported, now: Now) {
         if reported.slots > 0 {
             self.slots = reported.slots;
         }
         let all = f64::from(reported.running + reported.waiting);
-        self.reported = (all - f64::from(self.in_flight.saturating_sub(1))).max(0.0);
+        self.reported_others = (all - f64::from(self.in_flight.saturating_sub(1))).max(0.0);
         self.reported_at = now;
     }
 
-    /// Requests that it works on or holds waiting, as far as known.
+    /// Returns the estimated number of requests that are running or waiting there.
     ///
-    /// A report that has just come is exact; what the other entries said of themselves comes next, and
-    /// an older report fades.
+    /// The load from other entries is that of a new report, else what the other entries stated, else that of an older
+    /// report with a weight that decreases with its age.
     pub fn load(&self, now: Now) -> f64 {
         let age = now.saturating_sub(self.reported_at);
         let others = match self.told {
-            Some(told) if age > REPORT_EXACT => f64::from(told),
-            _ => self.reported * report_weight(age),
+            Some(in_flight) if age > REPORT_EXACT => f64::from(in_flight),
+            _ => self.reported_others * report_weight(age),
         };
         f64::from(self.in_flight) + others
     }
 
-    /// Whether it gets no new work.
+    /// Returns whether it gets no new requests.
     pub fn is_closed(&self) -> bool {
         self.closed || self.gone
     }
 
-    /// Age of its last report; `None` before the first.
+    /// Returns the age of its last report, or `None` before the first.
     pub fn report_age(&self, now: Now) -> Option<Duration> {
         (self.reported_at > Now::ZERO).then(|| now.saturating_sub(self.reported_at))
     }
@@ -145,34 +146,34 @@
         self.is_cold(now) || self.limit_per_s.is_some()
     }
 
-    /// Returns whether this entry may send it one more request. `cold_per_s` is the rate that it bears from all entries
-    /// combined while it is cold.
+    /// Returns whether this entry may send it one more request. `cold_per_s` is the rate that it accepts from all
+    /// entries combined while it is cold.
     pub fn accepts(&mut self, cold_per_s: f64, now: Now) -> bool {
         let limit_per_s = self.limit_per_s;
         if limit_per_s.is_some_and(|limit_per_s| {
-            !self.is_leased(now) || !self.limit_gate.fits(limit_per_s, now)
+            !self.is_leased(now) || !self.rate_limiter.allows(limit_per_s, now)
         }) {
             return false;
         }
-        !self.is_cold(now) || self.bears_cold(cold_per_s, now)
+        !self.is_cold(now) || self.accepts_cold(cold_per_s, now)
     }
 
     /// Counts a request for which it was chosen while restricted.
     pub fn note_chosen(&mut self) {
-        self.cold_gate.note_chosen();
-        self.limit_gate.note_chosen();
+        self.cold_start_limiter.note_chosen();
+        self.rate_limiter.note_chosen();
     }
 
     /// Counts a request that is sent to it now while it is restricted.
     pub fn note_sent(&mut self, now: Now) {
-        self.cold_gate.note_sent(now);
-        self.limit_gate.note_sent(now);
+        self.cold_start_limiter.note_sent(now);
+        self.rate_limiter.note_sent(now);
     }
 
     /// Stops counting a request as waiting, because it is being sent or has been withdrawn.
     pub fn note_waited(&mut self) {
-        self.cold_gate.note_waited();
-        self.limit_gate.note_waited();
+        self.cold_start_limiter.note_wait_ended();
+        self.rate_limiter.note_wait_ended();
     }
 
     /// Returns whether this entry holds its lease.
@@ -180,17 +181,19 @@
         self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it may get one more from this entry while it is cold; `per_s` is what it bears from all of them.
-    pub fn bears_cold(&mut self, per_s: f64, now: Now) -> bool {
-        self.is_leased(now) && self.cold_gate.fits(per_s, now)
+    /// Returns whether this entry may send it one more request while it is cold. `per_s` is the rate that it accepts
+    /// from all entries combined.
+    pub fn accepts_cold(&mut self, per_s: f64, now: Now) -> bool {
+        self.is_leased(now) && self.cold_start_limiter.allows(per_s, now)
     }
 
-    /// Whether it is cold.
+    /// Returns whether it is cold.
     pub fn is_cold(&self, now: Now) -> bool {
         now < self.cold_until
     }
 }
 
+/// Returns the weight of a report: 1 while it is fresh, then decreasing linearly to 0.
 fn report_weight(age: Duration) -> f64 {
     if age <= REPORT_FRESH {
         return 1.0;
--- a/crates/balance/src/window.rs
+++ b/crates/balance/src/window.rs
@@ -1,28 +1,28 @@
-//! Counts over a sliding window of time.
+//! Event counts over a sliding time window.
 
 use base::Now;
 use std::time::Duration;
 
-/// Parts of a window; its ends are known to one part.
-const PARTS: u128 = 10;
-/// Parts that are kept: those of the window, and the one that it may have begun in.
-const KEPT: u128 = PARTS + 1;
+/// Buckets per window, which is the resolution of its ends.
+const BUCKETS: u128 = 10;
+/// Stored buckets: those of a full window, and the one that the window may have begun in.
+const STORED_BUCKETS: u128 = BUCKETS + 1;
 
-/// Events of the last `length`, counted in parts of a tenth.
+/// Number of events in the last `length`, counted in buckets of a tenth of it.
 #[derive(Clone, Debug)]
 pub struct Window {
-    part: Duration,
-    counts: [u64; KEPT as usize],
-    /// Number of the newest part since the start of time.
+    bucket: Duration,
+    counts: [u64; STORED_BUCKETS as usize],
+    /// Index of the newest bucket, counted from time zero.
     newest: u128,
 }
 
 impl Window {
-    /// An empty window.
+    /// Returns an empty window.
     pub fn new(length: Duration) -> Self {
         Self {
-            part: (length / PARTS as u32).max(Duration::from_millis(1)),
-            counts: [0; KEPT as usize],
+            bucket: (length / BUCKETS as u32).max(Duration::from_millis(1)),
+            counts: [0; STORED_BUCKETS as usize],
             newest: 0,
         }
     }
@@ -30,28 +30,28 @@
     /// Counts `events` at `now`.
     pub fn add(&mut self, events: u64, now: Now) {
         self.advance(now);
-        self.counts[(self.newest % KEPT) as usize] += events;
+        self.counts[(self.newest % STORED_BUCKETS) as usize] += events;
     }
 
-    /// Events within the window that ends at `now`, and some that are up to a tenth older: for a bound
-    /// on the events themselves.
-    pub fn count(&mut self, now: Now) -> u64 {
+    /// Returns the number of events in the window that ends at `now`, including some that are up to a tenth of the
+    /// window older. This suits events that are limited.
+    pub fn count_upper_bound(&mut self, now: Now) -> u64 {
         self.advance(now);
         self.counts.iter().sum()
     }
 
-    /// Events within the window that ends at `now`, but for some of its oldest tenth: for what a bound
-    /// allows on account of them.
-    pub fn count_at_most(&mut self, now: Now) -> u64 {
-        let all = self.count(now);
-        all - self.counts[((self.newest + 1) % KEPT) as usize]
+    /// Returns the number of events in the window that ends at `now`, without some of those in its oldest tenth. This
+    /// suits events that raise a limit.
+    pub fn count_lower_bound(&mut self, now: Now) -> u64 {
+        let all = self.count_upper_bound(now);
+        all - self.counts[((self.newest + 1) % STORED_BUCKETS) as usize]
     }
 
     fn advance(&mut self, now: Now) {
-        let newest = now.as_nanos() / self.part.as_nanos();
-        let passed = newest.saturating_sub(self.newest).min(KEPT);
+        let newest = now.as_nanos() / self.bucket.as_nanos();
+        let passed = newest.saturating_sub(self.newest).min(STORED_BUCKETS);
         for step in 1..=passed {
-            self.counts[((self.newest + step) % KEPT) as usize] = 0;
+            self.counts[((self.newest + step) % STORED_BUCKETS) as usize] = 0;
         }
         self.newest = self.newest.max(newest);
     }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Where a request goes.
+//! Tests of the selection of an upstream, and of the estimates of service times.
 
 use balance::{
     affinity,
@@ -43,25 +43,25 @@
     here
 }
 
-/// Warm work of 100 ms, cold work of 300 ms; what is assumed warm is.
-fn work() -> Work {
-    let mut work = Work::default();
-    work.note(false, ms(300));
+/// Service times of 100 ms if warm and 300 ms if cold; all upstreams assumed to be warm were warm.
+fn reliable_times() -> Work {
+    let mut times = Work::default();
+    times.note(false, ms(300));
     for _ in 0..100 {
-        work.note(true, ms(100));
-        work.note(false, ms(100));
+        times.note(true, ms(100));
+        times.note(false, ms(100));
     }
-    work
+    times
 }
 
-/// The same times; what is assumed warm never was.
-fn unsure() -> Work {
-    let mut work = Work::default();
-    work.note(false, ms(300));
+/// The same service times; no upstream assumed to be warm was warm.
+fn unreliable_times() -> Work {
+    let mut times = Work::default();
+    times.note(false, ms(300));
     for _ in 0..100 {
-        work.note(true, ms(100));
+        times.note(true, ms(100));
     }
-    work
+    times
 }
 
 fn query(key: u64) -> Query<'static> {
@@ -75,7 +75,7 @@
         tried: &[],
         full_regions: &[],
         cold_per_s: 10.0,
-        work: work(),
+        work: reliable_times(),
     }
 }
 
@@ -86,22 +86,22 @@
     }
 }
 
-/// Key that ranks the upstreams in this order.
+/// Returns a key that ranks the upstreams in this order.
 fn key_for(upstreams: &[Upstream], order: &[usize]) -> u64 {
-    let ranks_so = |key: &u64| {
-        let ranks: Vec<u64> = order
+    let is_in_order = |key: &u64| {
+        let scores: Vec<u64> = order
             .iter()
-            .map(|place| rank(*key, upstreams[*place].hash))
+            .map(|index| rank(*key, upstreams[*index].hash))
             .collect();
-        ranks.windows(2).all(|pair| pair[0] > pair[1])
+        scores.windows(2).all(|pair| pair[0] > pair[1])
     };
     (0..100_000_u64)
         .map(|number| affinity(&number.to_le_bytes()))
-        .find(ranks_so)
-        .expect("some key does")
+        .find(is_in_order)
+        .expect("a key with this order")
 }
 
-/// Entries agree on a key's upstream without a message, and one that goes moves only its own keys.
+/// Guards against an upstream that is removed moving keys of other upstreams.
 #[test]
 fn ranks_are_stable() {
     let mut all = vec![
@@ -119,8 +119,8 @@
             ))
         })
         .collect();
-    for place in 0..3 {
-        let count = first.iter().filter(|found| **found == place).count();
+    for index in 0..3 {
+        let count = first.iter().filter(|found| **found == index).count();
         assert!((60..140).contains(&count), "{count}");
     }
     all[1].closed = true;
@@ -135,25 +135,24 @@
     }
 }
 
-/// Symptom: with load high, keys were cold everywhere: 4 % of look-ups came in time. Sequence: full
-/// upstreams pass requests on to any other, which then drops keys of its own. Cause guarded against:
-/// taking whatever slot is free.
+/// Guards against using any upstream with a free slot. Under high load, requests that full upstreams displaced made the
+/// other upstreams evict their own keys, until keys were cold everywhere and 4 % of look-ups met the target.
 #[test]
-fn load_does_not_spread_keys_over_all() {
+fn load_does_not_spread_keys_over_all_upstreams() {
     let mut all: Vec<Upstream> = ["a", "b", "c", "d", "e", "f"]
         .map(|id| upstream(id, "home"))
         .to_vec();
     let key = key_for(&all, &[0, 1, 2, 3, 4, 5]);
-    for place in [0, 1, 2] {
-        all[place].in_flight = 40;
+    for index in [0, 1, 2] {
+        all[index].in_flight = 40;
     }
     let choice = choose(&mut all, &query(key), &here(), NOW);
     assert!(matches!(choice, Choice::Refuse { .. }), "{choice:?}");
 }
 
-/// A full first upstream passes to the key's second one.
+/// If the upstream that a key ranks highest is full, the second one is used.
 #[test]
-fn second_rank_takes_what_the_first_can_not() {
+fn second_rank_is_used_if_the_first_is_full() {
     let mut all = vec![
         upstream("a", "home"),
         upstream("b", "home"),
@@ -161,14 +160,14 @@
     ];
     let key = key_for(&all, &[2, 0, 1]);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 2);
-    // Warm work after the wait would come too late here.
+    // With the wait, a warm answer would miss the target.
     all[2].in_flight = 16;
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
 }
 
-/// A warm upstream elsewhere is nearer in time than a cold one here, where cold work comes late.
+/// A warm upstream in another region is preferred to a cold one in this region that would miss the target.
 #[test]
-fn warm_elsewhere_beats_cold_here() {
+fn warm_remote_upstream_is_preferred_to_cold_local_one() {
     let mut all = vec![
         upstream("h", "home"),
         upstream("n", "near"),
@@ -178,24 +177,24 @@
     let key = key_for(&all, &[1, 2, 3, 0]);
     let query = |key| Query {
         target_left: ms(250),
-        work: unsure(),
+        work: unreliable_times(),
         ..query(key)
     };
-    // As long as none is known to be warm, the caller's own region is warmed.
+    // While no upstream is known to be warm, one in the caller's region is warmed.
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
     all[1].warm.note(key, NOW);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 1);
-    // Once this region's own is warm, it is taken.
+    // Once the upstream in this region is warm, it is used.
     all[0].warm.note(key, NOW);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
-    // What a bound on shifts or a home forbids is not taken.
+    // Regions excluded by the limit on shifts or by the route's home regions are not used.
     all[0] = upstream("h", "home");
     let full = [RegionId::from_static("near"), RegionId::from_static("far")];
-    let stays = Query {
+    let shift_limited = Query {
         full_regions: &full,
         ..query(key)
     };
-    assert_eq!(sent_to(choose(&mut all, &stays, &here(), NOW)), 0);
+    assert_eq!(sent_to(choose(&mut all, &shift_limited, &here(), NOW)), 0);
     let homes = [RegionId::from_static("far")];
     let far_only = Query {
         homes: &homes,
@@ -204,12 +203,12 @@
     assert_eq!(sent_to(choose(&mut all, &far_only, &here(), NOW)), 3);
 }
 
-/// Symptom: a sixth of all answers were late though their keys had been served before, and half of all bytes left
-/// the caller's failure domain. Sequence: callers of a region share its keys, yet each key went to the highest rank
-/// of all regions, and was warmed at further upstreams by each entry that did not know the first. Cause guarded
-/// against: homes of a key outside its callers' region.
+/// Guards against ranking a key's upstreams over all regions although callers of one region share its keys. Each key
+/// went to the highest rank of all regions, and entries that did not know of that upstream warmed further ones: a sixth
+/// of all answers were late though their keys had been served before, and half of all bytes left the caller's failure
+/// domain.
 #[test]
-fn key_is_at_home_in_its_callers_region() {
+fn key_stays_in_its_callers_region() {
     let mut all = vec![
         upstream("h", "home"),
         upstream_in("i", "home", "b"),
@@ -220,22 +219,22 @@
         let key = affinity(&number.to_le_bytes());
         let first = Query {
             target_left: ms(250),
-            work: unsure(),
+            work: unreliable_times(),
             ..query(key)
         };
-        let place = sent_to(choose(&mut all, &first, &here(), NOW));
-        let higher = if rank(key, all[0].hash) > rank(key, all[1].hash) {
+        let index = sent_to(choose(&mut all, &first, &here(), NOW));
+        let highest = if rank(key, all[0].hash) > rank(key, all[1].hash) {
             0
         } else {
             1
         };
-        assert_eq!(place, higher, "entries of both failure domains agree");
+        assert_eq!(index, highest, "entries of both failure domains agree");
     }
 }
 
-/// Of upstreams that answer in time the nearest is taken, unless it has to be waited for too long.
+/// Of the upstreams that answer within the target, the nearest is used, unless its wait is too long.
 #[test]
-fn nearest_in_target_is_taken() {
+fn nearest_upstream_within_target_is_used() {
     let mut all = vec![
         upstream("h", "home"),
         upstream_in("i", "home", "b"),
@@ -245,7 +244,7 @@
     for one in &mut all {
         one.warm.note(key, NOW);
     }
-    // Both regions are half busy.
+    // Half of the slots of each region are busy.
     all[2].in_flight = 2;
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
     all[0].in_flight = 10;
@@ -254,8 +253,8 @@
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 2);
 }
 
-/// Symptom: an upstream of the other failure domain got no request for as long as the near one had room. Sequence: requests
-/// without a key all stay in the entry's failure domain. Cause guarded against: a boundary's cost where no key is warm.
+/// Guards against a cost of crossing failure domains for requests without a key. They all stayed in the entry's failure
+/// domain, and an upstream in another one got no request as long as the nearer one had free slots.
 #[test]
 fn requests_without_a_key_are_spread_over_the_region() {
     let mut all = vec![upstream("h", "home"), upstream_in("i", "home", "b")];
@@ -270,11 +269,11 @@
     assert!(counts.iter().all(|count| *count > 30), "{counts:?}");
 }
 
-/// Symptom: a region with few upstreams refused a fifth of its requests for fourteen seconds, while others stood idle.
-/// Sequence: all work stays until no slot is free; from then on the bound on shifts lets little of it go. Cause guarded
-/// against: nothing leaves as long as there is any room. Here all but one slot are busy and warm work would fit.
+/// Guards against keeping all requests in a region until no slot is free, since the limit on shifts lets few leave from
+/// then on: a region with few upstreams refused a fifth of its requests for fourteen seconds while other regions were
+/// idle. Here all but one slot are busy, and warm requests would still meet the target.
 #[test]
-fn work_leaves_a_busy_region_before_it_is_full() {
+fn requests_leave_a_busy_region_before_it_is_full() {
     let mut all = vec![upstream("h", "home"), upstream("n", "near")];
     for one in &mut all {
         one.warm.note(7, NOW);
@@ -286,9 +285,9 @@
     assert_eq!(sent_to(choose(&mut all, &query(7), &here(), NOW)), 0);
 }
 
-/// Now and then the upstream of this failure domain is tried, which warms it; not while it is full.
+/// An exploring request uses the upstream of this failure domain, which warms it, unless that upstream is full.
 #[test]
-fn exploring_request_stays_here() {
+fn exploring_request_stays_in_its_failure_domain() {
     let mut all = vec![
         upstream("h", "home"),
         upstream_in("i", "home", "b"),
@@ -298,28 +297,31 @@
     all[1].warm.note(key, NOW);
     let explores = Query {
         explores: true,
-        work: unsure(),
+        work: unreliable_times(),
         target_left: ms(250),
         ..query(key)
     };
-    let stays = Query {
+    let does_not_explore = Query {
         explores: false,
         ..explores
     };
-    assert_eq!(sent_to(choose(&mut all, &stays, &here(), NOW)), 1);
+    assert_eq!(
+        sent_to(choose(&mut all, &does_not_explore, &here(), NOW)),
+        1
+    );
     assert_eq!(sent_to(choose(&mut all, &explores, &here(), NOW)), 0);
     all[0].in_flight = 4;
     assert_eq!(sent_to(choose(&mut all, &explores, &here(), NOW)), 1);
 }
 
-/// Upstreams that are never chosen, each by what is wrong with it.
+/// Upstreams that must not be chosen, by the reason.
 macro_rules! never_chosen {
-    ($($name:ident: $spoil:expr;)*) => {$(
+    ($($name:ident: $exclude:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut all = vec![upstream("a", "home")];
-            let spoil: fn(&mut Upstream) = $spoil;
-            spoil(&mut all[0]);
+            let exclude: fn(&mut Upstream) = $exclude;
+            exclude(&mut all[0]);
             let choice = choose(&mut all, &query(7), &here(), NOW);
             assert!(matches!(choice, Choice::NoUpstream { .. }), "{choice:?}");
         }
@@ -328,31 +330,31 @@
 
 never_chosen! {
     closed: |upstream| upstream.closed = true;
-    cold_beyond_what_it_bears: |upstream| {
+    cold_at_its_limit: |upstream| {
         upstream.cold_until = NOW + Duration::from_secs(1);
         upstream.lease_until = Some(NOW + Duration::from_secs(1));
         for _ in 0..8 {
-            upstream.cold_gate.note_sent(NOW);
+            upstream.cold_start_limiter.note_sent(NOW);
         }
     };
-    cold_elsewhere: |upstream| {
+    cold_in_another_region: |upstream| {
         upstream.region = "near".into();
         upstream.cold_until = NOW + Duration::from_secs(1);
     };
-    cold_and_another_entrys: |upstream| upstream.cold_until = NOW + Duration::from_secs(1);
-    cold_with_a_lease_that_ran_out: |upstream| {
+    cold_without_a_lease: |upstream| upstream.cold_until = NOW + Duration::from_secs(1);
+    cold_with_an_expired_lease: |upstream| {
         upstream.cold_until = NOW + Duration::from_secs(1);
         upstream.lease_until = Some(NOW);
     };
-    limited_and_another_entrys: |upstream| upstream.limit_per_s = Some(100.0);
-    limited_beyond_what_it_takes: |upstream| {
+    limited_without_a_lease: |upstream| upstream.limit_per_s = Some(100.0);
+    limited_at_its_limit: |upstream| {
         upstream.limit_per_s = Some(6.4);
         upstream.lease_until = Some(NOW + Duration::from_secs(1));
         for _ in 0..6 {
             upstream.note_sent(NOW);
         }
     };
-    limited_and_cold_beyond_what_it_bears: |upstream| {
+    limited_and_cold_at_its_limit: |upstream| {
         upstream.limit_per_s = Some(100.0);
         upstream.cold_until = NOW + Duration::from_secs(1);
         upstream.lease_until = Some(NOW + Duration::from_secs(1));
@@ -360,18 +362,18 @@
             upstream.note_sent(NOW);
         }
     };
-    not_there: |upstream| {
+    unreachable: |upstream| {
         upstream.health.note_failure(true, NOW);
     };
-    on_trial_already: |upstream| {
+    probe_in_flight: |upstream| {
         upstream.health.note_failure(true, Duration::ZERO);
         upstream.in_flight = 1;
     };
 }
 
-/// An upstream that slowed down is left for one that did not.
+/// An upstream that has become slow is avoided.
 #[test]
-fn slow_upstream_is_left() {
+fn slow_upstream_is_avoided() {
     let mut all = vec![upstream("a", "home"), upstream("b", "home")];
     let key = key_for(&all, &[0, 1]);
     for _ in 0..30 {
@@ -380,8 +382,8 @@
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 1);
 }
 
-/// A request that would wait and come late is refused at once, with a time; one that comes late but
-/// waits for nobody is served.
+/// A request that would wait and miss its target is refused at once with a retry delay. One that misses its target
+/// without waiting is sent.
 #[test]
 fn late_request_does_not_queue() {
     let mut all = vec![upstream("a", "home")];
@@ -397,20 +399,20 @@
         ..query(3)
     };
     assert_eq!(sent_to(choose(&mut all, &late, &here(), NOW)), 0);
-    let hopeless = Query {
+    let past_deadline = Query {
         target_left: Duration::ZERO,
         deadline_left: ms(50),
         ..query(3)
     };
     assert!(matches!(
-        choose(&mut all, &hopeless, &here(), NOW),
+        choose(&mut all, &past_deadline, &here(), NOW),
         Choice::Refuse { .. }
     ));
 }
 
-/// What others have in flight counts: a fresh report at first, then what they said.
+/// The load from other entries counts: a new report first, then what those entries stated.
 #[test]
-fn load_of_others_counts() {
+fn load_from_other_entries_counts() {
     let mut one = upstream("a", "home");
     one.in_flight = 1;
     let reported = Reported {
@@ -426,11 +428,10 @@
     assert_eq!(one.load(NOW + Duration::from_secs(3)), 1.0);
 }
 
-/// Symptom: most requests were refused while each upstream failed half of its requests. Sequence: all
-/// upstreams of a service refuse a part of what they get, and one after the other is passed over.
-/// Cause guarded against: passing over more upstreams than the rest can stand in for.
+/// Guards against ejecting more upstreams than the others can replace: when each upstream of a service failed half of
+/// its requests, one after another was ejected, and most requests were refused.
 #[test]
-fn upstreams_that_all_fail_in_part_are_used() {
+fn upstreams_that_all_fail_partly_are_used() {
     let mut all = vec![
         upstream("a", "home"),
         upstream("b", "home"),
@@ -442,7 +443,7 @@
         }
     }
     sent_to(choose(&mut all, &query(5), &here(), NOW));
-    // One of three that fails is passed over.
+    // If one of three fails, it is ejected.
     let mut all = vec![
         upstream("a", "home"),
         upstream("b", "home"),
@@ -457,34 +458,33 @@
     }
 }
 
-/// Symptom: ten seconds after a burst most answers were still late, and right after a restart of all
-/// entries none was. Sequence: queues stretch the times of answers, work looks longer, and longer waits
-/// look right. Cause guarded against: an estimate of work that follows what queues add.
+/// Guards against service time estimates that include the wait in queues. Longer estimates let longer waits be
+/// accepted: ten seconds after a burst most answers were still late, while none was right after a restart of all
+/// entries.
 #[test]
-fn queues_do_not_pass_for_work() {
-    let mut work = Work::default();
+fn queueing_does_not_raise_the_service_time() {
+    let mut times = Work::default();
     for _ in 0..100 {
-        work.note(true, ms(100));
+        times.note(true, ms(100));
     }
-    // Three of four answers hold a wait, though none was expected.
+    // Three of four answers include a wait, although none was expected.
     for _ in 0..100 {
         for took in [400, 500, 110, 350] {
-            work.note(true, ms(took));
+            times.note(true, ms(took));
         }
     }
-    assert!(work.warm() < ms(260), "{:?}", work.warm());
+    assert!(times.warm() < ms(260), "{:?}", times.warm());
     for _ in 0..20 {
-        work.note(true, ms(100));
+        times.note(true, ms(100));
     }
-    assert!(work.warm() < ms(120), "{:?}", work.warm());
+    assert!(times.warm() < ms(120), "{:?}", times.warm());
 }
 
-/// Symptom: in the first two seconds of a day more than half of all answers were late, though cold work
-/// fits into the target. Sequence: all caches are empty, and each key goes to its highest rank wherever
-/// that is, at a round trip on top of cold work. Cause guarded against: taking for warm what nobody has
-/// had yet.
+/// Guards against assuming that upstreams are warm before any has served a request. With all caches empty, each key
+/// went to its highest rank in any region, which added a round trip to the cold service time: more than half of all
+/// answers were late in the first two seconds of a day, although a cold answer meets the target.
 #[test]
-fn nothing_is_warm_at_first() {
+fn no_upstream_is_assumed_warm_at_first() {
     let mut all = vec![
         upstream("h", "home"),
         upstream("f", "far"),
@@ -496,24 +496,24 @@
         ..query(key)
     };
     assert_eq!(sent_to(choose(&mut all, &first, &here(), NOW)), 0);
-    // Where cold work is late in any case, this region is warmed all the same.
-    let hurried = Query {
+    // If a cold answer misses the target in any case, this region is warmed as well.
+    let short_target = Query {
         target_left: ms(150),
         ..first
     };
-    assert_eq!(sent_to(choose(&mut all, &hurried, &here(), NOW)), 0);
+    assert_eq!(sent_to(choose(&mut all, &short_target, &here(), NOW)), 0);
 }
 
-/// Answers of upstreams that others have warmed don't make cold work look short.
+/// Guards against answers of upstreams that other entries have warmed reducing the cold service time.
 #[test]
 fn warm_answers_of_unknown_upstreams_count_as_warm() {
-    let mut work = Work::default();
-    work.note(false, ms(300));
-    work.note(true, ms(100));
+    let mut times = Work::default();
+    times.note(false, ms(300));
+    times.note(true, ms(100));
     for _ in 0..100 {
-        work.note(false, ms(110));
+        times.note(false, ms(110));
     }
-    assert_eq!(work.cold(), ms(300));
-    assert!(work.warm() < ms(120));
-    assert!(work.assumed() < ms(120));
+    assert_eq!(times.cold(), ms(300));
+    assert!(times.warm() < ms(120));
+    assert!(times.assumed_warm() < ms(120));
 }
--- a/crates/balance/tests/restart_of_all.rs
+++ b/crates/balance/tests/restart_of_all.rs
@@ -1,7 +1,7 @@
-//! Pattern: all entries start at one moment, and callers' requests for all keys come at once.
+//! All entries start simultaneously, and callers send requests for all keys at once.
 //!
-//! No entry has seen an answer yet, or knows what upstreams are warm for. What each decides by itself has to come
-//! together: a key that is sent to several upstreams is slow at each of them.
+//! No entry has observed an answer or knows which keys are warm. The entries must still choose the same upstream for a
+//! key, because the key is slow at each further upstream that it is sent to.
 
 use balance::{
     affinity,
@@ -43,7 +43,7 @@
     upstreams.collect()
 }
 
-/// Places to which entries of each domain send each key, one request each.
+/// Sends one request per key from an entry of each failure domain. Returns the indices of the upstreams by key.
 fn sent(work: Work) -> BTreeMap<u64, BTreeSet<usize>> {
     let mut sent: BTreeMap<u64, BTreeSet<usize>> = BTreeMap::new();
     for domain in DOMAINS {
@@ -75,18 +75,18 @@
     sent
 }
 
-/// Entries of each domain would warm an upstream of their own for each key.
+/// Guards against each failure domain's entries warming a different upstream for the same key.
 #[test]
 fn a_key_is_warmed_once_before_any_answer() {
-    for (key, places) in sent(Work::default()) {
-        assert_eq!(places.len(), 1, "key {key}");
+    for (key, indices) in sent(Work::default()) {
+        assert_eq!(indices.len(), 1, "key {key}");
     }
 }
 
-/// What is learned from the first answers, that cold work comes late, changes nothing of where keys are sent.
+/// Guards against keys moving once the first answers show that cold requests miss the target.
 #[test]
 fn a_key_stays_where_it_was_warmed_first() {
-    let mut seen = Work::default();
-    seen.note(false, COLD);
-    assert_eq!(sent(Work::default()), sent(seen));
+    let mut observed = Work::default();
+    observed.note(false, COLD);
+    assert_eq!(sent(Work::default()), sent(observed));
 }
