--- a/crates/route/src/config.rs
+++ b/crates/route/src/config.rs
@@ -1,4 +1,4 @@
-//! One version of the routes as plain data.
+//! Data types of one version of the routes.
 
 use base::{
     RegionId,
@@ -12,40 +12,40 @@
 };
 use std::time::Duration;
 
-/// What may be done with a request whose outcome isn't known.
+/// Whether a request may be repeated if its outcome is unknown.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// May run more than once.
     Idempotent,
-    /// Runs once at most; sent again only after proof that it didn't run.
+    /// May run at most once; resent only if it is proven that it did not run.
     NonIdempotent,
     /// Idempotent, with large answers.
     Download,
 }
 
 impl Kind {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_idempotent(self) -> bool {
         self != Self::NonIdempotent
     }
 }
 
-/// What callers may send, and how long they may take.
+/// Size limits and timeouts for callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// Longest time from the first byte of a head to its last, and between two pieces of a body.
+    /// Maximum time from the first to the last byte of a request head, and between two chunks of a body.
     pub header_timeout: Duration,
-    /// Longest time that a connection may stay without a request.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// In force until a first version is known: what common servers allow.
+    /// Returns limits that are common among servers. They apply until a first version of the routes is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
@@ -56,72 +56,72 @@
     }
 }
 
-/// A set of upstreams that do the same work.
+/// A set of upstreams that serve the same requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// Name.
+    /// Unique name.
     pub id: ServiceId,
-    /// Path of an upstream's own check of its health.
+    /// Path of the health check endpoint of an upstream.
     pub health_path: ByteString,
-    /// Connections that one upstream takes from all callers together.
+    /// Maximum number of connections that one upstream accepts from all callers combined.
     pub max_connections: u32,
-    /// Time that an upstream stays cold after its start.
+    /// Time for which an upstream is cold after its start.
     pub cold_start: Duration,
-    /// Requests a second that a cold upstream bears; zero is no limit.
+    /// Requests per second that a cold upstream accepts; zero means no limit.
     pub cold_per_s: f64,
 }
 
-/// A service's part of a route's requests.
+/// Weight of a service in a route's traffic split.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServiceShare {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Weight among the route's services.
+    /// Weight relative to the route's other services.
     pub weight: f64,
 }
 
-/// Requests of one host below one path prefix.
+/// Settings for requests to one host and path prefix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub id: ByteString,
-    /// Begins and ends with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub prefix: ByteString,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Kind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until a caller gets an answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Response time that is aimed for.
     pub latency_target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// The services that do the work; one with any weight, or several dealt out by weight.
+    /// Services that the requests are split over by weight. The weight of a single service is ignored.
     pub split: Vec<ServiceShare>,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether an upstream that had the same affinity key lately is faster.
+    /// Whether an upstream that served the same affinity key recently is faster.
     pub sticky: bool,
-    /// Regions that may serve it; empty is all.
+    /// Regions that may serve the requests; empty means all.
     pub homes: Vec<RegionId>,
 }
 
 /// Routes of one host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Host {
-    /// Name as callers send it, in lower case.
+    /// Host name as callers send it, in lower case.
     pub host: ByteString,
-    /// Its routes.
+    /// Routes of the host.
     pub routes: Vec<Route>,
 }
 
 /// One version of all routes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Routes {
-    /// Number of the version; only grows.
+    /// Version number, which only increases.
     pub version: Version,
     /// All services.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits for callers.
     pub limits: CallerLimits,
     /// All hosts.
     pub hosts: Vec<Host>,
--- a/crates/route/src/keys.rs
+++ b/crates/route/src/keys.rs
@@ -1,27 +1,27 @@
-//! Rows of the product's own table that routes are kept in.
+//! Names of the rows that store routes and evacuated failure domains.
 //!
-//! An operator's command writes them and every entry follows them, so both take their names from here.
+//! They are shared by the operator's command, which writes the rows, and the entries, which watch them.
 
 use base::DomainId;
 
-/// Table of what operators say: the part of a key before its first slash.
+/// Table written by operators: the part of a key before its first slash.
 pub const OPERATOR_TABLE: &str = "operator";
-/// Key within that table of the routes in force, as the YAML text that was accepted.
+/// Key in that table of the active routes, stored as the accepted YAML text.
 pub const ROUTES_KEY: &str = "routes";
-/// Keys within that table of failure domains: this, and the domain's name.
+/// Prefix of the keys in that table for failure domains; the rest of the key is the domain's name.
 const EVACUATED_PREFIX: &str = "evacuated/";
 
-/// Value of a failure domain's row while nothing is to be sent to its upstreams.
+/// Value of a failure domain's row while no requests may be sent to its upstreams.
 pub const EVACUATED: &str = "yes";
-/// Value once that has been taken back. The row stays: its version orders the change among others.
+/// Value after the evacuation has ended. The row is kept because its version orders this change relative to others.
 pub const NOT_EVACUATED: &str = "no";
 
-/// Key within the operators' table that says whether a failure domain is evacuated.
+/// Returns the key in the operators' table that states whether a failure domain is evacuated.
 pub fn evacuated_key(domain: &str) -> String {
     format!("{EVACUATED_PREFIX}{domain}")
 }
 
-/// The failure domain that a key within the operators' table is about, if it is about one.
+/// Returns the failure domain that a key in the operators' table refers to, if any.
 pub fn evacuated_domain(key: &str) -> Option<DomainId> {
     key.strip_prefix(EVACUATED_PREFIX).map(DomainId::from)
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,12 +1,11 @@
-//! Routes: which service does the work of a request, and on what terms.
+//! Routes: which service handles a request, and with which timeouts and limits.
 //!
-//! Start with [`Routes`], one accepted version as plain data, and [`Table`], the same compiled for
-//! look-ups by host and longest path prefix. [`verify()`] collects every finding of a version with
-//! its place; a version with findings is not put in force. [`parse()`]
-//! reads one from YAML. [`Split`] deals requests out to the
-//! services of a route by weight. [`keys`] names the rows that the product keeps them in.
+//! Start with [`Routes`], the data of one accepted version, and [`Table`], its index for lookups by host and longest
+//! path prefix. [`parse()`] reads a version from YAML. [`verify()`] returns all findings of a version with their
+//! locations; a version with findings is not activated. [`Split`] distributes requests over the services of a route by
+//! weight. [`keys`] names the rows that store routes.
 //!
-//! Nothing here has a clock or does input or output.
+//! Nothing here uses a clock or performs I/O.
 
 mod config;
 pub mod keys;
--- a/crates/route/src/parse.rs
+++ b/crates/route/src/parse.rs
@@ -1,4 +1,4 @@
-//! Routes as YAML, with every finding at its place.
+//! Parser for routes in YAML that reports all findings with their locations.
 
 use crate::{
     config::{
@@ -11,8 +11,8 @@
         ServiceShare, //
     },
     verify::{
-        route_place,
-        service_place,
+        route_location,
+        service_location,
         verify, //
     },
 };
@@ -26,41 +26,41 @@
 };
 use std::time::Duration;
 
-/// Longest time that a field may give: no request, head or idle connection is waited for longer.
-const LONGEST_MS: u64 = 3_600_000;
-/// Largest size that a field may give, in bytes.
-const LARGEST_BYTES: u64 = 1 << 40;
-/// Largest count that a field may give.
-const LARGEST_COUNT: u32 = 1_000_000;
+/// Maximum of a duration: no request, head or idle connection is waited for longer.
+const DURATION_MAX_MS: u64 = 3_600_000;
+/// Maximum of a size in bytes.
+const BYTES_MAX: u64 = 1 << 40;
+/// Maximum of a count.
+const COUNT_MAX: u32 = 1_000_000;
 
-/// Reads and checks routes; `file` only names the file in findings.
+/// Parses and verifies routes; `file` is only used as the file name in findings.
 ///
 /// # Errors
 ///
-/// Every finding of the file: syntax, unknown or repeated fields, ranges, references.
+/// Returns all findings of the file: syntax, unknown or duplicate fields, ranges and references.
 pub fn parse(file: &str, text: &str) -> Result<Routes, Findings> {
     let document = Document::parse(file, text);
-    let mut places = FastMap::default();
-    let routes = document.map().and_then(|map| routes(map, &mut places));
-    // References are only worth checking in a file whose fields could be read.
+    let mut locations = FastMap::default();
+    let routes = document.map().and_then(|map| routes(map, &mut locations));
+    // References are checked only if all fields could be read, since missing parts would cause further findings.
     if let Some(routes) = routes.as_ref().filter(|_| document.found() == 0) {
         for finding in verify(routes) {
-            let place = places.get(&finding.place);
-            let place = place.cloned().unwrap_or_else(|| document.root().place());
-            document.fail(place, finding.to_string());
+            let location = locations.get(&finding.location);
+            let location = location.cloned().unwrap_or_else(|| document.root().place());
+            document.fail(location, finding.to_string());
         }
     }
     document.finish(routes)
 }
 
-/// Where each part was read, by its name in findings.
-type Places = FastMap<String, Place>;
+/// Position in the file of each service and route, by its location in findings.
+type Locations = FastMap<String, Place>;
 
-fn routes(mut map: Map<'_>, places: &mut Places) -> Option<Routes> {
+fn routes(mut map: Map<'_>, locations: &mut Locations) -> Option<Routes> {
     let version = map.required("version").integer(1..=u64::MAX, "");
     let limits = map.required("limits").map().and_then(limits);
-    let services = read_all(map.required("services"), |field| service(field, places));
-    let hosts = read_all(map.required("hosts"), |field| host(field, places));
+    let services = read_all(map.required("services"), |field| service(field, locations));
+    let hosts = read_all(map.required("hosts"), |field| host(field, locations));
     Some(Routes {
         version: version?,
         limits: limits?,
@@ -69,7 +69,7 @@
     })
 }
 
-/// All entries of a list that could be read; the others are findings.
+/// Returns all items of a list that could be read; the others are reported as findings.
 fn read_all<'a, T>(list: Field<'a>, mut read: impl FnMut(Field<'a>) -> Option<T>) -> Vec<T> {
     list.list().into_iter().filter_map(&mut read).collect()
 }
@@ -78,9 +78,9 @@
     let header = map.required("max_header_bytes");
     let header = header.integer(1..=1_usize << 20, "bytes");
     let body = map.required("max_body_bytes");
-    let body = body.integer(0..=LARGEST_BYTES, "bytes");
-    let header_timeout = time(map.required("header_timeout_ms"));
-    let idle_timeout = time(map.required("idle_timeout_ms"));
+    let body = body.integer(0..=BYTES_MAX, "bytes");
+    let header_timeout = duration(map.required("header_timeout_ms"));
+    let idle_timeout = duration(map.required("idle_timeout_ms"));
     Some(CallerLimits {
         max_header_bytes: header?,
         max_body_bytes: body?,
@@ -89,18 +89,20 @@
     })
 }
 
-fn service(field: Field<'_>, places: &mut Places) -> Option<Service> {
-    let place = field.place();
+fn service(field: Field<'_>, locations: &mut Locations) -> Option<Service> {
+    let location = field.place();
     let mut map = field.map()?;
     let id = map.required("id").text();
     let health_path = map.required("health_path").text();
     let connections = map.required("max_connections");
-    let connections = connections.integer(1..=LARGEST_COUNT, "connections");
-    let cold_start = map.optional("cold_start_ms").duration_ms(0..=LONGEST_MS);
+    let connections = connections.integer(1..=COUNT_MAX, "connections");
+    let cold_start = map
+        .optional("cold_start_ms")
+        .duration_ms(0..=DURATION_MAX_MS);
     let cold = map.optional("cold_per_s");
-    let cold_per_s = cold.integer(0..=LARGEST_COUNT, "requests a second");
+    let cold_per_s = cold.integer(0..=COUNT_MAX, "requests per second");
     let id = id?;
-    places.insert(service_place(&id), place);
+    locations.insert(service_location(&id), location);
     Some(Service {
         id,
         health_path: health_path?,
@@ -110,19 +112,21 @@
     })
 }
 
-fn host(field: Field<'_>, places: &mut Places) -> Option<Host> {
+fn host(field: Field<'_>, locations: &mut Locations) -> Option<Host> {
     let mut map = field.map()?;
     let name = map.required("host").text();
-    let known = name.clone().unwrap_or_default();
-    let routes = read_all(map.required("routes"), |field| route(field, &known, places));
+    let name_or_empty = name.clone().unwrap_or_default();
+    let routes = read_all(map.required("routes"), |field| {
+        route(field, &name_or_empty, locations)
+    });
     Some(Host {
         host: name?.to_ascii_lowercase().into(),
         routes,
     })
 }
 
-fn route(field: Field<'_>, host: &str, places: &mut Places) -> Option<Route> {
-    let place = field.place();
+fn route(field: Field<'_>, host: &str, locations: &mut Locations) -> Option<Route> {
+    let location = field.place();
     let mut map = field.map()?;
     let id = map.required("id").text();
     let prefix = map.required("prefix").text();
@@ -131,15 +135,15 @@
         ("non-idempotent", Kind::NonIdempotent),
         ("download", Kind::Download),
     ]);
-    let timeout = time(map.required("timeout_ms"));
-    let latency_target = time(map.required("latency_ms"));
-    let priority = map.optional("priority").integer(0..=LARGEST_COUNT, "");
+    let timeout = duration(map.required("timeout_ms"));
+    let latency_target = duration(map.required("latency_ms"));
+    let priority = map.optional("priority").integer(0..=COUNT_MAX, "");
     let attempts = map.optional("max_attempts").integer(1..=16, "attempts");
     let sticky = map.optional("sticky").boolean();
     let split = read_all(map.required("split"), share);
     let homes = read_all(map.optional("homes"), Field::text);
     let id = id?;
-    places.insert(route_place(&host.to_ascii_lowercase(), &id), place);
+    locations.insert(route_location(&host.to_ascii_lowercase(), &id), location);
     Some(Route {
         id,
         prefix: prefix?,
@@ -157,13 +161,13 @@
 fn share(field: Field<'_>) -> Option<ServiceShare> {
     let mut map = field.map()?;
     let service = map.required("service").text();
-    let weight = map.required("weight").integer(0..=LARGEST_COUNT, "");
+    let weight = map.required("weight").integer(0..=COUNT_MAX, "");
     Some(ServiceShare {
         service: service?,
         weight: f64::from(weight?),
     })
 }
 
-fn time(field: Field<'_>) -> Option<Duration> {
-    field.duration_ms(1..=LONGEST_MS)
+fn duration(field: Field<'_>) -> Option<Duration> {
+    field.duration_ms(1..=DURATION_MAX_MS)
 }
--- a/crates/route/src/table.rs
+++ b/crates/route/src/table.rs
@@ -1,4 +1,4 @@
-//! Look-up by host and longest prefix.
+//! Route lookup by host and longest path prefix.
 
 use crate::config::{
     CallerLimits,
@@ -14,23 +14,23 @@
 use bytestring::ByteString;
 use std::sync::Arc;
 
-/// A version compiled for look-ups; immutable.
+/// Immutable lookup table of one version of the routes.
 #[derive(Clone, Debug)]
 pub struct Table {
     routes: Arc<Routes>,
-    /// Routes of each host, longest prefix first.
+    /// Routes of each host, sorted by descending prefix length.
     by_host: FastMap<ByteString, Vec<Arc<Route>>>,
     services: FastMap<ServiceId, Service>,
 }
 
 impl Table {
-    /// Compiles a version.
+    /// Builds the table of a version.
     pub fn new(routes: Arc<Routes>) -> Self {
         let mut by_host: FastMap<ByteString, Vec<Arc<Route>>> = FastMap::default();
         for host in &routes.hosts {
-            let of_host = by_host.entry(host.host.clone()).or_default();
-            of_host.extend(host.routes.iter().cloned().map(Arc::new));
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            let host_routes = by_host.entry(host.host.clone()).or_default();
+            host_routes.extend(host.routes.iter().cloned().map(Arc::new));
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = routes
             .services
@@ -44,35 +44,35 @@
         }
     }
 
-    /// The version as data.
+    /// Returns the data of the version.
     pub fn routes(&self) -> &Arc<Routes> {
         &self.routes
     }
 
-    /// Number of the version.
+    /// Returns the version number.
     pub fn version(&self) -> Version {
         self.routes.version
     }
 
-    /// What callers may send.
+    /// Returns the limits for callers.
     pub fn limits(&self) -> &CallerLimits {
         &self.routes.limits
     }
 
-    /// The service of that name.
+    /// Returns the service with a name.
     pub fn service(&self, id: &str) -> Option<&Service> {
         self.services.get(id)
     }
 
-    /// Route of the longest prefix that begins `path`, among those of `host` (which may carry a
-    /// port and any case).
+    /// Returns the route of `host` with the longest prefix that matches `path`. The host may have a port, and its case
+    /// is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
-        let of_host = match self.by_host.get(name) {
-            Some(of_host) => of_host,
+        let host_routes = match self.by_host.get(name) {
+            Some(host_routes) => host_routes,
             None => self.by_host.get(&*name.to_ascii_lowercase())?,
         };
-        of_host
+        host_routes
             .iter()
             .find(|route| path.starts_with(&*route.prefix))
     }
--- a/crates/route/src/verify.rs
+++ b/crates/route/src/verify.rs
@@ -1,4 +1,4 @@
-//! Checks of a version, all findings at once.
+//! Verification of one version of the routes.
 
 use crate::config::{
     Route,
@@ -7,89 +7,89 @@
 use base::FastSet;
 use std::fmt;
 
-/// Something wrong in a version.
+/// Error in a version of the routes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Where, such as `host a.example, route r-1`.
-    pub place: String,
-    /// What.
-    pub what: String,
+    /// Location, such as `host a.example, route r-1`.
+    pub location: String,
+    /// Description of the error.
+    pub message: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
-/// Place of a service in findings.
-pub(crate) fn service_place(service: &str) -> String {
+/// Returns the location of a service in findings.
+pub(crate) fn service_location(service: &str) -> String {
     format!("service {service}")
 }
 
-/// Place of a route in findings.
-pub(crate) fn route_place(host: &str, route: &str) -> String {
+/// Returns the location of a route in findings.
+pub(crate) fn route_location(host: &str, route: &str) -> String {
     format!("host {host}, route {route}")
 }
 
-/// All that is wrong in `routes`; empty if nothing is.
+/// Returns all findings in `routes`.
 pub fn verify(routes: &Routes) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut services = FastSet::default();
     for service in &routes.services {
         if !services.insert(&service.id) {
-            findings.push(finding(&service_place(&service.id), "named twice"));
+            findings.push(finding(&service_location(&service.id), "duplicate service"));
         }
     }
     for host in &routes.hosts {
         let mut prefixes = FastSet::default();
         for route in &host.routes {
-            let place = route_place(&host.host, &route.id);
+            let location = route_location(&host.host, &route.id);
             if !prefixes.insert(&route.prefix) {
-                findings.push(finding(&place, "its prefix stands twice"));
+                findings.push(finding(&location, "duplicate prefix"));
             }
-            for what in faults(route) {
-                findings.push(finding(&place, what));
+            for message in route_errors(route) {
+                findings.push(finding(&location, message));
             }
             let unknown = route
                 .split
                 .iter()
-                .filter(|s| !services.contains(&s.service));
+                .filter(|share| !services.contains(&share.service));
             for share in unknown {
-                let what = format!("service {} is not known", share.service);
-                findings.push(finding(&place, &what));
+                let message = format!("unknown service {}", share.service);
+                findings.push(finding(&location, &message));
             }
         }
     }
     findings
 }
 
-/// What is wrong in a route by itself.
-fn faults(route: &Route) -> Vec<&'static str> {
-    let mut faults = Vec::new();
+/// Returns the errors in a route that do not depend on other parts of the version.
+fn route_errors(route: &Route) -> Vec<&'static str> {
+    let mut errors = Vec::new();
     if !(route.prefix.starts_with('/') && route.prefix.ends_with('/')) {
-        faults.push("its prefix doesn't begin and end with a slash");
+        errors.push("the prefix must begin and end with a slash");
     }
     if route.timeout.is_zero() {
-        faults.push("its timeout is zero");
+        errors.push("the timeout must not be zero");
     }
     if route.max_attempts == 0 {
-        faults.push("it allows no attempt");
+        errors.push("the maximum number of attempts must not be zero");
     }
     if route.split.is_empty() {
-        faults.push("it has no service");
+        errors.push("the traffic split has no service");
     } else if !route.split.iter().any(|share| share.weight > 0.0) {
-        faults.push("no service has a weight above zero");
+        errors.push("no service has a positive weight");
     }
     if route.split.iter().any(|share| share.weight < 0.0) {
-        faults.push("a weight is below zero");
+        errors.push("a service has a negative weight");
     }
-    faults
+    errors
 }
 
-fn finding(place: &str, what: &str) -> Finding {
+fn finding(location: &str, message: &str) -> Finding {
     Finding {
-        place: place.to_owned(),
-        what: what.to_owned(),
+        location: location.to_owned(),
+        message: message.to_owned(),
     }
 }
--- a/crates/route/tests/routes.rs
+++ b/crates/route/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Look-ups, splits and findings.
+//! Tests of route lookups, traffic splits and findings.
 
 use base::FastMap;
 use route::{
@@ -40,7 +40,7 @@
     }
 }
 
-fn routes(of_a: Vec<Route>) -> Routes {
+fn routes(routes: Vec<Route>) -> Routes {
     Routes {
         version: 1,
         services: vec![Service {
@@ -53,12 +53,12 @@
         limits: CallerLimits::default(),
         hosts: vec![Host {
             host: "a.example".into(),
-            routes: of_a,
+            routes,
         }],
     }
 }
 
-/// Each case: host, path, and the route found.
+/// Each case gives a host, a path and the id of the expected route.
 macro_rules! found {
     ($($name:ident: $host:expr, $path:expr => $id:expr;)*) => {$(
         #[test]
@@ -73,17 +73,17 @@
 
 found! {
     longest_prefix_wins: "a.example", "/a/b/c" => Some("long");
-    shorter_where_the_longer_ends: "a.example", "/a/bc" => Some("short");
-    prefix_alone: "a.example", "/a/" => Some("short");
-    without_its_slash: "a.example", "/a" => Some("root");
+    partial_segment_does_not_match: "a.example", "/a/bc" => Some("short");
+    path_equal_to_the_prefix: "a.example", "/a/" => Some("short");
+    path_without_the_prefix_slash: "a.example", "/a" => Some("root");
     host_with_port: "a.example:80", "/a/x" => Some("short");
-    host_in_any_case: "A.Example", "/a/x" => Some("short");
-    other_host: "b.example", "/a/x" => None;
+    host_case_is_ignored: "A.Example", "/a/x" => Some("short");
+    unknown_host: "b.example", "/a/x" => None;
 }
 
-/// Over any run of requests each service is within one request of its part.
+/// Over any number of requests, each service's count is within one request of its share.
 #[test]
-fn split_keeps_to_its_weights() {
+fn split_follows_weights() {
     let shares = [
         share("a", 70.0),
         share("b", 20.0),
@@ -92,35 +92,37 @@
     ];
     let mut split = Split::default();
     let mut counts = [0_u32; 4];
-    for run in 1..=1000_u32 {
-        counts[split.next(&shares).expect("one")] += 1;
+    for requests in 1..=1000_u32 {
+        counts[split.next(&shares).expect("a service")] += 1;
         for (count, share) in counts.iter().zip(&shares) {
-            let due = f64::from(run) * share.weight / 100.0;
+            let expected = f64::from(requests) * share.weight / 100.0;
             assert!(
-                (f64::from(*count) - due).abs() <= 1.0,
-                "{counts:?} of {run}"
+                (f64::from(*count) - expected).abs() <= 1.0,
+                "{counts:?} of {requests}"
             );
         }
     }
     assert_eq!(counts[3], 0);
 }
 
-/// Symptom: a process ended over a route whose weights were changed. Sequence: a version takes a
-/// service away from a split that is in use. Cause guarded against: owed parts of the former length.
+/// Guards against keeping the previous number of services when a new version removes a service from a split in use,
+/// which made a process panic.
 #[test]
-fn split_follows_changed_shares() {
+fn split_adapts_to_removed_services() {
     let mut split = Split::default();
     let three = [share("a", 1.0), share("b", 1.0), share("c", 1.0)];
     let mut seen = FastMap::<usize, u32>::default();
     for _ in 0..30 {
-        *seen.entry(split.next(&three).expect("one")).or_default() += 1;
+        *seen
+            .entry(split.next(&three).expect("a service"))
+            .or_default() += 1;
     }
     assert!(split.next(&three[..1]).is_some());
-    assert!(split.next(&three[..2]).is_some_and(|place| place < 2));
+    assert!(split.next(&three[..2]).is_some_and(|index| index < 2));
     assert_eq!(split.next(&[share("a", 0.0), share("b", 0.0)]), None);
 }
 
-/// All findings come at once, each with its place.
+/// All findings are returned at once, each with its location.
 #[test]
 fn findings_are_collected() {
     let mut bad = route("bad", "no-slash");
@@ -131,12 +133,12 @@
     let all = routes(vec![route("once", "/a/"), bad, twice]);
     let findings: Vec<String> = verify(&all).iter().map(ToString::to_string).collect();
     let expected = [
-        "host a.example, route bad: its prefix doesn't begin and end with a slash",
-        "host a.example, route bad: it allows no attempt",
-        "host a.example, route bad: no service has a weight above zero",
-        "host a.example, route bad: service unknown is not known",
-        "host a.example, route twice: its prefix stands twice",
-        "host a.example, route twice: its timeout is zero",
+        "host a.example, route bad: the prefix must begin and end with a slash",
+        "host a.example, route bad: the maximum number of attempts must not be zero",
+        "host a.example, route bad: no service has a positive weight",
+        "host a.example, route bad: unknown service unknown",
+        "host a.example, route twice: duplicate prefix",
+        "host a.example, route twice: the timeout must not be zero",
     ];
     for finding in expected {
         assert!(
@@ -148,9 +150,9 @@
 }
 
 #[test]
-fn example_is_read() {
+fn example_parses() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/routes.yaml");
-    let text = std::fs::read_to_string(file).expect("the example");
+    let text = std::fs::read_to_string(file).expect("the example file");
     let routes = route::parse("routes.yaml", &text).expect("no findings");
     assert_eq!(routes.hosts[1].routes[0].kind, Kind::NonIdempotent);
     assert_eq!(routes.hosts[1].routes[0].homes, ["arusha", "moshi"]);
@@ -158,11 +160,11 @@
     assert!(table.find("menus.example", "/menus/x").is_some());
 }
 
-/// Each finding has file, line and column; what can be read is checked in the same pass.
+/// Each finding has its file, line and column, and all readable fields are checked in one pass.
 #[test]
-fn findings_of_a_file_have_their_places() {
+fn findings_of_a_file_have_locations() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/routes.yaml");
-    let text = std::fs::read_to_string(file).expect("the example");
+    let text = std::fs::read_to_string(file).expect("the example file");
     let bad = text
         .replace("kind: download", "kind: some")
         .replace("kind: non-idempotent", "kind: once")
@@ -178,7 +180,7 @@
     let findings = route::parse("r.yaml", &unknown)
         .expect_err("findings")
         .to_string();
-    let expected = "host orders.example, route orders: service nobody is not known";
+    let expected = "host orders.example, route orders: unknown service nobody";
     assert!(
         findings.starts_with("r.yaml:3") && findings.contains(expected),
         "{findings}"
