--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of one entry, and which claims are due.
+//! Leases of one entry, and the claims that it has to write.
 
 use base::{
     Now,
@@ -9,94 +9,95 @@
     time::Duration, //
 };
 
-/// How long leases last, and how entries take turns.
+/// Durations that govern leases.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub length: Duration,
-    /// Time that has to pass after its end before another entry may hold it: what was done last counts together
-    /// with what is done first.
+    /// Time between the end of a lease and the next entry's, because the previous holder's last requests count towards
+    /// the same limit as the next holder's first.
     pub gap: Duration,
-    /// How much later each next entry in the order claims, unless it heard of a holder.
+    /// Delay of a claim per entry that precedes the claimant. An entry that learns of a holder does not claim.
     pub turn: Duration,
-    /// Time after which a claim whose outcome isn't known is made once more.
+    /// Time after which a claim with an unknown outcome is repeated.
     pub retry: Duration,
 }
 
-/// What keeps a lease exclusive; all are on but in tests that have to find what each prevents.
+/// Mechanisms that keep a lease exclusive. All are enabled except in tests that show what each of them prevents.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// A lease begins when its claim was asked for, not when it was answered.
-    pub from_asked: bool,
-    /// Others wait for the gap, too.
+    /// A lease begins when its claim is requested, not when it is answered.
+    pub start_at_request: bool,
+    /// Other entries wait for [`Terms::gap`] as well.
     pub gap: bool,
-    /// A claim holds only if the row is as it was read.
-    pub condition: bool,
+    /// A claim succeeds only if the row is unchanged since it was read.
+    pub conditional_write: bool,
 }
 
 impl Default for Guards {
     fn default() -> Self {
         Self {
-            from_asked: true,
+            start_at_request: true,
             gap: true,
-            condition: true,
+            conditional_write: true,
         }
     }
 }
 
-/// Something that a lease is wanted of.
+/// Subject whose lease is wanted.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Wanted {
     /// Upstream.
     pub subject: UpstreamId,
-    /// How many entries go before this one.
+    /// Number of entries that precede this one.
     pub order: u32,
 }
 
-/// A row to write, on the condition that it is as it was read.
+/// Row to write, on the condition that it is unchanged since it was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Claim {
     /// Upstream.
     pub subject: UpstreamId,
-    /// Version that the row must have; `None` if there must be none.
+    /// Version that the row must have; `None` if the row must not exist.
     pub read: Option<u64>,
 }
 
-/// What a row was found to be when a claim was refused.
+/// State of a row when a claim was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Standing {
     /// Upstream.
     pub subject: UpstreamId,
-    /// Version of its row; `None` if there is none.
+    /// Version of its row; `None` if the row does not exist.
     pub version: Option<u64>,
 }
 
-/// A lease that this entry holds.
+/// Lease that this entry holds.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     version: u64,
     until: Now,
 }
 
-/// A row that another entry, or a former process of this one, has written.
+/// Row version written by another entry or by a previous process of this one.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Observed {
     version: u64,
+    /// Time at which the version was first observed.
     at: Now,
 }
 
-/// What is known of one subject.
+/// State of one subject.
 #[derive(Clone, Debug)]
-struct Known {
+struct SubjectState {
     order: u32,
     wanted: bool,
     wanted_since: Now,
     held: Option<Held>,
-    seen: Option<Seen>,
-    /// When another entry last said that it holds it.
-    told_at: Option<Now>,
-    /// When it was last claimed, unless the outcome of that is known.
-    asked_at: Option<Now>,
+    observed: Option<Observed>,
+    /// Time at which another entry last stated that it holds the lease.
+    held_elsewhere_at: Option<Now>,
+    /// Time of the last claim, if its outcome is unknown.
+    requested_at: Option<Now>,
 }
 
 /// Leases of one entry.
@@ -104,129 +105,133 @@
 pub struct Leases {
     terms: Terms,
     guards: Guards,
-    known: BTreeMap<UpstreamId, Known>,
+    states: BTreeMap<UpstreamId, SubjectState>,
 }
 
 impl Leases {
-    /// None yet.
+    /// Returns an instance that holds no lease.
     pub fn new(terms: Terms) -> Self {
         Self::with_guards(terms, Guards::default())
     }
 
-    /// None yet, with these guards.
+    /// Returns an instance that holds no lease and uses these guards.
     pub fn with_guards(terms: Terms, guards: Guards) -> Self {
         Self {
             terms,
             guards,
-            known: BTreeMap::new(),
+            states: BTreeMap::new(),
         }
     }
 
-    /// Takes of what leases are wanted from now on. Those held are kept until they run out.
+    /// Replaces the set of subjects whose leases are wanted. Leases of other subjects are kept until they expire.
     pub fn want(&mut self, wanted: impl IntoIterator<Item = Wanted>, now: Now) {
-        for known in self.known.values_mut() {
-            known.wanted = false;
+        for state in self.states.values_mut() {
+            state.wanted = false;
         }
         for Wanted { subject, order } in wanted {
-            let known = self.known.entry(subject).or_insert_with(|| Known::new(now));
-            if !known.wanted && !known.is_held(now) {
-                known.wanted_since = now;
+            let state = self
+                .states
+                .entry(subject)
+                .or_insert_with(|| SubjectState::new(now));
+            if !state.wanted && !state.is_held(now) {
+                state.wanted_since = now;
             }
-            known.order = order;
-            known.wanted = true;
+            state.order = order;
+            state.wanted = true;
         }
-        let remembered = self.terms.length + self.terms.gap;
-        self.known.retain(|_, known| {
-            let kept_from = [
-                known.held.map(|held| held.until),
-                known.seen.map(|seen| seen.at),
-                known.asked_at,
+        let retention = self.terms.length + self.terms.gap;
+        self.states.retain(|_, state| {
+            let last_events = [
+                state.held.map(|held| held.until),
+                state.observed.map(|observed| observed.at),
+                state.requested_at,
             ];
-            let fresh = |at: Now| now < at + remembered;
-            known.wanted || kept_from.into_iter().flatten().any(fresh)
+            let is_recent = |at: Now| now < at + retention;
+            state.wanted || last_events.into_iter().flatten().any(is_recent)
         });
     }
 
-    /// Claims that are due, `most` of them at most; they count as asked for at `now`.
-    pub fn due(&mut self, most: usize, now: Now) -> Vec<Claim> {
+    /// Returns at most `max` claims that are due, and records that they are requested at `now`.
+    pub fn due(&mut self, max: usize, now: Now) -> Vec<Claim> {
         let (terms, guards) = (self.terms, self.guards);
         let due = self
-            .known
+            .states
             .iter_mut()
-            .filter(|(_, known)| known.is_due(&terms, &guards, now));
-        due.take(most)
-            .map(|(subject, known)| {
-                known.asked_at = Some(now);
+            .filter(|(_, state)| state.is_due(&terms, &guards, now));
+        due.take(max)
+            .map(|(subject, state)| {
+                state.requested_at = Some(now);
                 Claim {
                     subject: subject.clone(),
-                    read: known.version(),
+                    read: state.version(),
                 }
             })
             .collect()
     }
 
-    /// Claims that were asked for at `asked_at` were all written, by this version, as is known at `now`.
-    pub fn granted(&mut self, claims: &[Claim], version: u64, asked_at: Now, now: Now) {
-        let from = if self.guards.from_asked {
-            asked_at
+    /// Records that claims requested at `requested_at` were all written, with this version. `now` is the time of the
+    /// answer.
+    pub fn granted(&mut self, claims: &[Claim], version: u64, requested_at: Now, now: Now) {
+        let start = if self.guards.start_at_request {
+            requested_at
         } else {
             now
         };
         for claim in claims {
-            if let Some(known) = self.known.get_mut(&claim.subject) {
-                known.asked_at = None;
-                known.seen = None;
-                known.held = Some(Held {
+            if let Some(state) = self.states.get_mut(&claim.subject) {
+                state.requested_at = None;
+                state.observed = None;
+                state.held = Some(Held {
                     version,
-                    until: from + self.terms.length,
+                    until: start + self.terms.length,
                 });
             }
         }
     }
 
-    /// Claims were refused together, and nothing was written: some of their rows are not as they were read.
+    /// Records that claims were refused together because some of their rows had changed; none was written.
     pub fn refused(&mut self, rows: &[Standing], now: Now) {
         for row in rows {
-            if let Some(known) = self.known.get_mut(&row.subject) {
-                known.asked_at = None;
-                known.take_standing(row.version, now);
+            if let Some(state) = self.states.get_mut(&row.subject) {
+                state.requested_at = None;
+                state.note_row(row.version, now);
             }
         }
     }
 
-    /// Another entry said that it holds these.
+    /// Records that another entry stated that it holds the leases of these subjects.
     pub fn heard(&mut self, subjects: &[UpstreamId], now: Now) {
         for subject in subjects {
-            if let Some(known) = self.known.get_mut(subject) {
-                known.told_at = Some(now);
+            if let Some(state) = self.states.get_mut(subject) {
+                state.held_elsewhere_at = Some(now);
             }
         }
     }
 
-    /// Until when this entry holds the lease of a subject; `None` if it doesn't.
+    /// Returns the end of this entry's lease of a subject, or `None` if it does not hold one.
     pub fn held_until(&self, subject: &str, now: Now) -> Option<Now> {
-        let held = self.known.get(subject)?.held?;
+        let held = self.states.get(subject)?.held?;
         (now < held.until).then_some(held.until)
     }
 
-    /// Those that this entry holds.
+    /// Returns the subjects whose leases this entry holds.
     pub fn held(&self, now: Now) -> impl Iterator<Item = &UpstreamId> {
-        let held = self.known.iter();
-        held.filter(move |(_, known)| known.is_held(now))
+        let held = self.states.iter();
+        held.filter(move |(_, state)| state.is_held(now))
             .map(|(subject, _)| subject)
     }
 }
 
-impl Known {
+impl SubjectState {
     fn new(now: Now) -> Self {
         Self {
             order: 0,
             wanted: false,
             wanted_since: now,
             held: None,
-            seen: None,
-            told_at: None,
-            asked_at: None,
+            observed: None,
+            held_elsewhere_at: None,
+            requested_at: None,
         }
     }
 
@@ -234,37 +239,40 @@
         self.held.is_some_and(|held| now < held.until)
     }
 
-    /// Version of the row, as far as this entry knows.
+    /// Returns the last known version of the row.
     fn version(&self) -> Option<u64> {
         let held = self.held.map(|held| held.version);
-        let seen = self.seen.map(|seen| seen.version);
-        held.max(seen)
+        let observed = self.observed.map(|observed| observed.version);
+        held.max(observed)
     }
 
-    fn take_standing(&mut self, version: Option<u64>, now: Now) {
+    fn note_row(&mut self, version: Option<u64>, now: Now) {
         let Some(version) = version else {
-            // Its row was removed, long after the lease ran out.
+            // The row was removed, which happens long after the lease has expired.
             self.held = None;
-            self.seen = None;
+            self.observed = None;
             return;
         };
         if self.held.is_some_and(|held| held.version == version) {
             return;
         }
-        // Also one of this entry's own writes whose answer was lost: what it promised counts as another's.
+        // This may also be a write by this entry whose answer was lost; it is treated as another entry's.
         self.held = None;
-        if self.seen.is_none_or(|seen| seen.version != version) {
-            self.seen = Some(Seen { version, at: now });
+        if self
+            .observed
+            .is_none_or(|observed| observed.version != version)
+        {
+            self.observed = Some(Observed { version, at: now });
         }
     }
 
     fn is_due(&self, terms: &Terms, guards: &Guards, now: Now) -> bool {
-        let asked_lately = self.asked_at.is_some_and(|at| now < at + terms.retry);
-        if !self.wanted || asked_lately {
+        let requested_recently = self.requested_at.is_some_and(|at| now < at + terms.retry);
+        if !self.wanted || requested_recently {
             return false;
         }
         if let Some(held) = self.held {
-            // Renewed at half its time.
+            // A lease is renewed after half of its duration.
             return now + terms.length / 2 >= held.until;
         }
         let gap = if guards.gap {
@@ -273,10 +281,10 @@
             Duration::ZERO
         };
         let wait = terms.length + gap;
-        if let Some(seen) = self.seen {
-            return now >= seen.at + wait || !guards.condition;
+        if let Some(observed) = self.observed {
+            return now >= observed.at + wait || !guards.conditional_write;
         }
-        let told = self.told_at.is_some_and(|at| now < at + wait);
-        !told && now >= self.wanted_since + terms.turn * self.order
+        let is_held_elsewhere = self.held_elsewhere_at.is_some_and(|at| now < at + wait);
+        !is_held_elsewhere && now >= self.wanted_since + terms.turn * self.order
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,17 +1,19 @@
-//! A right that one entry holds at a time, by a row of the store.
+//! Leases that at most one entry holds at a time, stored as rows of the store.
 //!
-//! What all entries together may not pass can't follow from what each has read of the others: entries whose
-//! readings differ would each keep a part of a different whole. So the right to it is a lease. Whoever writes the
-//! subject's row, on the condition that it is as it was read, holds it for [`Terms::length`] from the moment at
-//! which the write was *asked* for, which is before it took effect. Anyone else waits for that long and
-//! [`Terms::gap`] from the moment at which that version of the row was *seen*, which is after. Where readings
-//! differ, nobody holds the right for a while; two never do.
+//! A limit that applies to all entries combined can't be divided by what each entry knows of the others: entries with
+//! different views would each use a share of a different total. The right to use it is therefore a lease. An entry
+//! acquires the lease of a subject by writing the subject's row on the condition that the row is unchanged since it was
+//! read. It holds the lease for [`Terms::length`] from the time at which it *requested* the write, which is before the
+//! write took effect. Any other entry waits for that time plus [`Terms::gap`] from the time at which it *observed* that
+//! version of the row, which is after the write took effect. If views differ, no entry holds the lease for a while, but
+//! never more than one does.
 //!
-//! Start with [`Leases`]: [`Leases::want`] says of what a lease is wanted, [`Leases::due`] gives the claims to write,
-//! and [`Leases::granted`], [`Leases::refused`] or, if nothing is known of them, neither takes what came of them.
+//! Start with [`Leases`]. [`Leases::want`] sets the subjects whose leases are wanted, and [`Leases::due`] returns the
+//! claims to write. [`Leases::granted`] or [`Leases::refused`] then takes their outcome; if the outcome is unknown,
+//! neither is called.
 //!
-//! Invariants: no clock or socket; `now` is an argument. It must also count the time for which the machine is
-//! suspended: a holder that wakes up has lost what ran out meanwhile.
+//! Invariants: no clock or socket; `now` is an argument. It must include the time for which the machine is suspended,
+//! so that a holder that resumes has lost the leases that expired in the meantime.
 
 mod leases;
 
--- a/crates/lease/tests/exclusive.rs
+++ b/crates/lease/tests/exclusive.rs
@@ -1,4 +1,4 @@
-//! Whatever is lost or late, one entry holds a lease at a time.
+//! Tests that at most one entry holds a lease, even if calls to the store are lost or delayed.
 
 use base::{
     Now,
@@ -37,7 +37,7 @@
     }]
 }
 
-/// The store's rows.
+/// Rows of the simulated store.
 #[derive(Default)]
 struct Rows {
     version: u64,
@@ -45,14 +45,14 @@
 }
 
 impl Rows {
-    /// Writes all of the claims or none; the version, or the rows as they stand.
+    /// Writes all claims or none. Returns the new version, or the current state of the rows.
     fn write(&mut self, claims: &[Claim], guards: &Guards) -> Result<u64, Vec<Standing>> {
-        let stands = |claim: &Claim| self.rows.get(&claim.subject).copied();
-        let holds = claims.iter().all(|claim| stands(claim) == claim.read);
-        if !holds && guards.condition {
+        let current = |claim: &Claim| self.rows.get(&claim.subject).copied();
+        let unchanged = claims.iter().all(|claim| current(claim) == claim.read);
+        if !unchanged && guards.conditional_write {
             let rows = claims.iter().map(|claim| Standing {
                 subject: claim.subject.clone(),
-                version: stands(claim),
+                version: current(claim),
             });
             return Err(rows.collect());
         }
@@ -64,20 +64,20 @@
     }
 }
 
-/// A call that is under way: when it takes effect, and when its answer comes, if it does.
+/// Pending call to the store, with the times at which it takes effect and at which its answer arrives, if any.
 struct Call {
     entry: usize,
     claims: Vec<Claim>,
-    asked_at: Now,
+    requested_at: Now,
     effect_at: Now,
     answer_at: Option<Now>,
     result: Option<Result<u64, Vec<Standing>>>,
 }
 
-/// Plays entries that all claim the same lease, each thinking itself the first. `steps` say how late calls are,
-/// which answers are lost, and which processes start anew. Gives the times in which a lease was held: entry, from,
-/// to, as each entry itself believes.
-fn play(steps: &[(u8, u8, bool)], guards: Guards) -> Vec<(usize, Now, Now)> {
+/// Simulates entries that all claim the same lease, each as if no other preceded it. `steps` determine the delay of
+/// calls, which answers are lost and which processes restart. Returns the periods in which each entry considers the
+/// lease its own, as entry, start and end.
+fn simulate(steps: &[(u8, u8, bool)], guards: Guards) -> Vec<(usize, Now, Now)> {
     let mut entries: Vec<Leases> = (0..ENTRIES)
         .map(|_| Leases::with_guards(TERMS, guards))
         .collect();
@@ -85,11 +85,11 @@
     let mut calls: Vec<Call> = Vec::new();
     let mut held: Vec<(usize, Now, Now)> = Vec::new();
     let mut now = ms(1);
-    for &(pick, late, lost) in steps {
+    for &(selector, delay, lost) in steps {
         now += ms(150);
-        let entry = usize::from(pick) % ENTRIES;
-        if pick > 250 {
-            // A new process knows nothing of what the former one held; its calls may still take effect.
+        let entry = usize::from(selector) % ENTRIES;
+        if selector > 250 {
+            // A new process does not know what the previous one held, whose calls may still take effect.
             entries[entry] = Leases::with_guards(TERMS, guards);
             for call in calls.iter_mut().filter(|call| call.entry == entry) {
                 call.answer_at = None;
@@ -98,13 +98,14 @@
         entries[entry].want(wanted(0), now);
         let claims = entries[entry].due(9, now);
         if !claims.is_empty() {
-            // Some answers take seconds, and some calls take effect seconds after their answer was given up.
-            let effect_at = now + ms(u64::from(late) * 8);
-            let answer_at = (!lost).then_some(effect_at + ms(u64::from(late % 64) * 12));
+            // Some answers take seconds, and some calls take effect seconds after the entry stopped waiting for their
+            // answer.
+            let effect_at = now + ms(u64::from(delay) * 8);
+            let answer_at = (!lost).then_some(effect_at + ms(u64::from(delay % 64) * 12));
             calls.push(Call {
                 entry,
                 claims,
-                asked_at: now,
+                requested_at: now,
                 effect_at,
                 answer_at,
                 result: None,
@@ -112,20 +113,20 @@
         }
         calls.sort_by_key(|call| call.effect_at);
         for call in calls.iter_mut().filter(|call| call.effect_at <= now) {
-            let written = || rows.write(&call.claims, &guards);
-            call.result.get_or_insert_with(written);
+            let write = || rows.write(&call.claims, &guards);
+            call.result.get_or_insert_with(write);
         }
         for call in &calls {
             let (Some(at), Some(result)) = (call.answer_at, &call.result) else {
                 continue;
             };
-            // An entry waits a second for an answer.
-            if at > now || at > call.asked_at + TERMS.retry {
+            // An entry waits for an answer for a second.
+            if at > now || at > call.requested_at + TERMS.retry {
                 continue;
             }
             let leases = &mut entries[call.entry];
             match result {
-                Ok(version) => leases.granted(&call.claims, *version, call.asked_at, now),
+                Ok(version) => leases.granted(&call.claims, *version, call.requested_at, now),
                 Err(rows) => leases.refused(rows, now),
             }
         }
@@ -145,26 +146,26 @@
     held
 }
 
-/// Whether one entry held it after another with less than the gap between.
+/// Returns whether an entry held the lease less than the gap after another.
 fn overlaps(held: &[(usize, Now, Now)]) -> bool {
     held.windows(2)
         .any(|pair| pair[0].0 != pair[1].0 && pair[1].1 < pair[0].2 + TERMS.gap)
 }
 
-/// Symptom: a cold upstream gets the whole allowance from two entries. Sequence: answers of the store are lost or
-/// late, writes take effect after they were given up, processes start anew. Cause guarded against: a holder that counts
-/// from the answer, a successor that doesn't wait, a write without a condition.
+/// Guards against two entries sending to a cold upstream at its full rate. This happens if answers of the store are
+/// lost or delayed, writes take effect after their entry stopped waiting or processes restart, and a lease counts from
+/// the answer, the next holder does not wait, or writes are unconditional.
 #[test]
 fn one_entry_holds_a_lease_at_a_time() {
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|steps| {
-            let held = play(steps, Guards::default());
+            let held = simulate(steps, Guards::default());
             assert!(!overlaps(&held), "{held:?}");
         });
 }
 
-/// Steps that look like chance, the same each time.
+/// Returns pseudorandom steps.
 fn steps(seed: u64) -> Vec<(u8, u8, bool)> {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut next = || {
@@ -175,64 +176,65 @@
     };
     let steps = (0..800).map(|_| {
         let bytes = next();
-        // Now and then a process ends.
-        let pick = if bytes[1] < 5 {
+        // Some steps restart a process.
+        let selector = if bytes[1] < 5 {
             251 + bytes[0] % 4
         } else {
             bytes[0] % 250
         };
-        (pick, bytes[2] % 64, bytes[3] < 30)
+        (selector, bytes[2] % 64, bytes[3] < 30)
     });
     steps.collect()
 }
 
-/// Names a test for each guard that is off: the same play must then find two holders.
-macro_rules! without {
+/// Each case disables one guard. The simulation must then find two holders at once.
+macro_rules! without_guard {
     ($($name:ident: $guards:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let found = (0..400).any(|seed| overlaps(&play(&steps(seed), $guards)));
-                assert!(found, "the play finds it");
+                let found = (0..400).any(|seed| overlaps(&simulate(&steps(seed), $guards)));
+                assert!(found, "no overlap found");
             }
         )*
     };
 }
 
-without! {
-    counting_from_the_answer_is_found: Guards { from_asked: false, ..Guards::default() };
-    a_successor_without_the_gap_is_found: Guards { gap: false, ..Guards::default() };
-    a_write_without_a_condition_is_found: Guards { condition: false, ..Guards::default() };
+without_guard! {
+    start_at_answer_is_detected: Guards { start_at_request: false, ..Guards::default() };
+    missing_gap_is_detected: Guards { gap: false, ..Guards::default() };
+    unconditional_write_is_detected: Guards { conditional_write: false, ..Guards::default() };
 }
 
-/// The plays above do something: leases are held, and pass from one entry to another.
+/// Guards against a simulation in which leases are not held or do not pass from one entry to another.
 #[test]
-fn leases_pass_on() {
+fn leases_pass_between_entries() {
     for seed in 0..50 {
-        let held = play(&steps(seed), Guards::default());
+        let held = simulate(&steps(seed), Guards::default());
         assert!(!overlaps(&held), "seed {seed}: {held:?}");
         assert!(!held.is_empty(), "seed {seed}");
     }
-    let entries = |seed| play(&steps(seed), Guards::default()).len();
-    let all: usize = (0..50).map(entries).sum();
+    let holders = |seed| simulate(&steps(seed), Guards::default()).len();
+    let all: usize = (0..50).map(holders).sum();
     assert!(all > 75, "{all}");
 }
 
-/// An entry claims after those that go before it have had their turn, and not at all once it heard of a holder.
+/// An entry claims later the more entries precede it, and does not claim while another entry states that it holds the
+/// lease.
 #[test]
-fn entries_take_turns() {
+fn claims_are_staggered() {
     let mut leases = Leases::new(TERMS);
     leases.want(wanted(2), ms(1000));
     assert!(leases.due(9, ms(1700)).is_empty());
-    let mut unheard = leases.clone();
-    assert_eq!(unheard.due(9, ms(1800)).len(), 1);
+    let mut without_holder = leases.clone();
+    assert_eq!(without_holder.due(9, ms(1800)).len(), 1);
     leases.heard(&[SUBJECT], ms(1750));
     assert!(leases.due(9, ms(1800)).is_empty());
     assert!(leases.due(9, ms(7000)).is_empty());
     assert_eq!(leases.due(9, ms(7250)).len(), 1);
 }
 
-/// A lease is renewed while it is wanted, and runs out when it isn't.
+/// A lease is renewed while it is wanted, and expires once it is not.
 #[test]
 fn a_lease_is_renewed_while_it_is_wanted() {
     let mut leases = Leases::new(TERMS);
@@ -251,9 +253,9 @@
     assert_eq!(leases.held_until(&SUBJECT, ms(7000)), None);
 }
 
-/// A renewal that is refused ends the lease: somebody else may count on it.
+/// A refused renewal ends the lease, because another entry may hold it.
 #[test]
-fn a_lease_that_another_has_taken_is_lost() {
+fn a_refused_renewal_ends_the_lease() {
     let mut leases = Leases::new(TERMS);
     leases.want(wanted(0), ms(0));
     let claims = leases.due(9, ms(0));
