--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -23,7 +23,7 @@
     failure_rate: f64,
     /// End of the last ejection.
     ejected_until: Now,
-    /// Whether the last failure means that the upstream does not run, rather than fails some of its requests.
+    /// Whether the last failure showed that the upstream does not run. An upstream that runs may still fail requests.
     unreachable: bool,
     /// Duration of the next ejection.
     next_ejection: Duration,
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -469,8 +469,8 @@
     }
     // Three of four answers include a wait, although none was expected.
     for _ in 0..100 {
-        for took in [400, 500, 110, 350] {
-            times.note(true, ms(took));
+        for time_ms in [400, 500, 110, 350] {
+            times.note(true, ms(time_ms));
         }
     }
     assert!(times.warm() < ms(260), "{:?}", times.warm());
--- a/crates/route/tests/routes.rs
+++ b/crates/route/tests/routes.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn routes(routes: Vec<Route>) -> Routes {
+fn routes(host_routes: Vec<Route>) -> Routes {
     Routes {
         version: 1,
         services: vec![Service {
@@ -53,7 +53,7 @@
         limits: CallerLimits::default(),
         hosts: vec![Host {
             host: "a.example".into(),
-            routes,
+            routes: host_routes,
         }],
     }
 }
@@ -111,9 +111,9 @@
 fn split_adapts_to_removed_services() {
     let mut split = Split::default();
     let three = [share("a", 1.0), share("b", 1.0), share("c", 1.0)];
-    let mut seen = FastMap::<usize, u32>::default();
+    let mut selected = FastMap::<usize, u32>::default();
     for _ in 0..30 {
-        *seen
+        *selected
             .entry(split.next(&three).expect("a service"))
             .or_default() += 1;
     }
