--- a/crates/member/src/guards.rs
+++ b/crates/member/src/guards.rs
@@ -1,17 +1,17 @@
-//! Switches that turn one guard off, so that a search can show what the guard is for.
+//! Switches that disable single safety checks, so that a model search can show what each prevents.
 
-/// Guards of this crate's state machines; all on, but in tests.
+/// Safety checks of the lease state machines; all are enabled outside tests.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Guards {
-    /// A lease counts from before its renewal was sent, not from the answer.
+    /// Count a lease from before its renewal was sent, not from the answer.
     pub count_from_send: bool,
-    /// Holder and observer allow for clocks that run at different speeds.
+    /// Let holder and observer allow for clocks that run at different rates.
     pub drift: bool,
-    /// An incarnation is taken on the condition that the row is as read.
+    /// Take an incarnation only if the row is unchanged since it was read.
     pub compare_and_set: bool,
-    /// A lapse counts only if a read sent after it still shows the same renewal.
+    /// Accept a lapse only if a read sent after it still shows the same renewal.
     pub fresh_read: bool,
-    /// A renewal confirmed after the lapse is told apart from an unbroken lease.
+    /// Report a renewal that was confirmed after the lapse as a gap.
     pub count_gaps: bool,
 }
 
--- a/crates/member/src/holder.rs
+++ b/crates/member/src/holder.rs
@@ -1,4 +1,4 @@
-//! Keeping a lease: renewals, and how long the last one counts.
+//! Renewal of a held lease and the time until which it is valid.
 
 use crate::{
     Guards,
@@ -17,7 +17,7 @@
 use bytestring::ByteString;
 use std::fmt;
 
-/// A renewal whose answer is awaited.
+/// Renewal that is waiting for its answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Pending {
     seq: u64,
@@ -27,24 +27,25 @@
 
 /// Holder of a lease.
 ///
-/// Invariant: `valid_until` is the send time of a renewal that is known to have taken effect, and
-/// the time that a holder counts on it. Nothing but the clock ends it: a holder that was paused
-/// wakes with a true answer to [`Holder::is_valid`], if it asks again.
+/// Invariant: `valid_until` is the send time of a renewal that is known to have taken effect, plus
+/// the time for which a holder relies on it. Only the clock ends a lease, so a process that was
+/// paused gets a correct answer when it calls [`Holder::is_valid`] again after it resumes.
 ///
-/// One step is under way at a time; each gets its event, `Lost` if its time is over.
+/// One step is in progress at a time. Each step gets exactly one event; a step that timed out counts
+/// as one whose answer was lost.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Holder {
     row: LeaseRow,
-    /// Version of the row as this holder last knew it.
+    /// Last known version of the row.
     version: u64,
     terms: LeaseTerms,
     guards: Guards,
     valid_until: Now,
-    /// When the last renewal was sent, answered or not.
+    /// When the last renewal was sent, whether or not it was answered.
     last_sent_at: Now,
-    /// State that the row is known to have.
+    /// Lease state that the row is known to have.
     written_state: LeaseState,
-    /// The renewal that has no answer yet.
+    /// Renewal that has no answer yet.
     pending: Option<Pending>,
     gaps: u64,
     superseded: bool,
@@ -71,16 +72,16 @@
             gaps: 0,
             superseded: false,
         };
-        holder.valid_until = holder.end_of(sent_at, now);
+        holder.valid_until = holder.lease_end(sent_at, now);
         holder
     }
 
-    /// Whether the lease is held at `now`; to be asked again after every wait.
+    /// Whether the lease is held at `now`. Call it again after every wait.
     pub fn is_valid(&self, now: Now) -> bool {
         now < self.valid_until()
     }
 
-    /// End of the lease as far as it is known, by this process's clock.
+    /// Known end of the lease by this process's clock; zero once it is released or superseded.
     pub fn valid_until(&self) -> Now {
         if self.superseded || self.row.state == LeaseState::Left {
             Now::ZERO
@@ -89,10 +90,10 @@
         }
     }
 
-    /// How often the lease lapsed and was renewed later.
+    /// Number of times that the lease lapsed and was renewed later.
     ///
-    /// Whatever was held under the lease may have been taken by others in between: who sees this
-    /// number grow must drop it, and read what is its own now.
+    /// Others may have taken over in between what was held under the lease. When this number grows,
+    /// the caller must drop what it held and read its current assignment.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
@@ -102,64 +103,64 @@
         self.superseded
     }
 
-    /// Who and where.
+    /// Name and location of the holder.
     pub fn identity(&self) -> &Identity {
         &self.row.identity
     }
 
-    /// This process's life.
+    /// Incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.row.incarnation
     }
 
-    /// How far this life is.
+    /// Lease state of this incarnation.
     pub fn state(&self) -> LeaseState {
         self.row.state
     }
 
-    /// Version of the row as last known, for transactions that depend on the lease.
+    /// Last known version of the row, for transactions that depend on the lease.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Writes the row if it is time to renew, or if it has another state.
+    /// Writes the row if a renewal is due or the lease state has changed.
     pub fn tick(&mut self, now: Now) -> LeaseStep {
         if self.superseded || self.pending.is_some() {
             return LeaseStep::Idle;
         }
-        let news = self.row.state != self.written_state;
+        let state_changed = self.row.state != self.written_state;
         let due = now >= self.last_sent_at + self.terms.renew_every;
         let renews = due && self.row.state != LeaseState::Left;
-        if news || renews {
+        if state_changed || renews {
             self.write(now)
         } else {
             LeaseStep::Idle
         }
     }
 
-    /// Takes no new work from now on; the next tick says so in the row, and the lease goes on.
+    /// Stops taking new work. The next tick writes that to the row, and the lease continues.
     pub fn leave(&mut self) {
         self.row.state = self.row.state.max(LeaseState::Leaving);
     }
 
-    /// Gives the lease back: it isn't held from this call on, and the next tick says so.
+    /// Releases the lease. It is not held from this call on; the next tick writes that to the row.
     pub fn release(&mut self) {
         self.row.state = LeaseState::Left;
     }
 
-    /// Whether the row is known to say that the lease was given back.
+    /// Whether the row is known to show the lease as released.
     pub fn is_released(&self) -> bool {
         self.written_state == LeaseState::Left
     }
 
-    /// Takes what happened to the last step.
+    /// Handles the outcome of the last step and returns the next one.
     pub fn on(&mut self, event: LeaseEvent, now: Now) -> LeaseStep {
         match event {
             LeaseEvent::Committed { version } => {
                 self.confirm(version, now);
                 LeaseStep::Idle
             }
-            LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.compare(row, now),
+            LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.reconcile(row, now),
             LeaseEvent::Lost => LeaseStep::Read,
             LeaseEvent::Down => {
                 self.pending = None;
@@ -188,16 +189,16 @@
             return;
         };
         self.written_state = pending.state;
-        // The write may have taken effect only now, and others may have taken what this holder
-        // had in the time since its lease lapsed.
+        // The write may have taken effect only now, and since the lease lapsed others may have
+        // taken over what this holder had.
         if now >= self.valid_until && self.guards.count_gaps {
             self.gaps += 1;
         }
-        self.valid_until = self.valid_until.max(self.end_of(pending.sent_at, now));
+        self.valid_until = self.valid_until.max(self.lease_end(pending.sent_at, now));
     }
 
-    /// Learns from the row what became of a renewal, or who else has it.
-    fn compare(&mut self, current: Option<VersionedLease>, now: Now) -> LeaseStep {
+    /// Determines from the row whether a pending renewal took effect or another process has the row.
+    fn reconcile(&mut self, current: Option<VersionedLease>, now: Now) -> LeaseStep {
         let Some(current) = current else {
             return self.supersede();
         };
@@ -221,12 +222,13 @@
         LeaseStep::Superseded
     }
 
-    /// End of a lease whose renewal was sent at `sent_at` and is known of at `now`.
+    /// End of a lease whose renewal was sent at `sent_at` and confirmed at `now`.
     ///
-    /// Counted from the answer it would outlive what observers grant: they may have seen the row
-    /// long before a slow answer came, and take the holder's share while it still uses it.
-    fn end_of(&self, sent_at: Now, now: Now) -> Now {
-        let from = if self.guards.count_from_send {
+    /// A lease counted from the answer would outlast the time that observers allow: they may have
+    /// read the row long before a slow answer arrived, and would take over the holder's share while
+    /// it is still in use.
+    fn lease_end(&self, sent_at: Now, now: Now) -> Now {
+        let start = if self.guards.count_from_send {
             sent_at
         } else {
             now
@@ -236,7 +238,7 @@
         } else {
             self.terms.ttl
         };
-        from + held_for
+        start + held_for
     }
 }
 
--- a/crates/member/src/joining.rs
+++ b/crates/member/src/joining.rs
@@ -1,4 +1,4 @@
-//! Taking the lease, with the next incarnation.
+//! Acquisition of a lease with the next incarnation.
 
 use crate::{
     Guards,
@@ -14,31 +14,32 @@
 use base::Now;
 use bytestring::ByteString;
 
-/// A process that has no lease yet.
+/// Process that does not hold a lease yet.
 ///
-/// The incarnation is the last one's successor, taken on the condition that the row is as it was
-/// read: of two processes that start with one name each gets its own. After a lost answer it
-/// reads again and takes one more; an incarnation may go unused, never be used twice.
+/// It writes the successor of the last incarnation on the condition that the row is unchanged since
+/// it was read, so two processes that start under one name get different incarnations. After a lost
+/// answer it reads the row again and takes the next incarnation: an incarnation may stay unused but
+/// is never used twice.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Joining {
     identity: Identity,
     terms: LeaseTerms,
     guards: Guards,
-    /// The row that was sent, and when, while its answer is awaited.
+    /// Row that was written and when it was sent, until the answer arrives.
     sent: Option<(LeaseRow, Now)>,
 }
 
-/// What became of a join.
+/// Progress of a join.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Joined {
-    /// Not yet: do this; after `Idle` go on at the next tick with [`Joining::read`].
+    /// No lease yet: run this step; after `Idle`, continue at the next tick with [`Joining::read`].
     Not(Joining, LeaseStep),
     /// The lease is held.
     Holder(Holder),
 }
 
 impl Joining {
-    /// Starts; the first step is [`LeaseStep::Read`].
+    /// Creates a joining process; its first step is [`Joining::read`].
     pub fn new(identity: Identity, terms: LeaseTerms, guards: Guards) -> Self {
         Self {
             identity,
@@ -48,16 +49,16 @@
         }
     }
 
-    /// The step that begins, and begins again.
+    /// Step that starts or restarts the join.
     pub fn read(&self) -> LeaseStep {
         LeaseStep::Read
     }
 
-    /// Takes what happened to the last step.
+    /// Handles the outcome of the last step.
     pub fn on(mut self, event: LeaseEvent, now: Now) -> Joined {
         match event {
             LeaseEvent::Conflict(_) if !self.guards.compare_and_set => self.committed(0, now),
-            LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.take(row, now),
+            LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.write_next(row, now),
             LeaseEvent::Committed { version } => self.committed(version, now),
             LeaseEvent::Lost => {
                 self.sent = None;
@@ -70,7 +71,7 @@
         }
     }
 
-    fn take(mut self, current: Option<VersionedLease>, now: Now) -> Joined {
+    fn write_next(mut self, current: Option<VersionedLease>, now: Now) -> Joined {
         let check = current.as_ref().map(|current| current.version);
         let last = current.map_or(0, |current| current.row.incarnation);
         let row = LeaseRow {
--- a/crates/member/src/lease.rs
+++ b/crates/member/src/lease.rs
@@ -1,4 +1,4 @@
-//! Lease rows, their terms and the steps and events of those that write them.
+//! Lease rows, lease terms, and the steps and events of the state machines that write them.
 
 use base::{
     DomainId,
@@ -17,29 +17,29 @@
     time::Duration, //
 };
 
-/// Row of the table that holds the lease of `instance`.
+/// Key of the table row that holds the lease of `instance`.
 pub fn lease_key(instance: &str) -> ByteString {
     ByteString::from(format!("lease/{instance}"))
 }
 
-/// How long leases last and how they are kept.
+/// Duration of leases and their renewal interval.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseTerms {
-    /// Life of a lease by an exact clock.
+    /// Duration of a lease by an exact clock.
     pub ttl: Duration,
-    /// Time between renewals; a third of `ttl` leaves room for two that fail.
+    /// Time between renewals; a third of `ttl` tolerates two failed renewals.
     pub renew_every: Duration,
-    /// How much slower or faster than an exact clock any clock may run, in percent.
+    /// Maximum deviation of a clock's rate from that of an exact clock, in percent.
     pub drift_pct: u32,
 }
 
 impl LeaseTerms {
-    /// How long a holder counts on its lease, by its own clock.
+    /// How long a holder relies on a renewal, by its own clock.
     pub fn held_for(&self) -> Duration {
         self.ttl * (100_u32.saturating_sub(self.drift_pct)) / 100
     }
 
-    /// How long others wait from their first sight of a renewal, by their own clocks.
+    /// How long observers wait after they first see a renewal, by their own clocks.
     pub fn lapsed_after(&self) -> Duration {
         self.ttl * (100 + self.drift_pct) / 100
     }
@@ -55,24 +55,24 @@
     }
 }
 
-/// Where an instance is and how it is reached.
+/// Name, location and addresses of an instance.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Identity {
-    /// Its name.
+    /// Name.
     pub instance: InstanceId,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: DomainId,
-    /// Where callers reach it: IP number and port.
+    /// Address for callers: IP address and port.
     pub callers_addr: ByteString,
-    /// Where other daemons reach it.
+    /// Address for other daemons.
     pub peers_addr: ByteString,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_addr: ByteString,
 }
 
-/// How far an incarnation's life is; it only ever grows.
+/// Lifecycle state of an incarnation; it only advances.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseState {
@@ -80,12 +80,12 @@
     Live,
     /// Takes no new work.
     Leaving,
-    /// Has finished; holds nothing any more.
+    /// Has released its lease.
     Left,
 }
 
 impl LeaseState {
-    /// Text in rows and reports.
+    /// Text form in rows and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -101,20 +101,20 @@
     }
 }
 
-/// Lease of one instance, as its row holds it.
+/// Lease of an instance as stored in its row.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseRow {
-    /// Whose, and where.
+    /// Name and location of the holder.
     pub identity: Identity,
-    /// Life of the holder; each join takes the next.
+    /// Incarnation of the holder; each join takes the next one.
     pub incarnation: Incarnation,
-    /// Grows with each renewal that was sent.
+    /// Sequence number, incremented with each renewal that is sent.
     pub seq: u64,
-    /// How far the holder's life is.
+    /// Lifecycle state of the holder.
     pub state: LeaseState,
 }
 
-/// One line; fields separated by spaces, which no id or address has.
+/// One line of fields separated by spaces; no id or address contains a space.
 impl fmt::Display for LeaseRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let id = &self.identity;
@@ -134,7 +134,7 @@
     }
 }
 
-/// Text that is no lease.
+/// Error for a text that is not a lease row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MalformedLease;
 
@@ -168,47 +168,47 @@
     }
 }
 
-/// A lease with the version of its row.
+/// Lease with the version of its row.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct VersionedLease {
     /// Version of the last commit that wrote the row.
     pub version: u64,
-    /// The row.
+    /// Content of the row.
     pub row: LeaseRow,
 }
 
-/// What happened to the last step.
+/// Outcome of the last step.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum LeaseEvent {
-    /// The row, read.
+    /// The row was read; `None`: absent.
     Read(Option<VersionedLease>),
-    /// The write took effect, as this version of the row.
+    /// The write took effect.
     Committed {
-        /// The row's version.
+        /// Version of the row that was written.
         version: u64,
     },
-    /// The write didn't take effect: the row is this one.
+    /// The write did not take effect, because the row is this one.
     Conflict(Option<VersionedLease>),
-    /// The answer was lost: the write may have taken effect, or may yet.
+    /// The answer was lost: a write may have taken effect or may still do so.
     Lost,
-    /// The platform provably did nothing.
+    /// The platform is known not to have executed the step.
     Down,
 }
 
-/// What to do next.
+/// Next action of a state machine.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum LeaseStep {
     /// Read the row.
     Read,
-    /// Commit this; the lease counts from the `now` at which the step was made.
+    /// Write the row; the lease counts from the `now` at which this step was created.
     Commit {
-        /// Version that the row must have; `None`: absent.
+        /// Version that the row must have; `None`: the row must be absent.
         check: Option<u64>,
-        /// Text of the new row.
+        /// Text form of the new row.
         value: ByteString,
     },
-    /// Nothing, until the next tick.
+    /// Do nothing until the next tick.
     Idle,
-    /// Another incarnation has the row: this process must stop.
+    /// Another incarnation has the row; this process must stop.
     Superseded,
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,46 +1,36 @@
-//! Membership: leases, incarnations, the picture of live and leaving instances and its freshness.
+//! Membership: leases, incarnations, and a view of live and leaving instances with its freshness.
 //!
-//! Three things, apart from each other.
+//! The crate has three independent parts.
 //!
 //! The *lease* of an instance is a row of the platform's table. [`Joining`] takes it with the next
-//! incarnation, [`Holder`] renews it and counts from before each renewal was sent, [`Observer`]
-//! judges by its own clock whether another's has lapsed. What an instance holds under its lease
-//! may be taken by others only once it has lapsed for them, and that is after it lapsed for it.
+//! incarnation. [`Holder`] renews it and counts its validity from before each renewal was sent.
+//! [`Observer`] determines by its own clock whether the lease of another instance has lapsed. Other
+//! instances may take over what the holder had only once the lease has lapsed for them, which is
+//! after it lapsed for the holder.
 //!
-//! The *picture* ([`Picture`]) is what one daemon knows of instances and upstreams, by heartbeats,
-//! by summaries passed on, and by the platform's list, which is only a hint. Each fact carries
-//! when it was true at its source at worst; its [`Freshness`] narrows what it is used for. Leaving
-//! is one-way within an incarnation, whichever sign came first.
+//! The *view* ([`Picture`]) is what one daemon knows of instances and upstreams. Its sources are
+//! heartbeats, summaries relayed by other daemons, and the platform's list, which is only a hint.
+//! Each record carries a lower bound of the time at which it was true at its source; its
+//! [`Freshness`] restricts what it is used for. Leaving is irreversible within an incarnation,
+//! whichever source reported it first.
 //!
-//! The *partners* ([`partners()`]) are a choice of those to exchange heartbeats with: all of the own
-//! failure domain and few of elsewhere, so that the graph stays connected and small. The daemon adds
-//! the rest of its region, since members of one pool have to hear each other.
+//! The *partners* ([`partners()`]) are the instances that a daemon exchanges heartbeats with: all
+//! of its own failure domain and a few outside it, so that the graph stays connected and small. The
+//! daemon adds the rest of its region, because members of one pool need direct heartbeats.
 //!
-//! Start with `lease`, then `holder`. Reasons are in `docs/design/member.md`; the searches are in
-//! crate `model`.
+//! Start with `lease`, then `holder`. `docs/design/member.md` gives the reasons for the design; the
+//! state-space searches are in crate `model`.
 
-mod facts;
 mod guards;
 mod holder;
 mod joining;
 mod lease;
 mod observer;
 mod partners;
-mod picture;
+mod records;
 mod upstreams;
+mod view;
 
-pub use facts::{
-    BeatFacts,
-    Freshness,
-    InstanceFacts,
-    ListFacts,
-    ListedInstance,
-    ListedUpstream,
-    PictureTerms,
-    Summary,
-    UpstreamFacts,
-    UpstreamMark, //
-};
 pub use guards::Guards;
 pub use holder::Holder;
 pub use joining::{
@@ -66,7 +56,19 @@
     partners,
     Place, //
 };
-pub use picture::{
+pub use records::{
+    BeatFacts,
+    Freshness,
+    InstanceFacts,
+    ListFacts,
+    ListedInstance,
+    ListedUpstream,
+    PictureTerms,
+    Summary,
+    UpstreamMark,
+    UpstreamRecord, //
+};
+pub use view::{
     EntryCandidate,
     Picture, //
 };
--- a/crates/member/src/observer.rs
+++ b/crates/member/src/observer.rs
@@ -1,4 +1,4 @@
-//! Judging the leases of others, by one's own clock.
+//! Detection of lapsed leases of other instances by the local clock.
 
 use crate::{
     Guards,
@@ -13,41 +13,41 @@
 };
 use std::collections::BTreeMap;
 
-/// One renewal of another's lease.
+/// Latest renewal seen of another instance's lease.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Sighting {
+struct SeenRenewal {
     incarnation: Incarnation,
     seq: u64,
     state: LeaseState,
     version: u64,
-    /// When it was first known here; the renewal was sent earlier.
+    /// When this process first saw it; the renewal was sent earlier.
     first_seen_at: Now,
-    /// When the latest read that still shows it was sent.
+    /// When the latest read that still showed it was sent.
     last_read_sent_at: Now,
 }
 
-/// A lease that has lapsed.
+/// Lease that has lapsed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Lapse {
-    /// Life whose lease it was.
+    /// Incarnation that held the lease.
     pub incarnation: Incarnation,
     /// Version of the row.
     ///
-    /// Whoever takes what the lapsed holder had checks this version in the same transaction: a
-    /// renewal that landed meanwhile makes it fail.
+    /// A transaction that takes over what the holder had must check this version, so that it fails
+    /// if a renewal took effect in the meantime.
     pub version: u64,
 }
 
-/// What one process has seen of the others' leases.
+/// Leases of other instances as one process has seen them.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Observer {
     terms: LeaseTerms,
     guards: Guards,
-    seen: BTreeMap<InstanceId, Sighting>,
+    seen: BTreeMap<InstanceId, SeenRenewal>,
 }
 
 impl Observer {
-    /// Has seen nothing yet.
+    /// Creates an observer that has seen no leases.
     pub fn new(terms: LeaseTerms, guards: Guards) -> Self {
         Self {
             terms,
@@ -56,23 +56,23 @@
         }
     }
 
-    /// Takes a row that was read by a request sent at `read_sent_at`, answered at `now`.
+    /// Records a row that was read by a request sent at `read_sent_at` and answered at `now`.
     pub fn saw(&mut self, lease: &VersionedLease, read_sent_at: Now, now: Now) {
         let instance = &lease.row.identity.instance;
-        let same = self.seen.get_mut(instance).filter(|sighting| {
-            (sighting.incarnation, sighting.seq) == (lease.row.incarnation, lease.row.seq)
+        let same = self.seen.get_mut(instance).filter(|renewal| {
+            (renewal.incarnation, renewal.seq) == (lease.row.incarnation, lease.row.seq)
         });
-        if let Some(sighting) = same {
-            sighting.last_read_sent_at = sighting.last_read_sent_at.max(read_sent_at);
+        if let Some(renewal) = same {
+            renewal.last_read_sent_at = renewal.last_read_sent_at.max(read_sent_at);
             return;
         }
-        let older = self.seen.get(instance).is_some_and(|sighting| {
-            (sighting.incarnation, sighting.seq) > (lease.row.incarnation, lease.row.seq)
+        let older = self.seen.get(instance).is_some_and(|renewal| {
+            (renewal.incarnation, renewal.seq) > (lease.row.incarnation, lease.row.seq)
         });
         if older {
             return;
         }
-        let sighting = Sighting {
+        let renewal = SeenRenewal {
             incarnation: lease.row.incarnation,
             seq: lease.row.seq,
             state: lease.row.state,
@@ -80,35 +80,35 @@
             first_seen_at: now,
             last_read_sent_at: read_sent_at,
         };
-        self.seen.insert(instance.clone(), sighting);
+        self.seen.insert(instance.clone(), renewal);
     }
 
-    /// The lapse of `instance`'s lease, if it has lapsed at `now`.
+    /// Returns the lapse of `instance`'s lease if it has lapsed at `now`.
     ///
-    /// One that gave its lease back has lapsed at once. Silence of the platform proves nothing:
-    /// the holder may have renewed where this process couldn't see it, so a lapse needs a read
-    /// sent after the time was over.
+    /// A released lease has lapsed at once. While the platform does not answer, nothing is known:
+    /// the holder may have renewed without this process seeing it, so a lapse requires a read that
+    /// was sent after the lease's time had passed.
     pub fn lapse(&self, instance: &str, now: Now) -> Option<Lapse> {
-        let sighting = self.seen.get(instance)?;
+        let renewal = self.seen.get(instance)?;
         let lapsed_after = if self.guards.drift {
             self.terms.lapsed_after()
         } else {
             self.terms.ttl
         };
-        let over_at = sighting.first_seen_at + lapsed_after;
-        let judged_at = if self.guards.fresh_read {
-            sighting.last_read_sent_at
+        let lapses_at = renewal.first_seen_at + lapsed_after;
+        let checked_at = if self.guards.fresh_read {
+            renewal.last_read_sent_at
         } else {
             now
         };
-        let lapsed = sighting.state == LeaseState::Left || judged_at >= over_at;
+        let lapsed = renewal.state == LeaseState::Left || checked_at >= lapses_at;
         lapsed.then_some(Lapse {
-            incarnation: sighting.incarnation,
-            version: sighting.version,
+            incarnation: renewal.incarnation,
+            version: renewal.version,
         })
     }
 
-    /// Instances whose leases were seen.
+    /// Instances whose leases have been seen.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceId> {
         self.seen.keys()
     }
--- a/crates/member/src/partners.rs
+++ b/crates/member/src/partners.rs
@@ -1,9 +1,10 @@
-//! Who exchanges heartbeats with whom.
+//! Selection of heartbeat partners.
 //!
-//! A full mesh ends at a few dozen daemons. Here each daemon picks all of its failure domain, and
-//! by rendezvous hashing a few of each other failure domain of its region and a few of each other
-//! region. Picks are made alike by everyone from the same list, and a daemon joining or leaving
-//! changes only the picks that concern it. A session serves both its ends, so one pick suffices.
+//! A full mesh scales to a few dozen daemons only. Each daemon selects all instances of its own
+//! failure domain and, by rendezvous hashing, a few of each other failure domain of its region and
+//! a few of each other region. Every daemon computes the same selections from the same list, and a
+//! daemon that joins or leaves changes only the selections that involve it. A session carries
+//! heartbeats in both directions, so it is enough that one end selects the other.
 
 use base::{
     DomainId,
@@ -15,74 +16,82 @@
     collections::BTreeMap, //
 };
 
-/// Picks from each other failure domain of the own region.
+/// Partners selected from each other failure domain of the local region.
 const PER_OTHER_DOMAIN: usize = 2;
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Where an instance is.
+/// Region and failure domain of an instance.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Place {
-    /// Its name.
+    /// Name.
     pub instance: InstanceId,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: DomainId,
 }
 
-/// Those that `me` opens heartbeat sessions to, sorted; `all` may contain `me`.
+/// Instances that `me` opens heartbeat sessions to, sorted; `all` may contain `me`.
 ///
-/// The picks from a region are spread over its failure domains as far as `per_other_region`
-/// reaches, so that the loss of one domain leaves the others' links.
+/// The `per_other_region` partners in another region are spread over its failure domains, so that
+/// the loss of one domain leaves the links to the others intact.
 pub fn partners(me: &Place, all: &[Place], per_other_region: usize, seed: u64) -> Vec<InstanceId> {
-    let others = || all.iter().filter(|place| place.instance != me.instance);
-    let own_domain = others().filter(|place| domain_of(place) == domain_of(me));
-    let mut chosen: Vec<InstanceId> = own_domain.map(|place| place.instance.clone()).collect();
+    let others = || {
+        all.iter()
+            .filter(|location| location.instance != me.instance)
+    };
+    let own_domain = others().filter(|location| domain_of(location) == domain_of(me));
+    let mut selected: Vec<InstanceId> = own_domain
+        .map(|location| location.instance.clone())
+        .collect();
     let mut elsewhere: BTreeMap<&RegionId, Vec<&Place>> = BTreeMap::new();
-    for place in others().filter(|place| domain_of(place) != domain_of(me)) {
-        elsewhere.entry(&place.region).or_default().push(place);
+    for location in others().filter(|location| domain_of(location) != domain_of(me)) {
+        elsewhere
+            .entry(&location.region)
+            .or_default()
+            .push(location);
     }
-    for (region, places) in elsewhere {
-        let domains = by_rank(me, places, seed);
+    for (region, locations) in elsewhere {
+        let domains = ranked_by_domain(me, locations, seed);
         let count = if *region == me.region {
             PER_OTHER_DOMAIN * domains.len()
         } else {
             per_other_region
         };
-        chosen.extend(round_robin(domains).into_iter().take(count));
+        selected.extend(round_robin(domains).into_iter().take(count));
     }
-    chosen.sort();
-    chosen.dedup();
-    chosen
+    selected.sort();
+    selected.dedup();
+    selected
 }
 
-fn domain_of(place: &Place) -> (&RegionId, &DomainId) {
-    (&place.region, &place.failure_domain)
+fn domain_of(location: &Place) -> (&RegionId, &DomainId) {
+    (&location.region, &location.failure_domain)
 }
 
-/// One list for each failure domain, each with the best rank first, the best first of all.
-fn by_rank(me: &Place, places: Vec<&Place>, seed: u64) -> Vec<Vec<InstanceId>> {
-    let mut ranked: Vec<(Reverse<u64>, &Place)> = places
+/// Groups instances by failure domain, best rank first; the groups are ordered by their best rank.
+fn ranked_by_domain(me: &Place, locations: Vec<&Place>, seed: u64) -> Vec<Vec<InstanceId>> {
+    let mut ranked: Vec<(Reverse<u64>, &Place)> = locations
         .into_iter()
-        .map(|place| (Reverse(rank(me, place, seed)), place))
+        .map(|location| (Reverse(rank(me, location, seed)), location))
         .collect();
     ranked.sort();
     let mut order: Vec<&DomainId> = Vec::new();
     let mut domains: Vec<Vec<InstanceId>> = Vec::new();
-    for (_, place) in ranked {
-        let known = order.iter().position(|id| **id == place.failure_domain);
+    for (_, location) in ranked {
+        let known = order.iter().position(|id| **id == location.failure_domain);
         let index = known.unwrap_or_else(|| {
-            order.push(&place.failure_domain);
+            order.push(&location.failure_domain);
             domains.push(Vec::new());
             domains.len() - 1
         });
-        domains[index].push(place.instance.clone());
+        domains[index].push(location.instance.clone());
     }
     domains
 }
 
-/// The first of each list, then the second of each, and so on.
+/// Interleaves the lists: the first of each, then the second of each, and so on.
 fn round_robin(lists: Vec<Vec<InstanceId>>) -> Vec<InstanceId> {
     let longest = lists.iter().map(Vec::len).max().unwrap_or(0);
     (0..longest)
@@ -91,7 +100,7 @@
         .collect()
 }
 
-/// Rendezvous rank of `other` for `me`: the highest is picked first.
+/// Rendezvous rank of `other` for `me`; the highest rank is selected first.
 fn rank(me: &Place, other: &Place, seed: u64) -> u64 {
     let mut hash = FNV_OFFSET ^ seed;
     let separator = [0_u8];
@@ -106,8 +115,8 @@
     mix(hash)
 }
 
-/// Spreads the low bits over the whole word: names that differ in their last digit would
-/// otherwise rank alike for everyone.
+/// Spreads the low bits over the whole word. Without it, names that differ only in their last digit
+/// would rank in the same order for every daemon.
 fn mix(mut word: u64) -> u64 {
     word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/member/src/facts.rs
+++ b/crates/member/src/records.rs
@@ -1,4 +1,4 @@
-//! What is known of one instance or upstream, and how fresh it is.
+//! Records of instances and upstreams, and their freshness.
 
 use crate::{
     Identity,
@@ -20,16 +20,17 @@
 };
 use std::time::Duration;
 
-/// How old facts may be.
+/// Ages at which records lose their freshness or are dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PictureTerms {
-    /// Younger is fresh: full use. A few heartbeats.
+    /// Records younger than this are fresh and fully used; a few heartbeat intervals.
     pub fresh_for: Duration,
-    /// Younger is old: no growth, no new shifts. Past it: silent.
+    /// Records younger than this are old: no growth and no new shifts. Older ones are silent.
     pub old_for: Duration,
-    /// An instance that is neither listed nor heard of for so long is forgotten.
+    /// An instance that was neither listed nor reported for this long is dropped.
     pub forget_after: Duration,
-    /// An upstream marked as leaving that the list shows as live for so long has come back.
+    /// An upstream that the list still shows as live this long after it was marked as leaving has
+    /// come back.
     pub revive_after: Duration,
 }
 
@@ -45,12 +46,12 @@
 }
 
 impl PictureTerms {
-    /// Freshness at `now` of what was true at `true_at`, or never heard.
-    pub fn freshness(&self, true_at: Option<Now>, now: Now) -> Freshness {
-        let Some(true_at) = true_at else {
+    /// Freshness at `now` of a record that was true at `as_of`; `None` means never reported.
+    pub fn freshness(&self, as_of: Option<Now>, now: Now) -> Freshness {
+        let Some(as_of) = as_of else {
             return Freshness::Silent;
         };
-        let age = now.saturating_sub(true_at);
+        let age = now.saturating_sub(as_of);
         if age < self.fresh_for {
             Freshness::Fresh
         } else if age < self.old_for {
@@ -61,7 +62,7 @@
     }
 }
 
-/// How far a fact may be trusted, by its age.
+/// How far a record may be relied on, by its age.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Freshness {
@@ -69,81 +70,82 @@
     Fresh,
     /// No growth, no new shifts.
     Old,
-    /// Nothing is known; what is held may be kept, nothing new where another will do.
+    /// The current state is unknown: existing assignments may be kept, and new ones are made only
+    /// if there is no alternative.
     Silent,
 }
 
-/// What a heartbeat says of its sender.
+/// State of the sender of a heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BeatFacts {
-    /// Sender, and where it is.
+    /// Name and location of the sender.
     pub identity: Identity,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Configuration in force there.
+    /// Configuration in force at the sender.
     pub version: Version,
-    /// How far its life is.
+    /// Lease state of the sender.
     pub state: LeaseState,
-    /// How long ago this was true, at worst: a whole round trip where the way here isn't known.
+    /// Upper bound of the heartbeat's age; a whole round trip if the one-way delay is unknown.
     pub age: Duration,
 }
 
-/// What a daemon passes on of another instance.
+/// State of an instance as another daemon relays it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Summary {
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Configuration in force there.
+    /// Configuration in force at the instance.
     pub version: Version,
-    /// How far its life is.
+    /// Lease state of the instance.
     pub state: LeaseState,
-    /// How long ago this was true, at worst, when the summary was made; milliseconds.
+    /// Upper bound of the state's age when the summary was made, in milliseconds.
     pub age_ms: u64,
-    /// Where it is, if the platform's list may not say so.
+    /// Name and location of the instance, if the platform's list may not contain it.
     pub identity: Option<Identity>,
 }
 
-/// A sign that an upstream is leaving, passed on.
+/// Report that an upstream is leaving, as another daemon relays it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct UpstreamMark {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// How long ago the sign was seen, at worst; milliseconds.
+    /// Upper bound of the report's age, in milliseconds.
     pub age_ms: u64,
 }
 
-/// One instance of the platform's list.
+/// Instance in the platform's list.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ListedInstance {
-    /// Its name and where it is.
+    /// Name and location.
     pub identity: Identity,
-    /// Whether the list says that it leaves.
+    /// Whether the list shows it as leaving.
     pub is_leaving: bool,
 }
 
-/// One upstream of the platform's list.
+/// Upstream in the platform's list.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ListedUpstream {
-    /// Its name.
+    /// Name.
     pub id: UpstreamId,
-    /// Whose work it does.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: DomainId,
-    /// Where it is reached.
+    /// Address that takes requests.
     pub addr: ByteString,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether the list says that it leaves.
+    /// Whether the list shows it as leaving.
     pub is_leaving: bool,
 }
 
 /// The platform's list.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ListFacts {
-    /// How long ago the list was true, at worst.
+    /// Upper bound of the list's age.
     pub age: Duration,
     /// Instances.
     pub instances: Vec<ListedInstance>,
@@ -151,45 +153,46 @@
     pub upstreams: Vec<ListedUpstream>,
 }
 
-/// What is known of an instance.
+/// Known state of an instance.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct InstanceFacts {
-    /// Its name and where it is.
+    /// Name and location.
     pub identity: Identity,
-    /// Its life; 0 before it was heard of by heartbeat.
+    /// Latest known incarnation; 0 until a heartbeat or a summary reports one.
     pub incarnation: Incarnation,
-    /// Configuration in force there, at least.
+    /// Lower bound of the configuration version in force at the instance.
     pub version: Version,
-    /// How far its life is; only grows within an incarnation.
+    /// Lease state; only advances within an incarnation.
     pub state: LeaseState,
-    /// When it was last true at the instance, at worst; `None`: known by the list only.
+    /// Lower bound of the time at which the record was last true at the instance; `None` if only
+    /// the list names it.
     pub true_at: Option<Now>,
-    /// When this incarnation was first heard of.
+    /// When this incarnation was first reported.
     pub incarnation_since: Now,
     /// Whether the latest list names it.
     pub is_listed: bool,
 }
 
-/// What is known of an upstream.
+/// Known state of an upstream.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct UpstreamFacts {
-    /// As the list last named it.
+pub struct UpstreamRecord {
+    /// Latest list entry.
     pub listed: ListedUpstream,
-    /// When it was first marked as leaving in this life.
-    pub left_at: Option<Now>,
-    /// Since when it counts as alive in this life: older signs of leaving are of an earlier one.
+    /// When it was first marked as leaving in its current lifetime.
+    pub leaving_since: Option<Now>,
+    /// Start of its current lifetime; earlier reports of leaving belong to a previous one.
     pub alive_since: Now,
-    /// When it was last known to answer, at worst.
-    pub true_at: Option<Now>,
+    /// Lower bound of the time at which it last answered.
+    pub as_of: Option<Now>,
     /// Whether the latest list names it.
     pub is_listed: bool,
     /// Whether a list has shown it as leaving or absent since it was marked.
     pub seen_gone: bool,
 }
 
-impl UpstreamFacts {
+impl UpstreamRecord {
     /// Whether it takes no new work.
     pub fn is_leaving(&self) -> bool {
-        self.left_at.is_some()
+        self.leaving_since.is_some()
     }
 }
--- a/crates/member/src/upstreams.rs
+++ b/crates/member/src/upstreams.rs
@@ -1,13 +1,13 @@
-//! What one daemon knows of the upstreams.
+//! Upstreams known to one daemon.
 //!
-//! Upstreams have no incarnation of their own, so a life of one is told by times: it begins when
-//! the list first shows it, or shows it again after it was gone, and signs of leaving that are
-//! older belong to the life before.
+//! Upstreams have no incarnation number, so their lifetimes are distinguished by time: a lifetime
+//! starts when the list first shows the upstream, or shows it again after it was gone. Older
+//! reports of leaving belong to the previous lifetime.
 
 use crate::{
     ListedUpstream,
-    UpstreamFacts,
     UpstreamMark, //
+    UpstreamRecord,
 };
 use base::{
     Now,
@@ -21,45 +21,45 @@
 /// Upstreams by name.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Upstreams {
-    by_id: BTreeMap<UpstreamId, UpstreamFacts>,
-    /// Marks of upstreams that no list has named yet.
-    early_marks: BTreeMap<UpstreamId, Now>,
+    by_id: BTreeMap<UpstreamId, UpstreamRecord>,
+    /// Leaving marks of upstreams that no list has named yet.
+    unlisted_marks: BTreeMap<UpstreamId, Now>,
 }
 
 impl Upstreams {
-    pub(crate) fn get(&self, upstream: &str) -> Option<&UpstreamFacts> {
+    pub(crate) fn get(&self, upstream: &str) -> Option<&UpstreamRecord> {
         self.by_id.get(upstream)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamFacts)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&UpstreamId, &UpstreamRecord)> {
         self.by_id.iter()
     }
 
-    /// Takes a sign of leaving that was true at `true_at`; returns whether it was news.
-    pub(crate) fn leaving(&mut self, upstream: &str, true_at: Now) -> bool {
-        let Some(facts) = self.by_id.get_mut(upstream) else {
+    /// Marks an upstream as leaving since `as_of`; returns whether the mark is new.
+    pub(crate) fn mark_leaving(&mut self, upstream: &str, as_of: Now) -> bool {
+        let Some(record) = self.by_id.get_mut(upstream) else {
             let id = UpstreamId::from(upstream);
-            return self.early_marks.insert(id, true_at).is_none();
+            return self.unlisted_marks.insert(id, as_of).is_none();
         };
-        if facts.is_leaving() || true_at < facts.alive_since {
+        if record.is_leaving() || as_of < record.alive_since {
             return false;
         }
-        facts.left_at = Some(true_at);
-        facts.seen_gone = false;
+        record.leaving_since = Some(as_of);
+        record.seen_gone = false;
         true
     }
 
-    pub(crate) fn answered(&mut self, upstream: &str, true_at: Now) {
-        if let Some(facts) = self.by_id.get_mut(upstream) {
-            facts.true_at = facts.true_at.max(Some(true_at));
+    pub(crate) fn record_answer(&mut self, upstream: &str, as_of: Now) {
+        if let Some(record) = self.by_id.get_mut(upstream) {
+            record.as_of = record.as_of.max(Some(as_of));
         }
     }
 
     pub(crate) fn marks(&self, now: Now) -> Vec<UpstreamMark> {
         self.by_id
             .iter()
-            .filter_map(|(id, facts)| {
-                let age = now.saturating_sub(facts.left_at?);
+            .filter_map(|(id, record)| {
+                let age = now.saturating_sub(record.leaving_since?);
                 Some(UpstreamMark {
                     upstream: id.clone(),
                     age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
@@ -68,52 +68,58 @@
             .collect()
     }
 
-    /// Takes the list, true at `true_at`.
-    pub(crate) fn listed(&mut self, list: &[ListedUpstream], true_at: Now, revive_after: Duration) {
-        for facts in self.by_id.values_mut() {
-            facts.is_listed = false;
+    /// Applies the platform's list as of `as_of`.
+    pub(crate) fn apply_list(
+        &mut self,
+        list: &[ListedUpstream],
+        as_of: Now,
+        revive_after: Duration,
+    ) {
+        for record in self.by_id.values_mut() {
+            record.is_listed = false;
         }
         for listed in list {
-            self.list_one(listed, true_at, revive_after);
+            self.apply_listed(listed, as_of, revive_after);
         }
-        for facts in self.by_id.values_mut().filter(|facts| !facts.is_listed) {
-            facts.seen_gone = true;
+        for record in self.by_id.values_mut().filter(|record| !record.is_listed) {
+            record.seen_gone = true;
         }
     }
 
-    fn list_one(&mut self, listed: &ListedUpstream, true_at: Now, revive_after: Duration) {
-        let early_mark = self.early_marks.remove(&listed.id);
-        let facts = self
+    fn apply_listed(&mut self, listed: &ListedUpstream, as_of: Now, revive_after: Duration) {
+        let unlisted_mark = self.unlisted_marks.remove(&listed.id);
+        let record = self
             .by_id
             .entry(listed.id.clone())
-            .or_insert_with(|| UpstreamFacts {
+            .or_insert_with(|| UpstreamRecord {
                 listed: listed.clone(),
-                left_at: early_mark,
+                leaving_since: unlisted_mark,
                 alive_since: Now::ZERO,
-                true_at: None,
+                as_of: None,
                 is_listed: true,
                 seen_gone: false,
             });
-        facts.is_listed = true;
+        record.is_listed = true;
         if listed.is_leaving {
-            facts.left_at.get_or_insert(true_at);
-            facts.seen_gone = true;
-        } else if has_come_back(facts, true_at, revive_after) {
-            facts.left_at = None;
-            facts.seen_gone = false;
-            facts.alive_since = true_at;
+            record.leaving_since.get_or_insert(as_of);
+            record.seen_gone = true;
+        } else if is_next_lifetime(record, as_of, revive_after) {
+            record.leaving_since = None;
+            record.seen_gone = false;
+            record.alive_since = as_of;
         }
-        facts.listed = listed.clone();
+        record.listed = listed.clone();
     }
 }
 
-/// Whether a list that shows it as live, true at `true_at`, speaks of a life after the mark.
+/// Whether a list as of `as_of` that shows the upstream as live refers to a lifetime after the mark.
 ///
-/// A list that lags shows a leaving upstream as live for a while. So it has to have shown it as
-/// gone first; or, for a restart too quick for that, to go on long after the mark.
-fn has_come_back(facts: &UpstreamFacts, true_at: Now, revive_after: Duration) -> bool {
-    facts.left_at.is_some_and(|left_at| {
-        let later = true_at > left_at;
-        later && (facts.seen_gone || true_at >= left_at + revive_after)
+/// A delayed list shows a leaving upstream as live for a while. So a list must have shown it as
+/// gone first or, if it restarted too quickly for that, still show it as live `revive_after` past
+/// the mark.
+fn is_next_lifetime(record: &UpstreamRecord, as_of: Now, revive_after: Duration) -> bool {
+    record.leaving_since.is_some_and(|leaving_since| {
+        let later = as_of > leaving_since;
+        later && (record.seen_gone || as_of >= leaving_since + revive_after)
     })
 }
--- a/crates/member/tests/lease.rs
+++ b/crates/member/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Lease rows as texts, and a holder's life; orders of events are searched in `model`.
+//! Text form of lease rows, and single steps of holders and observers. Crate `model` searches all
+//! orders of events.
 
 use base::Now;
 use member::{
@@ -49,15 +50,16 @@
     Now::from_secs(seconds)
 }
 
-/// Joins over a row of life 4 at 0 s; its write is answered at 1 s as version 20.
+/// Holder that joined over a row of incarnation 4 at 0 s; its write was answered at 1 s with version
+/// 20.
 fn holder() -> Holder {
     let joining = Joining::new(identity(), terms(), Guards::default());
-    let last = VersionedLease {
+    let previous = VersionedLease {
         version: 9,
         row: row(4, 77, LeaseState::Left),
     };
-    let Joined::Not(joining, step) = joining.on(LeaseEvent::Read(Some(last)), at(0)) else {
-        panic!("it has to write first");
+    let Joined::Not(joining, step) = joining.on(LeaseEvent::Read(Some(previous)), at(0)) else {
+        panic!("a join writes the row before it holds the lease");
     };
     let expected = LeaseStep::Commit {
         check: Some(9),
@@ -66,12 +68,12 @@
     assert_eq!(step, expected);
     match joining.on(LeaseEvent::Committed { version: 20 }, at(1)) {
         Joined::Holder(holder) => holder,
-        Joined::Not(..) => panic!("it committed"),
+        Joined::Not(..) => panic!("a committed join holds the lease"),
     }
 }
 
 #[test]
-fn rows_read_as_written() {
+fn rows_round_trip_through_text() {
     for state in [LeaseState::Live, LeaseState::Leaving, LeaseState::Left] {
         let row = row(u64::MAX, 3, state);
         assert_eq!(row.to_string().parse(), Ok(row));
@@ -86,9 +88,10 @@
     }
 }
 
-/// Symptom: a holder that was paused in its renewal uses what others have taken.
+/// Guards against a holder that is paused during its renewal and then uses what others have taken
+/// over.
 #[test]
-fn a_lease_counts_from_before_its_write_was_sent() {
+fn lease_counts_from_before_its_write_was_sent() {
     let holder = holder();
     assert_eq!((holder.incarnation(), holder.valid_until()), (5, at(9)));
     assert!(holder.is_valid(at(8)) && !holder.is_valid(at(9)));
@@ -117,34 +120,35 @@
 }
 
 renewal! {
-    one_that_commits: LeaseEvent::Committed { version: 21 } => LeaseStep::Idle, 12, 0;
-    one_whose_answer_is_lost: LeaseEvent::Lost => LeaseStep::Read, 9, 0;
-    one_found_in_the_row: LeaseEvent::Read(current(5, 2)) => LeaseStep::Idle, 12, 0;
-    one_not_found_in_the_row: LeaseEvent::Read(current(5, 1)) => LeaseStep::Commit { .. }, 9, 0;
-    one_in_an_outage: LeaseEvent::Down => LeaseStep::Idle, 9, 0;
-    one_after_a_later_life: LeaseEvent::Conflict(current(6, 1)) => LeaseStep::Superseded, 0, 0;
-    one_whose_row_is_gone: LeaseEvent::Conflict(None) => LeaseStep::Superseded, 0, 0;
+    renewal_that_commits: LeaseEvent::Committed { version: 21 } => LeaseStep::Idle, 12, 0;
+    renewal_with_lost_answer: LeaseEvent::Lost => LeaseStep::Read, 9, 0;
+    renewal_found_in_row: LeaseEvent::Read(current(5, 2)) => LeaseStep::Idle, 12, 0;
+    renewal_not_found_in_row: LeaseEvent::Read(current(5, 1)) => LeaseStep::Commit { .. }, 9, 0;
+    renewal_during_outage: LeaseEvent::Down => LeaseStep::Idle, 9, 0;
+    renewal_after_later_incarnation: LeaseEvent::Conflict(current(6, 1)) => LeaseStep::Superseded, 0, 0;
+    renewal_with_row_removed: LeaseEvent::Conflict(None) => LeaseStep::Superseded, 0, 0;
 }
 
-/// Symptom: a woken holder uses slots that others have had since.
+/// Guards against a resumed holder that still uses slots which others have taken over since its
+/// lease lapsed.
 #[test]
-fn a_renewal_after_the_lapse_counts_as_a_gap() {
+fn renewal_after_lapse_counts_as_gap() {
     let mut holder = holder();
     assert!(matches!(holder.tick(at(8)), LeaseStep::Commit { .. }));
     holder.on(LeaseEvent::Committed { version: 21 }, at(9));
     assert_eq!((holder.valid_until(), holder.gaps()), (at(17), 1));
 }
 
-/// The platform is down while the instance stops: it holds nothing all the same, and goes on
-/// trying to say so.
+/// The platform is down while the instance stops: the lease is not held from the release on, and
+/// the holder retries the write of the released row.
 #[test]
-fn a_released_lease_is_not_held_and_gets_written() {
+fn released_lease_is_not_held_and_its_row_is_written() {
     let mut holder = holder();
     holder.leave();
     assert!(matches!(holder.tick(at(1)), LeaseStep::Commit { .. }));
     assert!(
         matches!(holder.tick(at(1)), LeaseStep::Idle),
-        "one step at a time"
+        "only one step is in progress at a time"
     );
     holder.on(LeaseEvent::Committed { version: 21 }, at(1));
     assert!(holder.is_valid(at(2)));
@@ -159,14 +163,15 @@
     assert!(matches!(holder.tick(at(60)), LeaseStep::Idle));
 }
 
-/// Sightings of life 5: (renewal, read sent at, answered at), then whether it has lapsed at 50 s.
+/// Reads of incarnation 5 as (sequence number, read sent at, answered at), and whether its lease has
+/// lapsed at 50 s.
 macro_rules! observed {
-    ($($name:ident: [$($sighting:expr),*], $state:ident => $lapsed:literal;)*) => {
+    ($($name:ident: [$($read:expr),*], $state:ident => $lapsed:literal;)*) => {
         $(#[test]
         fn $name() {
             let mut observer = Observer::new(terms(), Guards::default());
-            let sightings: &[(u64, u64, u64)] = &[$($sighting),*];
-            for (seq, sent, answered) in sightings {
+            let reads: &[(u64, u64, u64)] = &[$($read),*];
+            for (seq, sent, answered) in reads {
                 let lease = VersionedLease {
                     version: 100 + seq,
                     row: row(5, *seq, LeaseState::$state),
@@ -180,11 +185,11 @@
 }
 
 observed! {
-    never: [], Live => false;
-    once_long_ago: [(1, 0, 1)], Live => false;
-    again_just_before_its_end: [(1, 0, 1), (1, 11, 12)], Live => false;
-    again_after_its_end: [(1, 0, 1), (1, 12, 13)], Live => true;
-    renewed: [(1, 0, 1), (2, 12, 13)], Live => false;
-    renewed_and_an_older_read_late: [(1, 0, 1), (2, 5, 6), (1, 12, 20)], Live => false;
-    given_back: [(1, 0, 1)], Left => true;
+    lease_never_read: [], Live => false;
+    lease_read_once_long_ago: [(1, 0, 1)], Live => false;
+    lease_read_again_before_its_end: [(1, 0, 1), (1, 11, 12)], Live => false;
+    lease_read_again_after_its_end: [(1, 0, 1), (1, 12, 13)], Live => true;
+    lease_renewed: [(1, 0, 1), (2, 12, 13)], Live => false;
+    lease_renewed_and_older_read_delayed: [(1, 0, 1), (2, 5, 6), (1, 12, 20)], Live => false;
+    lease_released: [(1, 0, 1)], Left => true;
 }
--- a/crates/member/tests/partners.rs
+++ b/crates/member/tests/partners.rs
@@ -1,4 +1,4 @@
-//! Heartbeat graphs at the sizes of today and to come.
+//! Heartbeat graphs of 12, 60 and 530 daemons: reachability, hop count and sessions per daemon.
 
 use member::{
     partners,
@@ -13,8 +13,8 @@
 const DOMAINS: usize = 2;
 const PER_OTHER_REGION: usize = 2;
 
-/// `count` daemons, spread evenly.
-fn places(count: usize) -> Vec<Place> {
+/// `count` daemons, spread evenly over regions and failure domains.
+fn locations(count: usize) -> Vec<Place> {
     (0..count)
         .map(|index| Place {
             instance: format!("i{index}").into(),
@@ -24,11 +24,11 @@
         .collect()
 }
 
-/// Sessions between those of `all` that are in `alive`; each serves both its ends.
+/// Adjacency of the sessions between the `alive` daemons; a session carries heartbeats both ways.
 fn graph(all: &[Place], alive: &[usize], seed: u64) -> Vec<BTreeSet<usize>> {
     let index: BTreeMap<_, _> = (0..)
         .zip(all)
-        .map(|(n, place)| (&place.instance, n))
+        .map(|(n, location)| (&location.instance, n))
         .collect();
     let mut edges = vec![BTreeSet::new(); all.len()];
     for &from in alive {
@@ -43,33 +43,34 @@
     edges
 }
 
-/// Rounds until news of `from` has reached all that it ever reaches, and how many these are.
+/// Number of rounds until a summary of `from` has reached every daemon that it can reach, and the
+/// number of these daemons.
 fn spread(edges: &[BTreeSet<usize>], from: usize) -> (usize, usize) {
     let mut reached = BTreeSet::from([from]);
-    let mut newest = reached.clone();
+    let mut frontier = reached.clone();
     let mut rounds = 0;
     loop {
-        let next: BTreeSet<usize> = newest.iter().flat_map(|at| edges[*at].clone()).collect();
-        newest = next.difference(&reached).copied().collect();
-        if newest.is_empty() {
+        let next: BTreeSet<usize> = frontier.iter().flat_map(|at| edges[*at].clone()).collect();
+        frontier = next.difference(&reached).copied().collect();
+        if frontier.is_empty() {
             return (rounds, reached.len());
         }
-        reached.extend(&newest);
+        reached.extend(&frontier);
         rounds += 1;
     }
 }
 
 fn check_spread(count: usize, is_lost: fn(&Place) -> bool, rounds_max: usize) {
-    let all = places(count);
+    let all = locations(count);
     let alive: Vec<usize> = (0..count).filter(|index| !is_lost(&all[*index])).collect();
     for seed in 0..3 {
         let edges = graph(&all, &alive, seed);
         for &from in alive.iter().step_by(1 + count / 60) {
             let (rounds, reached) = spread(&edges, from);
-            assert_eq!(reached, alive.len(), "seed {seed}, news of {from}");
+            assert_eq!(reached, alive.len(), "seed {seed}, summaries of {from}");
             assert!(
                 rounds <= rounds_max,
-                "seed {seed}, news of {from}: {rounds}"
+                "seed {seed}, summaries of {from}: {rounds} rounds"
             );
         }
         let most = edges.iter().map(BTreeSet::len).max().unwrap_or(0);
@@ -82,16 +83,16 @@
     }
 }
 
-fn none(_: &Place) -> bool {
+fn nothing(_: &Place) -> bool {
     false
 }
 
-fn a_domain(place: &Place) -> bool {
-    place.region == "r0" && place.failure_domain == "f0"
+fn one_domain(location: &Place) -> bool {
+    location.region == "r0" && location.failure_domain == "f0"
 }
 
-fn a_region(place: &Place) -> bool {
-    place.region == "r0"
+fn one_region(location: &Place) -> bool {
+    location.region == "r0"
 }
 
 macro_rules! spreads {
@@ -104,36 +105,36 @@
 }
 
 spreads! {
-    among_12: 12, none, 3;
-    among_12_without_a_domain: 12, a_domain, 4;
-    among_12_without_a_region: 12, a_region, 4;
-    among_60: 60, none, 3;
-    among_60_without_a_domain: 60, a_domain, 3;
-    among_530: 530, none, 3;
-    among_530_without_a_domain: 530, a_domain, 3;
-    among_530_without_a_region: 530, a_region, 3;
+    spread_among_12: 12, nothing, 3;
+    spread_among_12_without_one_domain: 12, one_domain, 4;
+    spread_among_12_without_one_region: 12, one_region, 4;
+    spread_among_60: 60, nothing, 3;
+    spread_among_60_without_one_domain: 60, one_domain, 3;
+    spread_among_530: 530, nothing, 3;
+    spread_among_530_without_one_domain: 530, one_domain, 3;
+    spread_among_530_without_one_region: 530, one_region, 3;
 }
 
-/// Symptom: each start of an instance reopens sessions all over. The picks depended on the length
-/// or order of the list.
+/// Guards against a selection that depends on the length or order of the list: the start of one
+/// instance then reopens sessions at all others.
 #[test]
-fn one_more_daemon_changes_few_picks() {
-    let before = places(60);
-    let mut after = places(61);
+fn one_more_daemon_changes_few_partners() {
+    let before = locations(60);
+    let mut after = locations(61);
     after.reverse();
-    let new = &places(61)[60].instance;
+    let added = &locations(61)[60].instance;
     for me in &before {
         let old = partners(me, &before, PER_OTHER_REGION, 7);
-        let mut picks = partners(me, &after, PER_OTHER_REGION, 7);
-        picks.retain(|id| id != new);
-        let dropped = old.iter().filter(|id| !picks.contains(id)).count();
-        assert!(dropped <= 1, "{}: {dropped} picks dropped", me.instance);
-        assert!(picks.iter().all(|id| old.contains(id)));
+        let mut selected = partners(me, &after, PER_OTHER_REGION, 7);
+        selected.retain(|id| id != added);
+        let dropped = old.iter().filter(|id| !selected.contains(id)).count();
+        assert!(dropped <= 1, "{}: {dropped} partners dropped", me.instance);
+        assert!(selected.iter().all(|id| old.contains(id)));
     }
 }
 
 #[test]
-fn any_list_gives_picks_from_it_without_oneself() {
+fn partners_are_listed_and_sorted_without_self() {
     bolero::check!()
         .with_type::<(Vec<(u8, u8, u8)>, u8, u64)>()
         .with_iterations(2_000)
@@ -147,11 +148,11 @@
                 })
                 .collect();
             let Some(me) = all.first() else { return };
-            let picks = partners(me, &all, usize::from(per_other_region % 5), *seed);
-            assert!(!picks.contains(&me.instance));
-            assert!(picks.windows(2).all(|pair| pair[0] < pair[1]));
-            assert!(picks
+            let selected = partners(me, &all, usize::from(per_other_region % 5), *seed);
+            assert!(!selected.contains(&me.instance));
+            assert!(selected.windows(2).all(|pair| pair[0] < pair[1]));
+            assert!(selected
                 .iter()
-                .all(|id| all.iter().any(|place| place.instance == *id)));
+                .all(|id| all.iter().any(|location| location.instance == *id)));
         });
 }
