--- a/crates/picture/src/lib.rs
+++ b/crates/picture/src/lib.rs
@@ -1,27 +1,28 @@
-//! What an entry knows of routes, evacuations and upstreams, by whatever way it learnt it.
+//! An entry's view of routes, evacuations and upstreams, merged from the store and from other entries.
 //!
-//! Start with [`Picture`]. It takes rows of the store's tables, whole tables, and what other entries
-//! tell of theirs ([`UpstreamUpdate`]), and says which upstreams get work. Every statement carries
-//! the version of the row that it is of, so their order and way don't matter. [`Reach`] is how far a
-//! picture reaches; who hears of a farther one asks for it.
+//! Start with [`Picture`]. It applies single rows of the store's tables, whole tables, and updates from
+//! other entries ([`UpstreamUpdate`]), and determines which upstreams get work. Every update carries the
+//! version of the row that it is based on, so updates may arrive in any order and from any source.
+//! [`Reach`] summarises the versions that a view contains; an entry that learns of a more recent view
+//! requests it.
 //!
 //! Invariants: no clock, socket or randomness; `now` is an argument. A version of the routes is replaced
-//! by a higher one only. An upstream whose removal is known without doubt, or that was seen leaving, is
-//! closed until a row of a higher version lists it. `model` walks every order of rows, outages,
-//! messages and restarts of a small instance over these very functions; [`Guards`] turns the guards off
-//! that it has to find.
+//! by a higher one only. An upstream whose removal is certain, or that was seen leaving, stays closed
+//! until a row of a higher version lists it. Crate `model` searches all orders of rows, outages, messages
+//! and restarts of a small deployment with these functions; [`Guards`] disables the safety checks that the
+//! search must find to be necessary.
 
-mod picture;
 mod update;
+mod view;
 
-pub use picture::{
-    Applied,
-    Guards,
-    Picture, //
-};
 pub use update::{
     Evacuation,
     ListedUpstream,
     Reach,
     UpstreamUpdate, //
 };
+pub use view::{
+    Applied,
+    Guards,
+    Picture, //
+};
--- a/crates/picture/src/update.rs
+++ b/crates/picture/src/update.rs
@@ -1,4 +1,4 @@
-//! Statements that a picture takes and gives.
+//! Records and updates that a view consumes and produces.
 
 use base::{
     DomainId,
@@ -16,60 +16,60 @@
     time::Duration, //
 };
 
-/// An incarnation of an upstream as the store lists it.
+/// Incarnation of an upstream as the store lists it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedUpstream {
-    /// Its name, which an earlier incarnation may have had.
+    /// Name; earlier incarnations may have had the same one.
     pub id: UpstreamId,
-    /// The service that it serves.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Its region.
+    /// Region.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain.
     pub failure_domain: DomainId,
-    /// Where it takes requests.
+    /// Address that takes requests.
     pub addr: SocketAddr,
-    /// Requests that it works on at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to go.
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// How much longer it stays cold, when the row was written.
+    /// Remaining time for which it stays cold, as of the write of the row.
     pub cold_left: Duration,
-    /// When it started, in Unix milliseconds by its own clock; zero if it doesn't say. An upstream may start again
-    /// under its name: it then knows nothing of before, and a later start is another incarnation.
+    /// Start time in Unix milliseconds by its own clock; zero if not reported. An upstream that restarts
+    /// under the same name has lost its state, so a later start is another incarnation.
     #[serde(default)]
     pub started_ms: u64,
 }
 
-/// A statement about one failure domain.
+/// Evacuation state of a failure domain.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Evacuation {
-    /// It is evacuated.
+    /// Whether it is evacuated.
     pub on: bool,
-    /// Version of the row that says so.
+    /// Version of the row that set this state.
     pub version: u64,
 }
 
-/// One upstream, as entries tell each other.
+/// State of an upstream as entries exchange it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct UpstreamUpdate {
-    /// As it was listed last.
+    /// Latest listing.
     pub listed: ListedUpstream,
-    /// Version of the row that this is of, or of its removal.
+    /// Version of the row, or of its removal.
     pub version: u64,
-    /// Its row was removed.
+    /// Whether its row was removed.
     pub gone: bool,
-    /// How much longer it stays cold, at the sender.
+    /// Remaining time for which it stays cold, according to the sender.
     pub cold_left: Duration,
 }
 
-/// How far a picture reaches.
+/// Newest version of each kind of row in a view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reach {
-    /// Routes in force.
+    /// Version of the routes in force.
     pub routes: Version,
-    /// Newest row about an evacuation.
+    /// Newest version of an evacuation row.
     pub operator: u64,
-    /// Newest row about an upstream.
+    /// Newest version of an upstream row.
     pub upstreams: u64,
 }
--- a/crates/picture/src/picture.rs
+++ b/crates/picture/src/view.rs
@@ -1,8 +1,8 @@
-//! The picture, and how it applies updates.
+//! The view, and how updates are applied to it.
 //!
-//! They come from the store's feeds or, when those are cut off, from other entries that still hear
-//! the store. Both carry the version of the row that they are of; older updates change nothing, so the
-//! order in which they arrive doesn't matter.
+//! Updates come from the store's feeds or, while the store is unreachable, from other entries that can
+//! still read it. Each update carries the version of the row that it is based on. Older updates change
+//! nothing, so the order of arrival doesn't matter.
 
 use crate::update::{
     Evacuation,
@@ -24,44 +24,47 @@
     time::Duration, //
 };
 
-/// How long an upstream whose row went missing around an outage of the store stays open: rows that
-/// expired meanwhile are written again within about two seconds of its return.
-const MISSING_GRACE: Duration = Duration::from_millis(1500);
-/// How long a removed row's version is remembered, so that older updates don't bring it back.
-const REMOVED_MEMORY: Duration = Duration::from_secs(60);
-/// How long the upstreams of a failure domain count as cold after its evacuation was taken back,
-/// unless their rows say something else: two of their usual intervals of writing.
+/// Time for which an upstream whose row disappeared during an outage of the store stays open. Rows that
+/// expired in the outage are written again within about two seconds of the store's return.
+const REMOVAL_GRACE: Duration = Duration::from_millis(1500);
+/// Time for which the version of a removed row is kept, so that older updates don't restore the row.
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
+/// Time for which the upstreams of a failure domain count as cold after the end of its evacuation,
+/// unless newer rows of theirs say otherwise: two of their usual write intervals.
 const COLD_AFTER_EVACUATION: Duration = Duration::from_secs(3);
 
-/// An upstream and the version of the row that said so.
+/// Upstream with the version of its latest row.
 #[derive(Clone, Debug)]
 struct KnownUpstream {
     listed: ListedUpstream,
     version: u64,
     cold_until: Now,
-    /// Version of the end of its failure domain's last evacuation. Rows from before it don't say how cold it is since.
-    back_since: u64,
-    /// Closed from then on, because its row is gone.
-    gone_at: Option<Now>,
+    /// Version that ended the last evacuation of its failure domain. Older rows don't describe how cold
+    /// it has been since.
+    evacuation_end_version: u64,
+    /// Time at which it closes because its row is gone; in the future while the removal is unconfirmed.
+    closes_at: Option<Now>,
 }
 
 impl KnownUpstream {
-    /// Whether no doubt is left about a removal of its row.
-    fn is_sure(&self, now: Now) -> bool {
-        self.gone_at.is_none_or(|at| now >= at)
+    /// Whether it has no unconfirmed removal.
+    fn is_confirmed(&self, now: Now) -> bool {
+        self.closes_at.is_none_or(|at| now >= at)
     }
 }
 
-/// What keeps a picture true; all are on but in searches that have to find what each prevents.
+/// Safety checks of a view; all are enabled except in model searches that show what each prevents.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// Older statements change nothing.
+    /// Ignore updates that are older than the known row.
     pub versions: bool,
-    /// Of one version, a removal counts more than a listing, and one in doubt is told as neither.
+    /// Give a removal precedence over a listing of the same version, and report an unconfirmed removal
+    /// to other entries as neither.
     pub doubt: bool,
-    /// What isn't known and is older than what was read from the store is gone.
+    /// Treat an unknown row that is older than what was read from the store as gone.
     pub read_to: bool,
-    /// A later start under the same name is another incarnation, and an earlier one says nothing of it.
+    /// Treat a later start under the same name as another incarnation, which rows of an earlier one
+    /// don't affect.
     pub incarnations: bool,
 }
 
@@ -76,32 +79,32 @@
     }
 }
 
-/// All that an entry knows of the world behind the entries.
+/// An entry's view of routes, evacuations and upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Picture {
     guards: Guards,
     routes: Option<Arc<Routes>>,
     evacuations: BTreeMap<DomainId, Evacuation>,
     upstreams: BTreeMap<UpstreamId, KnownUpstream>,
-    /// Versions of removed rows and when they were removed.
+    /// Versions of removed rows, and when each was recorded here.
     removed: BTreeMap<UpstreamId, (u64, Now)>,
-    /// All rows of upstreams up to this version were read from the store.
-    upstreams_read_to: u64,
-    /// All rows of operators up to this version were read from the store.
-    operator_read_to: u64,
+    /// All upstream rows up to this version have been read from the store.
+    upstreams_read_position: u64,
+    /// All operator rows up to this version have been read from the store.
+    operator_read_position: u64,
 }
 
-/// What became of one update.
+/// Result of applying an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Applied {
-    /// It changed the picture.
+    /// The update changed the view.
     Changed,
-    /// It was known, or older than what is known.
+    /// The update was already known, or older than what is known.
     Unchanged,
 }
 
 impl Picture {
-    /// An empty picture with these guards.
+    /// Creates an empty view with the given guards.
     pub fn with_guards(guards: Guards) -> Self {
         Self {
             guards,
@@ -114,12 +117,12 @@
         self.routes.as_ref()
     }
 
-    /// Number of the routes in force; zero is none.
+    /// Version of the routes in force; zero if there are none.
     pub fn routes_version(&self) -> Version {
         self.routes.as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Takes a version of the routes; only a higher one replaces the one in force.
+    /// Applies a version of the routes; only a higher one replaces the one in force.
     pub fn apply_routes(&mut self, routes: &Arc<Routes>) -> Applied {
         if self.routes.is_some() && routes.version <= self.routes_version() {
             return Applied::Unchanged;
@@ -128,7 +131,7 @@
         Applied::Changed
     }
 
-    /// Takes that an evacuation began or was taken back, by a row of this version.
+    /// Applies the start or the end of an evacuation, from a row of this version.
     pub fn apply_evacuation(
         &mut self,
         domain: &DomainId,
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Takes a row of an upstream.
+    /// Applies a row of an upstream.
     pub fn apply_upstream(&mut self, listed: &ListedUpstream, version: u64, now: Now) -> Applied {
         let removed = self.removed.get(&listed.id);
         if removed.is_some_and(|(removed, _)| *removed >= version) {
@@ -162,7 +165,7 @@
         let cold_until = if listed.cold_left.is_zero() {
             Now::ZERO
         } else {
-            // Whatever a row says.
+            // A row may contain any duration; the sum must not overflow.
             now.saturating_add(listed.cold_left)
         };
         let Some(known) = self.upstreams.get_mut(&listed.id) else {
@@ -170,44 +173,45 @@
                 listed: listed.clone(),
                 version,
                 cold_until,
-                back_since: 0,
-                gone_at: None,
+                evacuation_end_version: 0,
+                closes_at: None,
             };
             self.upstreams.insert(listed.id.clone(), known);
             return Applied::Changed;
         };
-        // Of one version, a removal counts more than a listing: an upstream that is gone must not come
-        // back by word of an entry that missed it.
+        // A removal takes precedence over a listing of the same version: an entry that missed the removal
+        // must not restore the upstream.
         let newer = known.version < version;
-        let same = known.version == version && known.gone_at.is_some();
-        let taken = newer || !self.guards.versions || (same && !self.guards.doubt);
-        if !taken {
+        let same = known.version == version && known.closes_at.is_some();
+        let accepted = newer || !self.guards.versions || (same && !self.guards.doubt);
+        if !accepted {
             return Applied::Unchanged;
         }
-        // A write of an earlier incarnation may take effect late: what it says of the later one is nothing.
+        // A write of an earlier incarnation may take effect late; it doesn't describe the later one.
         if self.guards.incarnations && listed.started_ms < known.listed.started_ms {
             known.version = version;
             return Applied::Unchanged;
         }
-        // An incarnation that was seen leaving doesn't come back; a later one of the same name is another one.
-        let same_life = !self.guards.incarnations || listed.started_ms == known.listed.started_ms;
-        let leaving = (same_life && known.listed.leaving) || listed.leaving;
+        // An incarnation that was seen leaving stays so; a later one of the same name is independent.
+        let same_incarnation =
+            !self.guards.incarnations || listed.started_ms == known.listed.started_ms;
+        let leaving = (same_incarnation && known.listed.leaving) || listed.leaving;
         known.listed = ListedUpstream {
             leaving,
             ..listed.clone()
         };
         known.version = version;
-        known.cold_until = if version < known.back_since {
+        known.cold_until = if version < known.evacuation_end_version {
             cold_until.max(known.cold_until)
         } else {
             cold_until
         };
-        known.gone_at = None;
+        known.closes_at = None;
         Applied::Changed
     }
 
-    /// Takes that the row of an upstream is gone. `after_outage` says that the store has just come
-    /// back: the row may have expired while its owner could not write it.
+    /// Applies the removal of an upstream's row. `after_outage` means that the store has just come back:
+    /// the row may have expired while its owner could not write it.
     pub fn apply_removal(
         &mut self,
         id: &UpstreamId,
@@ -220,59 +224,60 @@
             return Applied::Unchanged;
         };
         let grace = if after_outage && !known.listed.leaving {
-            MISSING_GRACE
+            REMOVAL_GRACE
         } else {
             Duration::ZERO
         };
-        let gone_at = now + grace;
+        let closes_at = now + grace;
         if known.version > version {
             return Applied::Unchanged;
         }
-        // Also if it is gone already: a listing between both removals must not bring it back.
+        // Also for a row that is already gone: a listing between two removals must not restore it.
         known.version = version;
-        // Whoever had no outage knows that the row was removed, which ends the doubt of those who had.
-        if known.gone_at.is_some_and(|known| known <= gone_at) {
+        // A removal seen without an outage is certain and confirms an unconfirmed one.
+        if known.closes_at.is_some_and(|known| known <= closes_at) {
             return Applied::Unchanged;
         }
-        known.gone_at = Some(gone_at);
+        known.closes_at = Some(closes_at);
         Applied::Changed
     }
 
-    /// Takes what another entry knows of evacuations.
+    /// Applies the evacuations that another entry knows.
     ///
-    /// One that isn't known here and is older than what was read from the store is over: its row was gone.
+    /// An evacuation that is unknown here and older than what was read from the store has ended: its row
+    /// was already gone.
     pub fn apply_evacuation_updates(
         &mut self,
         updates: &[(DomainId, Evacuation)],
         now: Now,
     ) -> Applied {
-        let mut taken = Applied::Unchanged;
-        for (domain, told) in updates {
+        let mut applied = Applied::Unchanged;
+        for (domain, update) in updates {
             let known = self.evacuations.contains_key(domain);
-            if !known && told.version <= self.operator_read_to {
+            if !known && update.version <= self.operator_read_position {
                 continue;
             }
-            if self.apply_evacuation(domain, told.on, told.version, now) == Applied::Changed {
-                taken = Applied::Changed;
+            if self.apply_evacuation(domain, update.on, update.version, now) == Applied::Changed {
+                applied = Applied::Changed;
             }
         }
-        taken
+        applied
     }
 
-    /// Ends the evacuations that have no row in a whole table read at `position`; those of `standing` have
-    /// one.
+    /// Ends the evacuations without a row in a whole table that was read at `position`. `with_row` lists
+    /// the failure domains that have a row.
     pub fn end_evacuations_without_row(
         &mut self,
-        standing: &[DomainId],
+        with_row: &[DomainId],
         position: u64,
         now: Now,
     ) -> Applied {
-        self.operator_read_to = self.operator_read_to.max(position);
+        self.operator_read_position = self.operator_read_position.max(position);
         let ended: Vec<DomainId> = self
             .evacuations
             .iter()
             .filter(|(domain, known)| {
-                known.on && known.version <= position && !standing.contains(*domain)
+                known.on && known.version <= position && !with_row.contains(*domain)
             })
             .map(|(domain, _)| domain.clone())
             .collect();
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Takes a whole table of upstreams: one without a row is gone.
+    /// Applies a whole table of upstreams: an upstream without a row is gone.
     pub fn apply_upstream_table(
         &mut self,
         listed: &[(u64, ListedUpstream)],
@@ -298,11 +303,11 @@
             self.apply_upstream(upstream, *version, now);
         }
         self.note_read(position);
-        let standing: FastSet<&UpstreamId> = listed.iter().map(|(_, row)| &row.id).collect();
+        let with_row: FastSet<&UpstreamId> = listed.iter().map(|(_, row)| &row.id).collect();
         let missing: Vec<UpstreamId> = self
             .upstreams
             .iter()
-            .filter(|(id, known)| known.version <= position && !standing.contains(id))
+            .filter(|(id, known)| known.version <= position && !with_row.contains(id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in missing {
@@ -310,33 +315,33 @@
         }
     }
 
-    /// Takes that all rows of upstreams up to `position` were read from the store.
+    /// Records that all upstream rows up to `position` have been read from the store.
     pub fn note_read(&mut self, position: u64) {
-        self.upstreams_read_to = self.upstreams_read_to.max(position);
+        self.upstreams_read_position = self.upstreams_read_position.max(position);
     }
 
-    /// Forgets what is long gone.
+    /// Drops upstreams and versions of removed rows whose retention is over.
     pub fn sweep(&mut self, now: Now) {
         let removed = &mut self.removed;
         self.upstreams.retain(|id, known| {
             let gone = known
-                .gone_at
+                .closes_at
                 .is_some_and(|at| now > at + Duration::from_secs(10));
             if gone {
                 removed.insert(id.clone(), (known.version, now));
             }
             !gone
         });
-        removed.retain(|_, (_, at)| now.saturating_sub(*at) < REMOVED_MEMORY);
+        removed.retain(|_, (_, at)| now.saturating_sub(*at) < REMOVED_RETENTION);
     }
 
-    /// The next time at which an upstream closes by itself.
+    /// Next time at which an upstream closes without an update.
     pub fn next_closing(&self, now: Now) -> Option<Now> {
-        let due = self.upstreams.values().filter_map(|known| known.gone_at);
+        let due = self.upstreams.values().filter_map(|known| known.closes_at);
         due.filter(|at| *at > now).min()
     }
 
-    /// Whether nothing is to be sent to a failure domain.
+    /// Whether a failure domain is evacuated and gets no new work.
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.evacuations.get(domain).is_some_and(|known| known.on)
     }
@@ -344,22 +349,25 @@
     /// Whether an upstream gets no new work.
     fn is_closed(&self, known: &KnownUpstream, now: Now) -> bool {
         known.listed.leaving
-            || known.gone_at.is_some_and(|at| now >= at)
+            || known.closes_at.is_some_and(|at| now >= at)
             || self.is_evacuated(&known.listed.failure_domain)
     }
 
-    /// Each upstream, whether it is closed, and until when it is cold.
+    /// Each upstream with whether it is closed and the time until which it is cold.
     pub fn upstreams(&self, now: Now) -> impl Iterator<Item = (&ListedUpstream, bool, Now)> {
         self.upstreams
             .values()
             .map(move |known| (&known.listed, self.is_closed(known, now), known.cold_until))
     }
 
-    /// How far it reaches: the newest version of each kind of row that it took. A removal in doubt doesn't
-    /// count, so that entries which know better are asked.
+    /// Newest version of each kind of row that was applied. Unconfirmed removals don't count, so that
+    /// entries with confirmed knowledge are asked.
     pub fn reach(&self, now: Now) -> Reach {
         let evacuations = self.evacuations.values().map(|known| known.version);
-        let listed = self.upstreams.values().filter(|known| known.is_sure(now));
+        let listed = self
+            .upstreams
+            .values()
+            .filter(|known| known.is_confirmed(now));
         let listed = listed.map(|known| known.version);
         let removed = self.removed.values().map(|(version, _)| *version);
         Reach {
@@ -369,7 +377,7 @@
         }
     }
 
-    /// What other entries are told of evacuations.
+    /// Evacuations to send to other entries.
     pub fn evacuation_updates(&self) -> Vec<(DomainId, Evacuation)> {
         let known = self.evacuations.iter();
         known
@@ -377,57 +385,60 @@
             .collect()
     }
 
-    /// All rows of upstreams up to this version were read from the store.
+    /// Version up to which all upstream rows have been read from the store.
     pub fn upstreams_read_to(&self) -> u64 {
-        self.upstreams_read_to
+        self.upstreams_read_position
     }
 
-    /// What other entries are told of upstreams whose rows changed after a version.
+    /// Updates to send to other entries: upstreams whose rows changed after a version.
     pub fn upstream_updates(&self, after: u64, now: Now) -> Vec<UpstreamUpdate> {
-        // A removal in doubt is neither a listing nor a removal: nothing is told of it until that is over.
+        // An unconfirmed removal is neither a listing nor a removal, so it is left out until confirmed.
         let all = !self.guards.doubt;
-        let told = self.upstreams.values();
-        let told = told.filter(|known| known.version > after && (all || known.is_sure(now)));
-        told.map(|known| UpstreamUpdate {
-            listed: known.listed.clone(),
-            version: known.version,
-            gone: known.gone_at.is_some_and(|at| now >= at),
-            cold_left: known.cold_until.saturating_sub(now),
-        })
-        .collect()
+        let changed = self.upstreams.values();
+        let changed =
+            changed.filter(|known| known.version > after && (all || known.is_confirmed(now)));
+        changed
+            .map(|known| UpstreamUpdate {
+                listed: known.listed.clone(),
+                version: known.version,
+                gone: known.closes_at.is_some_and(|at| now >= at),
+                cold_left: known.cold_until.saturating_sub(now),
+            })
+            .collect()
     }
 
-    /// Takes what another entry knows of upstreams.
+    /// Applies the upstreams that another entry knows.
     pub fn apply_upstream_updates(&mut self, updates: &[UpstreamUpdate], now: Now) -> Applied {
-        let mut taken = Applied::Unchanged;
-        for one in updates {
-            let known = self.upstreams.contains_key(&one.listed.id);
-            if self.guards.read_to && !known && one.version <= self.upstreams_read_to {
-                // Its row was gone by then: whoever tells of it has not heard of that.
+        let mut applied = Applied::Unchanged;
+        for update in updates {
+            let known = self.upstreams.contains_key(&update.listed.id);
+            if self.guards.read_to && !known && update.version <= self.upstreams_read_position {
+                // The row was already gone at that position; the sender has not seen its removal yet.
                 continue;
             }
             let listed = ListedUpstream {
-                cold_left: one.cold_left,
-                ..one.listed.clone()
+                cold_left: update.cold_left,
+                ..update.listed.clone()
             };
-            let result = if one.gone {
-                self.apply_removal(&listed.id, one.version, false, now)
+            let result = if update.gone {
+                self.apply_removal(&listed.id, update.version, false, now)
             } else {
-                self.apply_upstream(&listed, one.version, now)
+                self.apply_upstream(&listed, update.version, now)
             };
             if result == Applied::Changed {
-                taken = Applied::Changed;
+                applied = Applied::Changed;
             }
         }
-        taken
+        applied
     }
 
-    /// Counts the upstreams of a failure domain, whose evacuation ended with this version, as cold for a while.
-    fn mark_cold(&mut self, domain: &DomainId, ended: u64, now: Now) {
+    /// Marks the upstreams of a failure domain as cold after its evacuation, which ended at version
+    /// `end_version`.
+    fn mark_cold(&mut self, domain: &DomainId, end_version: u64, now: Now) {
         let of_domain = self.upstreams.values_mut();
         for known in of_domain.filter(|known| known.listed.failure_domain == *domain) {
             known.cold_until = known.cold_until.max(now + COLD_AFTER_EVACUATION);
-            known.back_since = ended;
+            known.evacuation_end_version = end_version;
         }
     }
 }
