--- a/crates/share/src/lease.rs
+++ b/crates/share/src/lease.rs
@@ -1,10 +1,10 @@
-//! Leases from both ends: the holder's own, and what an observer may conclude from another's.
+//! Leases as the holder counts its own, and as observers judge those of others.
 //!
-//! The holder counts from before its renewal left, the observer from after it saw it, so the
-//! observer's count ends later. One thing is left to go wrong: a renewal that the table takes after
-//! the observer's last look. So a lapse counts only with a read that started after it and still found
-//! the old lease. A renewal after that read reaches the table after the holder's own count ended,
-//! and the holder knows from its own clock that its chain of renewals is broken.
+//! The holder counts from before it sent the renewal, the observer from after it saw it, so the
+//! observer's count ends later. One gap remains: the table may apply a renewal after the observer's
+//! last read. So a lapse is conclusive only with a read that started after it and still found the
+//! old lease. A renewal that is applied after that read comes after the end of the holder's own
+//! count, and the holder knows by its own clock that its chain of renewals is broken.
 
 use crate::terms::{
     Guards,
@@ -12,19 +12,20 @@
 };
 use base::Now;
 
-/// Last renewal that the platform confirmed to its holder.
+/// Last renewal that the platform confirmed to the holder.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct OwnLease {
-    /// Its sequence number.
+    /// Sequence number.
     pub(crate) seq: u64,
-    /// From when it counts.
+    /// Start of the TTLs.
     pub(crate) since: Now,
-    /// First sequence number from which on no renewal came too late.
+    /// First sequence number since which no renewal came too late.
     pub(crate) chain_seq: u64,
 }
 
 impl OwnLease {
-    /// Lease after a renewal; `previous` decides whether the chain goes on at `now`.
+    /// Returns the lease after a renewal; `previous` determines whether the chain continues at
+    /// `now`.
     pub(crate) fn renewed(
         previous: Option<Self>,
         (seq, since): (u64, Now),
@@ -40,90 +41,94 @@
         }
     }
 
-    /// End of the short term, exclusive.
+    /// Returns the end of the short TTL, exclusive.
     pub(crate) fn short_end(&self, terms: &Terms) -> Now {
         self.since + terms.short_ttl
     }
 
-    /// End of the long term, exclusive.
+    /// Returns the end of the long TTL, exclusive.
     pub(crate) fn long_end(&self, terms: &Terms) -> Now {
         self.since + terms.long_ttl
     }
 }
 
-/// Stands for the last lease of a member whose instance has begun a new life.
+/// Stands for the last lease of a member whose instance has a newer incarnation.
 ///
-/// Its number is unknown: it may have been renewed after the last look and before the new life began.
-pub(crate) const REPLACED: u64 = u64::MAX;
+/// Its sequence number is unknown: it may have been renewed between the last read and the start of
+/// the newer incarnation.
+pub(crate) const SUPERSEDED: u64 = u64::MAX;
 
-/// Another member's lease as seen from here.
+/// Another member's lease as observed here.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(crate) struct SeenLease {
+pub(crate) struct ObservedLease {
     /// Highest sequence number seen.
     pub(crate) seq: u64,
-    /// When it was first seen.
+    /// When that number was first seen.
     first_seen: Now,
-    /// What a read that started after the term showed.
-    confirmed: Lapse,
+    /// State that a read of the table confirmed, by the time at which the read started.
+    confirmed_state: LeaseState,
 }
 
-/// How far a lease has lapsed.
+/// State of a lease; a later state is greater.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Lapse {
-    /// It may protect everything.
-    Alive,
-    /// The short term has passed.
-    Short,
-    /// The long term has passed.
-    Long,
+enum LeaseState {
+    /// Within the short TTL; may protect the whole allotment.
+    Valid,
+    /// Past the short TTL.
+    Lapsed,
+    /// Past the long TTL.
+    Expired,
 }
 
-impl SeenLease {
-    /// First sight of lease `seq`.
+impl ObservedLease {
+    /// Creates the record of lease `seq`, first seen at `now`.
     pub(crate) fn new(seq: u64, now: Now) -> Self {
         Self {
             seq,
             first_seen: now,
-            confirmed: Lapse::Alive,
+            confirmed_state: LeaseState::Valid,
         }
     }
 
-    /// Notes that a read of the table which started at `read_at` found this lease.
+    /// Records that a read of the table, which started at `read_at`, found this lease.
     pub(crate) fn confirm(&mut self, read_at: Now, terms: &Terms, guards: &Guards) {
-        self.confirmed = self.confirmed.max(self.lapse_at(read_at, terms, guards));
+        self.confirmed_state = self
+            .confirmed_state
+            .max(self.state_at(read_at, terms, guards));
     }
 
-    /// Whether the holder has by its own clock been past the short term.
-    pub(crate) fn short_lapsed(&self, now: Now, terms: &Terms, guards: &Guards) -> bool {
-        self.known_lapse(now, terms, guards) >= Lapse::Short
+    /// Returns whether the holder is past the short TTL by its own clock.
+    pub(crate) fn has_lapsed(&self, now: Now, terms: &Terms, guards: &Guards) -> bool {
+        self.known_state(now, terms, guards) >= LeaseState::Lapsed
     }
 
-    /// Whether the holder has by its own clock been past the long term.
-    pub(crate) fn long_lapsed(&self, now: Now, terms: &Terms, guards: &Guards) -> bool {
-        self.known_lapse(now, terms, guards) == Lapse::Long
+    /// Returns whether the holder is past the long TTL by its own clock.
+    pub(crate) fn has_expired(&self, now: Now, terms: &Terms, guards: &Guards) -> bool {
+        self.known_state(now, terms, guards) == LeaseState::Expired
     }
 
-    fn known_lapse(&self, now: Now, terms: &Terms, guards: &Guards) -> Lapse {
-        let may_be_renewed = self.seq != REPLACED;
+    fn known_state(&self, now: Now, terms: &Terms, guards: &Guards) -> LeaseState {
+        let may_be_renewed = self.seq != SUPERSEDED;
         if may_be_renewed && guards.confirm_read {
-            self.confirmed
+            self.confirmed_state
         } else {
-            self.lapse_at(now, terms, guards)
+            self.state_at(now, terms, guards)
         }
     }
 
-    /// How far a lease that nobody renews has lapsed at `at`.
-    fn lapse_at(&self, at: Now, terms: &Terms, guards: &Guards) -> Lapse {
+    /// Returns the state at `at` of a lease that is not renewed.
+    fn state_at(&self, at: Now, terms: &Terms, guards: &Guards) -> LeaseState {
         let ended = |ttl| {
-            let end = self.first_seen + terms.with_drift(ttl, guards) + terms.outliving(guards);
+            let end =
+                self.first_seen + terms.with_drift(ttl, guards) + terms.grace_allowance(guards);
             at >= end
         };
         if ended(terms.long_ttl) {
-            Lapse::Long
+            LeaseState::Expired
         } else if ended(terms.short_ttl) {
-            Lapse::Short
+            LeaseState::Lapsed
         } else {
-            Lapse::Alive
+            LeaseState::Valid
         }
     }
 }
--- a/crates/share/src/member/leases.rs
+++ b/crates/share/src/member/leases.rs
@@ -1,10 +1,11 @@
-//! What a member learns of leases: its own from the platform, others' from the table and from beats.
+//! Leases that a member knows: its own from the platform, others' from the table and from
+//! heartbeats.
 
 use crate::{
     lease::{
+        ObservedLease,
         OwnLease,
-        SeenLease,
-        REPLACED, //
+        SUPERSEDED, //
     },
     member::Member,
     row::MemberId, //
@@ -13,12 +14,12 @@
 use std::collections::BTreeMap;
 
 impl Member {
-    /// Notes a renewal of the own lease that the platform confirmed.
+    /// Records a renewal of this member's lease that the platform confirmed.
     ///
-    /// `sent_at` is read from the clock before the renewal left: the table may have taken it at any
-    /// moment since, and observers count from as early as that.
+    /// `sent_at` is the clock's reading before the renewal was sent: the table may have applied it
+    /// at any moment since, and observers may count from that early.
     pub fn set_lease(&mut self, seq: u64, sent_at: Now, now: Now) {
-        self.touch(now);
+        self.advance(now);
         if self.dead || self.lease.is_some_and(|lease| seq <= lease.seq) {
             return;
         }
@@ -33,66 +34,70 @@
         self.try_settle(now);
     }
 
-    /// Notes that a read of the table which started at `read_at` found `member` at lease `seq`.
+    /// Records that a read of the table, which started at `read_at`, found `member` at lease `seq`.
     ///
-    /// The table has one lease an instance. One of a higher incarnation shows that those before can't
-    /// be renewed any more; they lapse counted from the first sight of that.
+    /// The table has one lease per instance. A lease of a higher incarnation shows that earlier
+    /// ones can't be renewed any more; their TTLs count from when this was first seen.
     pub fn observe_lease(&mut self, member: &MemberId, seq: u64, read_at: Now, now: Now) {
-        self.touch(now);
-        if *member == self.me {
+        self.advance(now);
+        if *member == self.own_id {
             return;
         }
-        self.see_lease(member, seq, now);
+        self.record_lease(member, seq, now);
         self.confirm_lease(member, seq, read_at);
-        self.see_next_life(member, read_at, now);
+        self.observe_next_incarnation(member, read_at, now);
         self.try_settle(now);
     }
 
-    /// Notes that `member` holds its instance's lease: no earlier life can renew any more.
-    pub(super) fn see_next_life(&mut self, member: &MemberId, read_at: Now, now: Now) {
-        for earlier in self.earlier_lives(member) {
+    /// Records that `member` holds its instance's lease, so that no earlier incarnation can renew
+    /// its own.
+    pub(super) fn observe_next_incarnation(&mut self, member: &MemberId, read_at: Now, now: Now) {
+        for earlier in self.earlier_incarnations(member) {
             if self.guards.replaced_from_sight {
-                self.see_lease(&earlier, REPLACED, now);
+                self.record_lease(&earlier, SUPERSEDED, now);
             } else {
                 let last = self
-                    .leases
+                    .observed_leases
                     .get(&earlier)
-                    .map_or(REPLACED, |lease| lease.seq);
+                    .map_or(SUPERSEDED, |lease| lease.seq);
                 self.confirm_lease(&earlier, last, read_at);
             }
         }
     }
 
     fn confirm_lease(&mut self, member: &MemberId, seq: u64, read_at: Now) {
-        if let Some(lease) = self.leases.get_mut(member) {
+        if let Some(lease) = self.observed_leases.get_mut(member) {
             if lease.seq == seq {
                 lease.confirm(read_at, &self.terms, &self.guards);
             }
         }
     }
 
-    /// Members of the row that are an earlier life of the instance of `member`.
-    fn earlier_lives(&self, member: &MemberId) -> Vec<MemberId> {
+    /// Returns the members of the row that are earlier incarnations of the instance of `member`.
+    fn earlier_incarnations(&self, member: &MemberId) -> Vec<MemberId> {
         let listed = self.row.iter().flat_map(|row| row.members.keys());
         let earlier =
             |id: &&MemberId| id.instance == member.instance && id.incarnation < member.incarnation;
         listed.filter(earlier).cloned().collect()
     }
 
-    pub(super) fn see_lease(&mut self, member: &MemberId, seq: u64, now: Now) {
+    pub(super) fn record_lease(&mut self, member: &MemberId, seq: u64, now: Now) {
         if seq == 0 {
             return;
         }
-        let newer = self.leases.get(member).is_none_or(|lease| lease.seq < seq);
+        let newer = self
+            .observed_leases
+            .get(member)
+            .is_none_or(|lease| lease.seq < seq);
         if newer {
-            let lease = SeenLease::new(seq, now);
-            self.leases.insert(member.clone(), lease);
+            let lease = ObservedLease::new(seq, now);
+            self.observed_leases.insert(member.clone(), lease);
         }
     }
 
-    /// Highest lease that is known of each member.
-    pub(super) fn seen(&self) -> BTreeMap<MemberId, u64> {
-        self.leases
+    /// Returns the highest known lease of each member.
+    pub(super) fn known_leases(&self) -> BTreeMap<MemberId, u64> {
+        self.observed_leases
             .iter()
             .map(|(member, lease)| (member.clone(), lease.seq))
             .collect()
--- a/crates/share/src/member/mod.rs
+++ b/crates/share/src/member/mod.rs
@@ -1,17 +1,17 @@
-//! One instance's part in one pool: what it holds and when it may use it.
+//! The state of one instance in one pool: what it holds and when it may use it.
 //!
 //! Invariants, over all members of the pool:
 //!
-//! - What a member may use is at most what it holds. It holds at most its allotment of the epoch
-//!   that it adopted, plus what others handed to it, less what it handed to others.
+//! - A member may use at most what it holds. It holds at most its allotment of the epoch that it
+//!   adopted, plus the tokens transferred to it, less those that it transferred to others.
 //! - Until an epoch is settled here, it holds no more than it did before that epoch.
-//! - Without protection, by a lease or by the promises of all others in its row, it uses its floor at
-//!   most; past the long term of its lease it is dead and never uses anything again. The daemon then
-//!   starts a new `Member` under a higher incarnation.
+//! - Without protection, by a lease or by the promises of all others in its row, it uses its floor
+//!   at most. Past the long TTL of its lease it is dead and never uses anything again. The daemon
+//!   then starts a new `Member` with a higher incarnation.
 //!
-//! The rules of settling are in `settle`, of hand-overs in `handover`, of new rows in `propose`. Of
-//! the modules below, `leases` has what it learns of leases, `peer` what it keeps of others, and
-//! `status` what it says of itself.
+//! The rules for settling are in `settle`, for transfers in `transfer`, for new rows in `propose`.
+//! Of the modules below, `leases` records the leases, `peer` the state of other members, and
+//! `status` reports the state of this one.
 
 mod leases;
 mod peer;
@@ -21,19 +21,19 @@
 
 use crate::{
     lease::{
+        ObservedLease, //
         OwnLease,
-        SeenLease, //
     },
     message::{
         Action,
         Give,
         PoolBeat, //
     },
-    promise::Owed,
+    promise::PromisesMade,
     row::{
         amount,
         floor_of,
-        least,
+        min_amounts,
         total,
         Amounts,
         MemberId,
@@ -58,53 +58,53 @@
 /// State machine of one member of one pool.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Member {
-    pub(crate) me: MemberId,
+    pub(crate) own_id: MemberId,
     pub(crate) pool: PoolId,
     pub(crate) terms: Terms,
     pub(crate) guards: Guards,
     pub(crate) row: Option<Arc<Row>>,
-    /// Whether the table is known to hold no row yet.
+    /// Whether the table is known to hold no row for the pool yet.
     pub(crate) row_absent: bool,
     /// When the row was adopted.
     pub(crate) adopted_at: Now,
     /// Tokens held.
     pub(crate) held: Amounts,
-    /// Received less given in this epoch.
-    pub(crate) net: BTreeMap<ResourceId, i64>,
+    /// Tokens received less tokens given away in this epoch.
+    pub(crate) net_received: BTreeMap<ResourceId, i64>,
     /// Whether the whole allotment of this epoch is held.
     pub(crate) settled: bool,
     pub(crate) in_flight: Amounts,
-    /// Whether `in_flight` was reported after the last time that the limits were lowered.
+    /// Whether `in_flight` was reported after the limits were last lowered.
     pub(crate) in_flight_fresh: bool,
     pub(crate) demand: u32,
     pub(crate) capacity: Option<Amounts>,
     pub(crate) lease: Option<OwnLease>,
-    pub(crate) leases: BTreeMap<MemberId, SeenLease>,
+    pub(crate) observed_leases: BTreeMap<MemberId, ObservedLease>,
     pub(crate) peers: BTreeMap<MemberId, Peer>,
-    pub(crate) owed: Owed,
-    /// Hand-over that waits for the work in flight to be within the rest.
-    pub(crate) pending_give: Option<Give>,
-    /// Hand-overs that may leave.
-    pub(crate) gives: Vec<Give>,
-    pub(crate) give_seq: u64,
-    /// Hand-overs applied in this epoch, by giver and number.
-    pub(crate) applied: BTreeSet<(MemberId, u64)>,
+    pub(crate) promises_made: PromisesMade,
+    /// Transfer that waits until the work in flight fits the remaining tokens.
+    pub(crate) pending_transfer: Option<Give>,
+    /// Transfers that are ready to be sent.
+    pub(crate) outgoing_transfers: Vec<Give>,
+    pub(crate) transfer_seq: u64,
+    /// Transfers applied in this epoch, by sender and sequence number.
+    pub(crate) applied_transfers: BTreeSet<(MemberId, u64)>,
     pub(crate) leaving: bool,
     pub(crate) dead: bool,
-    /// Since when a new row is wanted.
+    /// Since when a new row has been needed.
     pub(crate) wanted_since: Option<Now>,
 }
 
 impl Member {
-    /// New member that holds nothing.
-    pub fn new(me: MemberId, pool: PoolId, terms: Terms) -> Self {
-        Self::with_guards(me, pool, terms, Guards::default())
+    /// Creates a member that holds nothing.
+    pub fn new(own_id: MemberId, pool: PoolId, terms: Terms) -> Self {
+        Self::with_guards(own_id, pool, terms, Guards::default())
     }
 
-    /// New member with some guards off; for the search in `model` only.
-    pub fn with_guards(me: MemberId, pool: PoolId, terms: Terms, guards: Guards) -> Self {
+    /// Creates a member with some guards off; only for the search in `model`.
+    pub fn with_guards(own_id: MemberId, pool: PoolId, terms: Terms, guards: Guards) -> Self {
         Self {
-            me,
+            own_id,
             pool,
             terms,
             guards,
@@ -112,56 +112,56 @@
             row_absent: false,
             adopted_at: Now::ZERO,
             held: Amounts::new(),
-            net: BTreeMap::new(),
+            net_received: BTreeMap::new(),
             settled: false,
             in_flight: Amounts::new(),
             in_flight_fresh: false,
             demand: 0,
             capacity: None,
             lease: None,
-            leases: BTreeMap::new(),
+            observed_leases: BTreeMap::new(),
             peers: BTreeMap::new(),
-            owed: Owed::default(),
-            pending_give: None,
-            gives: Vec::new(),
-            give_seq: 0,
-            applied: BTreeSet::new(),
+            promises_made: PromisesMade::default(),
+            pending_transfer: None,
+            outgoing_transfers: Vec::new(),
+            transfer_seq: 0,
+            applied_transfers: BTreeSet::new(),
             leaving: false,
             dead: false,
             wanted_since: None,
         }
     }
 
-    /// Takes in a row that is known to be committed, read from the table or sent by a peer.
+    /// Handles a committed row, read from the table or sent by a peer.
     pub fn on_row(&mut self, row: &Arc<Row>, now: Now) {
-        self.touch(now);
+        self.advance(now);
         self.row_absent = false;
         if self.dead || row.epoch <= self.epoch() {
             return;
         }
         let listed_before = self.row.as_ref().is_some_and(|old| self.is_listed(old));
         if listed_before && !self.is_listed(row) {
-            // Another member saw this one lapse for good, or heard its release.
-            self.die();
+            // Another member found this one's lease expired, or received its release.
+            self.mark_dead();
         }
         self.begin_epoch(row, now);
-        self.forget_strangers(row);
+        self.forget_nonmembers(row);
         self.try_settle(now);
     }
 
-    /// Adopts the row: what is held becomes less at once, and more once the epoch is settled.
+    /// Adopts the row. Held tokens decrease at once, and increase once the epoch is settled.
     fn begin_epoch(&mut self, row: &Arc<Row>, now: Now) {
-        self.undo_pending_give();
-        let clipped = self.held_after_lapse(now);
+        self.cancel_unsent_transfers();
+        let retained = self.held_at_epoch_end(now);
         let allot = self.allotment(row);
         self.held = if self.guards.keep_minimum {
-            least(&clipped, &allot)
+            min_amounts(&retained, &allot)
         } else {
             allot
         };
-        self.net.clear();
-        self.applied.clear();
-        self.give_seq = 0;
+        self.net_received.clear();
+        self.applied_transfers.clear();
+        self.transfer_seq = 0;
         self.settled = false;
         self.in_flight_fresh = false;
         self.adopted_at = now;
@@ -169,137 +169,148 @@
         self.row = Some(Arc::clone(row));
     }
 
-    /// Forgets members that are neither listed nor about to join.
-    fn forget_strangers(&mut self, row: &Row) {
+    /// Drops the state of members that are neither listed nor joining.
+    fn forget_nonmembers(&mut self, row: &Row) {
         let listed = |id: &MemberId| row.members.contains_key(id);
         self.peers.retain(|id, peer| listed(id) || peer.epoch == 0);
         let peers = &self.peers;
-        self.leases
+        self.observed_leases
             .retain(|id, _| listed(id) || peers.contains_key(id));
     }
 
-    /// Notes that the table holds no row for the pool yet.
+    /// Records that the table holds no row for the pool yet.
     pub fn on_row_absent(&mut self) {
         self.row_absent = self.row.is_none();
     }
 
-    /// Takes in another member's heartbeat.
-    pub fn on_beat(&mut self, beat: &PoolBeat, now: Now) {
-        self.touch(now);
-        if beat.pool != self.pool || beat.from == self.me {
+    /// Handles another member's heartbeat.
+    pub fn on_beat(&mut self, heartbeat: &PoolBeat, now: Now) {
+        self.advance(now);
+        if heartbeat.pool != self.pool || heartbeat.from == self.own_id {
             return;
         }
-        self.see_lease(&beat.from, beat.lease_seq, now);
-        if beat.lease_seq > 0 {
-            self.see_next_life(&beat.from, now, now);
+        self.record_lease(&heartbeat.from, heartbeat.lease_seq, now);
+        if heartbeat.lease_seq > 0 {
+            self.observe_next_incarnation(&heartbeat.from, now, now);
         }
-        let peer = self.peers.entry(beat.from.clone()).or_default();
-        peer.hear(&self.me, beat, now, &self.terms, &self.guards);
-        if self.may_promise(beat) {
-            self.owed
-                .grant(&beat.from, beat.asked, now, &self.terms, &self.guards);
+        let peer = self.peers.entry(heartbeat.from.clone()).or_default();
+        peer.apply_heartbeat(&self.own_id, heartbeat, now, &self.terms, &self.guards);
+        if self.may_promise(heartbeat) {
+            self.promises_made.grant(
+                &heartbeat.from,
+                heartbeat.asked,
+                now,
+                &self.terms,
+                &self.guards,
+            );
         }
         self.try_settle(now);
     }
 
-    /// Whether a beat is answered by a promise to its sender.
-    fn may_promise(&self, beat: &PoolBeat) -> bool {
-        let same_epoch = beat.epoch == self.epoch() || !self.guards.promise_same_epoch;
-        let promises = !self.terms.promise_term.is_zero();
-        promises && same_epoch && !self.dead && self.lists(&beat.from)
+    /// Returns whether a heartbeat is answered with a promise to its sender.
+    fn may_promise(&self, heartbeat: &PoolBeat) -> bool {
+        let same_epoch = heartbeat.epoch == self.epoch() || !self.guards.promise_same_epoch;
+        let enabled = !self.terms.promise_term.is_zero();
+        enabled && same_epoch && !self.dead && self.lists(&heartbeat.from)
     }
 
-    /// Sets what the pool's resources can take, as the list and the entries' own sight say.
+    /// Sets the capacity of the pool's resources, from the platform's list and the entries' own
+    /// observations.
     pub fn set_capacity(&mut self, capacity: Amounts) {
         self.capacity = Some(capacity);
     }
 
-    /// Reports the work in flight by resource.
+    /// Sets the work in flight by resource.
     ///
-    /// Read the counts after the limits last returned were published to the traffic threads: a count
-    /// from before may miss a request that was let in under the old limits.
+    /// Read the counts after the limits that were last returned were published to the traffic
+    /// threads. An earlier count may miss a request that was admitted under the old limits.
     pub fn set_in_flight(&mut self, in_flight: Amounts) {
         self.in_flight = in_flight;
         self.in_flight_fresh = true;
-        self.review_pending_give();
+        self.review_pending_transfer();
     }
 
-    /// Reports how many tokens of the pool could be used now.
+    /// Sets how many tokens of the pool could be used now.
     pub fn set_demand(&mut self, demand: u32) {
         self.demand = demand;
     }
 
-    /// Starts the planned stop: no new work; what is idle goes to others, the rest as it ends.
+    /// Starts the planned stop: no new work; idle tokens go to others at once, the rest as their
+    /// work ends.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.in_flight_fresh = false;
     }
 
-    /// State to send to every other member.
+    /// Returns the state to send to every other member.
     pub fn beat(&mut self, now: Now) -> PoolBeat {
-        self.touch(now);
+        self.advance(now);
         PoolBeat {
             pool: self.pool.clone(),
-            from: self.me.clone(),
+            from: self.own_id.clone(),
             epoch: self.epoch(),
             acked: self.acked(),
             released: self.is_released(),
             leaving: self.leaving,
-            unlisted: self.waits_to_be_listed(now),
+            unlisted: self.is_unlisted(now),
             lease_seq: self.lease.map_or(0, |lease| lease.seq),
             demand: self.demand,
             held: total(&self.held),
             asked: now,
-            granted: self.owed.answered().clone(),
-            promised: self.owed.all(now),
-            seen: self.seen(),
+            granted: self.promises_made.answered().clone(),
+            promised: self.promises_made.active(now),
+            seen: self.known_leases(),
         }
     }
 
-    /// Lets time pass; what the daemon has to do.
+    /// Advances the time to `now` and returns the actions due.
     pub fn tick(&mut self, now: Now) -> Vec<Action> {
-        self.touch(now);
+        self.advance(now);
         self.try_settle(now);
-        self.plan_give();
-        let mut actions: Vec<Action> = self.gives.drain(..).map(Action::Give).collect();
-        actions.extend(self.rows_for_those_behind(now));
+        self.plan_transfer();
+        let mut actions: Vec<Action> = self
+            .outgoing_transfers
+            .drain(..)
+            .map(Action::Give)
+            .collect();
+        actions.extend(self.rows_for_lagging_peers(now));
         actions.extend(self.proposal(now));
         actions
     }
 
-    /// Notes what follows from the time alone.
-    pub(crate) fn touch(&mut self, now: Now) {
+    /// Applies what follows from the passage of time alone.
+    pub(crate) fn advance(&mut self, now: Now) {
         if self.is_dead(now) {
-            self.die();
+            self.mark_dead();
         }
-        self.owed.expire(now);
+        self.promises_made.expire(now);
         for peer in self.peers.values_mut() {
-            peer.touch(now);
+            peer.expire_promise(now);
         }
     }
 
-    fn die(&mut self) {
+    fn mark_dead(&mut self) {
         self.dead = true;
         self.held.clear();
-        self.pending_give = None;
-        self.gives.clear();
+        self.pending_transfer = None;
+        self.outgoing_transfers.clear();
     }
 
-    /// What remains held when an epoch ends at `now`.
+    /// Returns what remains held when an epoch ends at `now`.
     ///
-    /// Promises bind those who made them only while this member stays in its epoch or goes on with its
-    /// floor: somebody may have settled an epoch in between, which this member jumps over, counting
-    /// on the floor once the promises ran out.
-    fn held_after_lapse(&self, now: Now) -> Amounts {
+    /// Promises bind their makers only while this member stays in its epoch or continues with its
+    /// floor. An epoch that this member skips may have been settled in between, on the assumption
+    /// that it uses only its floor once the promises have run out.
+    fn held_at_epoch_end(&self, now: Now) -> Amounts {
         let by_lease = self.lease_protects_until().is_some_and(|end| now < end);
         if by_lease || !self.guards.clip_on_adopt {
             return self.held.clone();
         }
-        least(&self.held, &self.floor())
+        min_amounts(&self.held, &self.floor())
     }
 
     fn is_listed(&self, row: &Row) -> bool {
-        row.members.contains_key(&self.me)
+        row.members.contains_key(&self.own_id)
     }
 
     pub(crate) fn lists(&self, member: &MemberId) -> bool {
@@ -309,25 +320,26 @@
     }
 
     fn allotment(&self, row: &Row) -> Amounts {
-        let entry = row.members.get(&self.me).filter(|_| !self.dead);
+        let entry = row.members.get(&self.own_id).filter(|_| !self.dead);
         entry.map(|entry| entry.allot.clone()).unwrap_or_default()
     }
 
-    /// Part of the allotment that only the long term frees.
+    /// Returns the part of the allotment that is freed only after the long TTL.
     pub(crate) fn floor(&self) -> Amounts {
         let allot = self.row.as_ref().map(|row| self.allotment(row));
         floor_of(&allot.unwrap_or_default(), self.terms.floor_pct)
     }
 
-    /// The row, for those who were heard lately and are behind: they may be cut off from the table.
-    fn rows_for_those_behind(&self, now: Now) -> Vec<Action> {
+    /// Returns the row for peers at an earlier epoch that were heard from recently: they may be cut
+    /// off from the table.
+    fn rows_for_lagging_peers(&self, now: Now) -> Vec<Action> {
         let Some(row) = &self.row else {
             return Vec::new();
         };
-        let behind = |(_, peer): &(&MemberId, &Peer)| peer.epoch < row.epoch;
-        let heard = self.peers.iter().filter(behind);
-        heard
-            .filter(|(to, _)| self.owed.owes(to, now))
+        let lags = |(_, peer): &(&MemberId, &Peer)| peer.epoch < row.epoch;
+        let lagging = self.peers.iter().filter(lags);
+        lagging
+            .filter(|(to, _)| self.promises_made.covers(to, now))
             .map(|(to, _)| Action::SendRow {
                 to: to.clone(),
                 row: Arc::clone(row),
@@ -335,16 +347,16 @@
             .collect()
     }
 
-    /// Moves `n` tokens into what is held, or out of it, and notes it in the balance of the epoch.
-    pub(crate) fn shift(&mut self, resource: &ResourceId, n: u32, receive: bool) {
+    /// Adds `n` tokens to what is held, or removes them, and updates the balance of the epoch.
+    pub(crate) fn adjust_held(&mut self, resource: &ResourceId, n: u32, receive: bool) {
         let held = amount(&self.held, resource);
-        let (rest, change) = if receive {
+        let (remaining, change) = if receive {
             (held + n, i64::from(n))
         } else {
             (held.saturating_sub(n), -i64::from(n))
         };
-        self.held.insert(resource.clone(), rest);
+        self.held.insert(resource.clone(), remaining);
         self.held.retain(|_, n| *n > 0);
-        *self.net.entry(resource.clone()).or_default() += change;
+        *self.net_received.entry(resource.clone()).or_default() += change;
     }
 }
--- a/crates/share/src/member/peer.rs
+++ b/crates/share/src/member/peer.rs
@@ -1,4 +1,4 @@
-//! What one member remembers of another one's heartbeats.
+//! What a member records of another member's heartbeats.
 
 use crate::{
     message::PoolBeat,
@@ -15,85 +15,85 @@
 };
 use std::collections::BTreeMap;
 
-/// What another member has said of itself.
+/// State that another member has reported.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Peer {
-    /// Highest epoch it was heard at; `acked`, `vouches` and `seen_mine` are of this epoch.
+    /// Highest epoch seen; `acked`, `attested_leases` and `own_lease_seen` belong to this epoch.
     pub(crate) epoch: Epoch,
     /// Whether its use was within its allotment of that epoch.
     pub(crate) acked: bool,
-    /// Whether it uses nothing any more.
+    /// Whether it has released everything and uses nothing any more.
     pub(crate) released: bool,
-    /// Whether it stops.
+    /// Whether it is stopping.
     pub(crate) leaving: bool,
-    /// Whether its lease waits to be listed by a row.
+    /// Whether its lease is not yet listed by a row.
     pub(crate) unlisted: bool,
-    /// Tokens it could use.
+    /// Tokens that it could use.
     pub(crate) demand: u32,
-    /// Tokens it holds.
+    /// Tokens that it holds.
     pub(crate) held: u32,
-    /// Lowest lease of each member that it knew at a moment when it owed that member no promise.
-    pub(crate) vouches: BTreeMap<MemberId, u64>,
-    /// Highest lease of this member that it knew.
-    pub(crate) seen_mine: u64,
+    /// Lowest lease of each member that it reported while it had no promise to that member.
+    pub(crate) attested_leases: BTreeMap<MemberId, u64>,
+    /// Highest lease of this member that it reported.
+    pub(crate) own_lease_seen: u64,
     /// End of its promise to this member.
     pub(crate) promise_until: Now,
 }
 
 impl Peer {
-    /// Sorts the facts of a beat to `me` into what is kept of its sender.
-    pub(super) fn hear(
+    /// Merges a heartbeat received by the member `own_id` into the state of its sender.
+    pub(super) fn apply_heartbeat(
         &mut self,
-        me: &MemberId,
-        beat: &PoolBeat,
+        own_id: &MemberId,
+        heartbeat: &PoolBeat,
         now: Now,
         terms: &Terms,
         guards: &Guards,
     ) {
-        if let Some(asked) = beat.granted.get(me) {
+        if let Some(asked) = heartbeat.granted.get(own_id) {
             let end = promise_end(*asked, now, terms, guards);
             if now < end {
                 self.promise_until = self.promise_until.max(end);
             }
         }
-        self.released |= beat.released;
-        self.leaving |= beat.leaving;
-        if beat.epoch < self.epoch {
+        self.released |= heartbeat.released;
+        self.leaving |= heartbeat.leaving;
+        if heartbeat.epoch < self.epoch {
             return;
         }
-        if beat.epoch > self.epoch {
-            self.begin_epoch(beat.epoch);
+        if heartbeat.epoch > self.epoch {
+            self.begin_epoch(heartbeat.epoch);
         }
-        self.acked |= beat.acked;
-        self.unlisted = beat.unlisted;
-        self.demand = beat.demand;
-        self.held = beat.held;
-        self.hear_seen(me, beat, guards);
+        self.acked |= heartbeat.acked;
+        self.unlisted = heartbeat.unlisted;
+        self.demand = heartbeat.demand;
+        self.held = heartbeat.held;
+        self.apply_seen_leases(own_id, heartbeat, guards);
     }
 
-    /// Forgets what was said at an earlier epoch.
+    /// Drops what was reported at an earlier epoch.
     fn begin_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
         self.acked = false;
-        self.vouches.clear();
-        self.seen_mine = 0;
+        self.attested_leases.clear();
+        self.own_lease_seen = 0;
     }
 
-    /// Takes in which leases it knows.
-    fn hear_seen(&mut self, me: &MemberId, beat: &PoolBeat, guards: &Guards) {
-        for (member, seq) in &beat.seen {
-            if member == me {
-                self.seen_mine = self.seen_mine.max(*seq);
+    /// Records which leases the sender has seen.
+    fn apply_seen_leases(&mut self, own_id: &MemberId, heartbeat: &PoolBeat, guards: &Guards) {
+        for (member, seq) in &heartbeat.seen {
+            if member == own_id {
+                self.own_lease_seen = self.own_lease_seen.max(*seq);
             }
-            if !beat.promised.contains(member) || !guards.promise_kept {
-                let lowest = self.vouches.entry(member.clone()).or_insert(*seq);
+            if !heartbeat.promised.contains(member) || !guards.promise_kept {
+                let lowest = self.attested_leases.entry(member.clone()).or_insert(*seq);
                 *lowest = (*lowest).min(*seq);
             }
         }
     }
 
-    /// Forgets its promise once it has run out.
-    pub(super) fn touch(&mut self, now: Now) {
+    /// Clears its promise once it has run out.
+    pub(super) fn expire_promise(&mut self, now: Now) {
         if now >= self.promise_until {
             self.promise_until = Now::ZERO;
         }
--- a/crates/share/src/message.rs
+++ b/crates/share/src/message.rs
@@ -1,8 +1,8 @@
-//! What members tell each other, and what the daemon is asked to do.
+//! Messages between members, and actions for the daemon.
 
 use crate::row::{
     Amounts,
-    Listed,
+    AmountsDisplay,
     MemberId,
     PoolId,
     ResourceId,
@@ -27,56 +27,57 @@
 
 /// State of one member in one pool, sent to every other member with each heartbeat.
 ///
-/// Beats may be lost, doubled and late. Each field is a fact that stays true of the moment at which
-/// the beat was made, so that a late one misleads nobody.
+/// Heartbeats may be lost, duplicated or delayed. Each field is a fact about the moment at which
+/// the heartbeat was made, so a late one is still correct.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PoolBeat {
     /// The pool.
     pub pool: PoolId,
-    /// Who made it.
+    /// The sender.
     pub from: MemberId,
-    /// Epoch it has adopted; zero before the first.
+    /// Epoch that it has adopted; zero before the first.
     pub epoch: Epoch,
     /// Whether its use, work in flight included, is within its allotment of this epoch.
     pub acked: bool,
     /// Whether it has stopped for good and uses nothing.
     pub released: bool,
-    /// Whether it is on the way to that.
+    /// Whether it is stopping.
     pub leaving: bool,
-    /// Whether its live lease protects nothing until a row lists it.
+    /// Whether its valid lease protects nothing until a row lists it.
     pub unlisted: bool,
     /// Sequence number of its last renewal that the platform confirmed.
     pub lease_seq: u64,
-    /// Tokens it could use now.
+    /// Tokens that it could use now.
     pub demand: u32,
-    /// Tokens it holds.
+    /// Tokens that it holds.
     pub held: u32,
-    /// When it was made, by the sender's own clock; a promise echoes it and nobody else reads it.
+    /// Time of sending by the sender's own clock; only the sender reads it, from the promise that
+    /// echoes it.
     pub asked: Now,
-    /// `asked` of the latest beat of each other member that it answered with a promise.
+    /// `asked` of the latest heartbeat of each other member that it answered with a promise.
     pub granted: BTreeMap<MemberId, Now>,
-    /// Members that it still owes a promise.
+    /// Members to which it has a promise that still runs.
     pub promised: BTreeSet<MemberId>,
-    /// Highest lease of each other member that it knows.
+    /// Highest known lease of each other member.
     pub seen: BTreeMap<MemberId, u64>,
 }
 
-/// Tokens handed from one member to another within an epoch.
+/// Transfer of tokens from one member to another within an epoch.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Give {
     /// The pool.
     pub pool: PoolId,
-    /// Epoch outside of which it means nothing.
+    /// The only epoch at which it is valid.
     pub epoch: Epoch,
-    /// Whose tokens they are.
+    /// Resource of the tokens.
     pub resource: ResourceId,
     /// Number of tokens.
     pub n: u32,
-    /// Who no longer uses them.
+    /// Member that no longer uses them.
     pub from: MemberId,
-    /// Who may use them from now on.
+    /// Member that may use them from now on.
     pub to: MemberId,
-    /// Number of the hand-over in this epoch of its giver.
+    /// Sequence number of the transfer among those of its sender in this epoch.
     pub seq: u64,
 }
 
@@ -84,52 +85,53 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "give {} of {} from {} to {} at epoch {} (seq {})",
+            "transfer {} of {} from {} to {} at epoch {} (seq {})",
             self.n, self.resource, self.from, self.to, self.epoch, self.seq
         )
     }
 }
 
-/// What [`crate::Member::tick`] asks the daemon to do.
+/// Action that [`crate::Member::tick`] asks of the daemon.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Action {
-    /// Replace the row by compare-and-set; tell the outcome by `on_row` with the row then read.
+    /// Replace the row by compare-and-set; then pass the row that a read finds to `on_row`.
     Propose {
-        /// Epoch that the table must still hold; `None` for an absent row.
+        /// Epoch that the table must still hold; `None` if it must hold no row.
         expect_epoch: Option<Epoch>,
         /// The row to write.
         row: Row,
     },
-    /// Send to the receiver that it names.
+    /// Send the transfer to its receiver.
     Give(Give),
-    /// Send the row to a member that is behind; it may be cut off from the platform.
+    /// Send the row to a member at an earlier epoch, which may be cut off from the platform.
     SendRow {
-        /// Who is behind.
+        /// The receiver.
         to: MemberId,
         /// The row adopted here.
         row: Arc<Row>,
     },
 }
 
-/// What traffic threads may use without asking again: published as one snapshot.
+/// What traffic threads may use without asking again, published as one snapshot.
 ///
-/// A thread takes a token only after it compared its own reading of the clock with both times. A
-/// thread that is paused between this check and its send goes over; `Terms::grace` covers pauses as
-/// long as the work itself may take, and nothing covers longer ones.
+/// A thread takes a token only after it has compared its own reading of the clock with both times.
+/// A thread that is paused between this check and its send exceeds the limits. `Terms::grace`
+/// covers such pauses as long as pause and work together stay within it; nothing covers longer
+/// ones.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Limits {
     /// Tokens before `full_until`.
     pub full: Amounts,
     /// End of `full`, exclusive.
     pub full_until: Now,
-    /// Tokens from then on.
+    /// Tokens from `full_until` on.
     pub floor: Amounts,
     /// End of `floor`, exclusive.
     pub floor_until: Now,
 }
 
 impl Limits {
-    /// Tokens of `resource` at `now`.
+    /// Returns the tokens of `resource` at `now`.
     pub fn at(&self, resource: &ResourceId, now: Now) -> u32 {
         let amounts = if now < self.full_until {
             &self.full
@@ -144,8 +146,8 @@
 
 impl fmt::Display for Limits {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let full = Listed(&self.full);
-        let floor = Listed(&self.floor);
+        let full = AmountsDisplay(&self.full);
+        let floor = AmountsDisplay(&self.floor);
         write!(f, "{full} until {:?}, ", self.full_until)?;
         write!(f, "{floor} until {:?}", self.floor_until)
     }
--- a/crates/share/src/plan.rs
+++ b/crates/share/src/plan.rs
@@ -1,10 +1,10 @@
-//! Builds the next row: fair by demand, with as few moves as that allows.
+//! Builder of the next row: fair by demand, with as few changes as that allows.
 
 use crate::{
     row::{
         amount,
         floor_of,
-        most,
+        max_amounts,
         total,
         Amounts,
         MemberId,
@@ -17,27 +17,27 @@
 use base::Epoch;
 use std::collections::BTreeMap;
 
-/// How a member is to be treated by the next row.
+/// How the next row treats a member.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum PlanState {
-    /// Gets its fair part.
+    /// Gets its fair share.
     Live,
-    /// Its short term lapsed: it keeps what it may still be using.
+    /// Its short TTL has lapsed; it keeps what it may still be using.
     Lapsed,
-    /// Keeps what it has until it releases it.
+    /// Keeps its allotment until it releases it.
     Leaving,
 }
 
-/// What the builder has to know of a member.
+/// Input of the builder for one member.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PlanMember {
-    /// Highest lease known of it.
+    /// Its highest known lease.
     pub lease_seq: u64,
-    /// Highest epoch it is known to have adopted.
+    /// Highest epoch that it is known to have adopted.
     pub adopted: Epoch,
-    /// Tokens it could use.
+    /// Tokens that it could use.
     pub demand: u32,
-    /// How it is treated.
+    /// How the row treats it.
     pub state: PlanState,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// What a member that is not live may still be using.
+/// Returns what a member that is not live may still be using.
 fn kept_amounts(
     previous: Option<&Row>,
     old: &RowMember,
@@ -94,7 +94,7 @@
     earlier_bound(previous, old, member, terms)
 }
 
-/// Most that a member without protection may use at the epochs before the next.
+/// Returns the most that a member without protection may use at the epochs before the next.
 fn earlier_bound(
     previous: Option<&Row>,
     old: &RowMember,
@@ -120,7 +120,7 @@
     let floor = floor_of(&allot, terms.floor_pct);
     let earlier = old.map(|old| earlier_bound(previous, old, member, terms));
     RowMember {
-        bound: most(&floor, &earlier.unwrap_or_default()),
+        bound: max_amounts(&floor, &earlier.unwrap_or_default()),
         lease_seq: member.lease_seq.max(old.map_or(0, |old| old.lease_seq)),
         since: old.map_or(epoch, |old| old.since),
         // A new member holds nothing at the epochs before its first.
@@ -131,13 +131,13 @@
     }
 }
 
-/// Takes as much of `wanted` as `free` has.
-fn take_within(wanted: &Amounts, free: &mut Amounts) -> Amounts {
+/// Takes as much of `requested` as `free` has.
+fn take_within(requested: &Amounts, free: &mut Amounts) -> Amounts {
     let mut taken = Amounts::new();
-    for (resource, n) in wanted {
-        let left = free.entry(resource.clone()).or_default();
-        let tokens = (*n).min(*left);
-        *left -= tokens;
+    for (resource, n) in requested {
+        let remaining = free.entry(resource.clone()).or_default();
+        let tokens = (*n).min(*remaining);
+        *remaining -= tokens;
         if tokens > 0 {
             taken.insert(resource.clone(), tokens);
         }
@@ -145,13 +145,14 @@
     taken
 }
 
-/// Tokens for each live member: one each, then up to demand, then the rest; evenly at each stage.
+/// Returns the tokens for each live member: one each, then up to its demand, then the rest; evenly
+/// at each stage.
 fn fair_targets(members: &BTreeMap<MemberId, PlanMember>, tokens: u32) -> BTreeMap<MemberId, u32> {
     let live = members
         .iter()
         .filter(|(_, member)| member.state == PlanState::Live);
     let mut targets: BTreeMap<_, _> = live.clone().map(|(id, _)| (id.clone(), 0)).collect();
-    let mut left = tokens;
+    let mut remaining = tokens;
     for stage in 0..3 {
         loop {
             let limit = |id: &MemberId| match stage {
@@ -159,18 +160,18 @@
                 1 => members[id].demand,
                 _ => u32::MAX,
             };
-            let open = targets.iter().filter(|(id, n)| **n < limit(id));
-            let Some(lowest) = open.map(|(_, n)| *n).min() else {
+            let below_limit = targets.iter().filter(|(id, n)| **n < limit(id));
+            let Some(lowest) = below_limit.map(|(_, n)| *n).min() else {
                 break;
             };
-            let before = left;
+            let before = remaining;
             for (id, n) in &mut targets {
-                if left > 0 && *n == lowest && *n < limit(id) {
+                if remaining > 0 && *n == lowest && *n < limit(id) {
                     *n += 1;
-                    left -= 1;
+                    remaining -= 1;
                 }
             }
-            if left == 0 || left == before {
+            if remaining == 0 || remaining == before {
                 break;
             }
         }
@@ -178,7 +179,7 @@
     targets
 }
 
-/// Cuts `amounts` to `target` tokens, one at a time from where there are most.
+/// Reduces `amounts` to `target` tokens, one at a time from the resource with the most.
 fn trim(amounts: &Amounts, target: u32) -> Amounts {
     let mut rest = amounts.clone();
     let mut excess = total(&rest).saturating_sub(target);
@@ -192,14 +193,15 @@
     rest
 }
 
-/// Deals what is free to members below their target, in turns, from where there is most.
+/// Distributes free tokens in turns to members below their targets, from the resource with the
+/// most.
 fn fill(
     allots: &mut BTreeMap<MemberId, Amounts>,
     targets: &BTreeMap<MemberId, u32>,
     free: &mut Amounts,
 ) {
     loop {
-        let mut dealt = false;
+        let mut distributed = false;
         for (id, target) in targets {
             let Some(allot) = allots.get_mut(id).filter(|allot| total(allot) < *target) else {
                 continue;
@@ -207,16 +209,17 @@
             if let Some(resource) = best_resource(allot, free) {
                 *free.entry(resource.clone()).or_default() -= 1;
                 *allot.entry(resource).or_default() += 1;
-                dealt = true;
+                distributed = true;
             }
         }
-        if !dealt {
+        if !distributed {
             return;
         }
     }
 }
 
-/// Resource with the most free tokens; among equals the one of which `allot` has least.
+/// Returns the resource with the most free tokens; among equals the one of which `allot` has the
+/// least.
 fn best_resource(allot: &Amounts, free: &Amounts) -> Option<ResourceId> {
     free.iter()
         .filter(|(_, n)| **n > 0)
--- a/crates/share/src/promise.rs
+++ b/crates/share/src/promise.rs
@@ -1,9 +1,9 @@
-//! Promises: what a member owes to others, and what others owe to it.
+//! Promises between members.
 //!
-//! A promise says: I am at your epoch, and until it runs out I shall not vouch, at any later epoch,
-//! for your having lapsed. Whoever takes a surplus needs one to vouch for it who was in every row
-//! the holder may be at; the holder needs the promise of all others in its row. So as long as all
-//! promise, nobody can be found who helps to take.
+//! The maker of a promise is at the holder's epoch and, until the promise runs out, won't attest at
+//! any later epoch that the holder's lease has lapsed. Reclaiming a surplus needs a witness that
+//! was in every row that the holder may be at; the holder needs the promises of all others in its
+//! row. So while all of them promise, no witness can be found.
 
 use crate::{
     row::MemberId,
@@ -18,60 +18,60 @@
     BTreeSet, //
 };
 
-/// Promises made.
+/// Promises made to other members.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Owed {
+pub(crate) struct PromisesMade {
     until: BTreeMap<MemberId, Now>,
     answered: BTreeMap<MemberId, Now>,
 }
 
-impl Owed {
-    /// Promises `to` in answer to the beat that it sent at `asked` of its own clock.
+impl PromisesMade {
+    /// Makes a promise to `member` in answer to its heartbeat, sent at `asked` of its own clock.
     pub(crate) fn grant(
         &mut self,
-        to: &MemberId,
+        member: &MemberId,
         asked: Now,
         now: Now,
         terms: &Terms,
         guards: &Guards,
     ) {
-        let term = terms.with_drift(terms.promise_term, guards) + terms.outliving(guards);
-        let until = self.until.entry(to.clone()).or_default();
+        let term = terms.with_drift(terms.promise_term, guards) + terms.grace_allowance(guards);
+        let until = self.until.entry(member.clone()).or_default();
         *until = (*until).max(now + term);
-        let answered = self.answered.entry(to.clone()).or_default();
+        let answered = self.answered.entry(member.clone()).or_default();
         *answered = (*answered).max(asked);
     }
 
-    /// Whether a promise to `to` still runs.
-    pub(crate) fn owes(&self, to: &MemberId, now: Now) -> bool {
-        self.until.get(to).is_some_and(|until| now < *until)
+    /// Returns whether a promise to `member` still runs.
+    pub(crate) fn covers(&self, member: &MemberId, now: Now) -> bool {
+        self.until.get(member).is_some_and(|until| now < *until)
     }
 
-    /// Forgets what has run out.
+    /// Drops promises that have run out.
     pub(crate) fn expire(&mut self, now: Now) {
         self.until.retain(|_, until| now < *until);
         let until = &self.until;
-        self.answered.retain(|to, _| until.contains_key(to));
+        self.answered.retain(|member, _| until.contains_key(member));
     }
 
-    /// Everybody who is owed a promise.
-    pub(crate) fn all(&self, now: Now) -> BTreeSet<MemberId> {
+    /// Returns the members with a promise that still runs.
+    pub(crate) fn active(&self, now: Now) -> BTreeSet<MemberId> {
         self.until
             .iter()
             .filter(|(_, until)| now < **until)
-            .map(|(to, _)| to.clone())
+            .map(|(member, _)| member.clone())
             .collect()
     }
 
-    /// Latest beat of each other member that was answered with a promise.
+    /// Returns the time of the latest heartbeat of each member that was answered with a promise.
     pub(crate) fn answered(&self) -> &BTreeMap<MemberId, Now> {
         &self.answered
     }
 }
 
-/// End of a promise that answers the beat sent at `asked`.
+/// Returns the end of a promise that answers the heartbeat sent at `asked`.
 ///
-/// The answer may be late, so the time of its arrival says nothing of when the promise was made.
+/// The answer may be late, so its time of arrival does not tell when the promise was made.
 pub(crate) fn promise_end(asked: Now, now: Now, terms: &Terms, guards: &Guards) -> Now {
     let from = if guards.promise_from_ask { asked } else { now };
     from + terms.promise_term
--- a/crates/share/src/propose.rs
+++ b/crates/share/src/propose.rs
@@ -1,4 +1,4 @@
-//! When a member writes the next row, and who goes first.
+//! When a member proposes the next row, and in which order members propose.
 
 use crate::{
     member::Member,
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 
 impl Member {
-    /// The next row, if one is wanted and it is this member's turn.
+    /// Returns the proposal of the next row, if one is needed and it is this member's turn.
     pub(crate) fn proposal(&mut self, now: Now) -> Option<Action> {
         let row = self.wanted_row(now);
         if row.is_none() {
@@ -31,7 +31,8 @@
             self.wanted_since = Some(since);
             return None;
         }
-        // The next attempt waits a whole round, for the answer to this one or the others' turn.
+        // The next attempt waits a whole round: for the result of this one or another member's
+        // turn.
         let members = u32::try_from(row.members.len()).unwrap_or(u32::MAX);
         let round = self.terms.propose_step * members;
         self.wanted_since = (!round.is_zero()).then(|| now + round);
@@ -40,10 +41,10 @@
     }
 
     fn wanted_row(&self, now: Now) -> Option<Row> {
-        let alive = self
+        let lease_valid = self
             .lease
             .is_some_and(|lease| now < lease.short_end(&self.terms));
-        if !alive || self.dead || !(self.row.is_some() || self.row_absent) {
+        if !lease_valid || self.dead || !(self.row.is_some() || self.row_absent) {
             return None;
         }
         let capacity = self.capacity.as_ref()?;
@@ -54,18 +55,18 @@
         };
         let needed = capacity_fell(row, &next)
             || self.members_differ(row, &next)
-            || self.lapsed_hold_too_much(row, &next, &members)
-            || self.someone_waits_to_be_listed(row, &next, now);
-        let rested = now >= self.adopted_at + self.terms.rebalance_every;
-        let useful = row.resources != next.resources || demand_moved(row, &next, &members);
-        (needed || (rested && useful)).then_some(next)
+            || self.lapsed_allotment_shrinks(row, &next, &members)
+            || self.has_unlisted_lease(row, &next, now);
+        let interval_elapsed = now >= self.adopted_at + self.terms.rebalance_every;
+        let improves = row.resources != next.resources || demand_moved(row, &next, &members);
+        (needed || (interval_elapsed && improves)).then_some(next)
     }
 
-    /// Everybody that the next row should list.
+    /// Returns the members that the next row should list.
     fn plan_members(&self, now: Now) -> BTreeMap<MemberId, PlanMember> {
         let mut all = BTreeMap::new();
         if !self.is_released() {
-            all.insert(self.me.clone(), self.plan_self());
+            all.insert(self.own_id.clone(), self.plan_self());
         }
         let listed = self.row.iter().flat_map(|row| row.members.keys());
         let joining = self
@@ -73,7 +74,7 @@
             .iter()
             .filter(|(_, peer)| peer.epoch == 0)
             .map(|(id, _)| id);
-        for id in listed.chain(joining).filter(|id| **id != self.me) {
+        for id in listed.chain(joining).filter(|id| **id != self.own_id) {
             if let Some(member) = self.plan_other(id, now) {
                 all.insert(id.clone(), member);
             }
@@ -94,19 +95,19 @@
         }
     }
 
-    /// Another member's part in the next row; `None` for one that is gone.
+    /// Returns another member's entry for the next row; `None` if it is gone.
     fn plan_other(&self, id: &MemberId, now: Now) -> Option<PlanMember> {
         let peer = self.peers.get(id);
-        let lease = self.leases.get(id);
+        let lease = self.observed_leases.get(id);
         let entry = self.row.as_ref().and_then(|row| row.members.get(id));
         if peer.is_some_and(|peer| peer.released) {
             return None;
         }
         let lapsed = lease.is_some_and(|lease| {
-            lease.short_lapsed(now, &self.terms, &self.guards) && !self.owed.owes(id, now)
+            lease.has_lapsed(now, &self.terms, &self.guards) && !self.promises_made.covers(id, now)
         });
         match entry {
-            Some(entry) if self.lapsed_for_good(id, entry, now) => return None,
+            Some(entry) if self.is_expired(id, entry, now) => return None,
             None if lapsed || lease.is_none() => return None,
             _ => {}
         }
@@ -129,7 +130,7 @@
         !row.members.keys().eq(next.members.keys())
     }
 
-    fn lapsed_hold_too_much(
+    fn lapsed_allotment_shrinks(
         &self,
         row: &Row,
         next: &Row,
@@ -146,15 +147,15 @@
             )
     }
 
-    /// Whether a live lease protects nothing until a row lists it.
-    fn someone_waits_to_be_listed(&self, row: &Row, next: &Row, now: Now) -> bool {
+    /// Returns whether a valid lease protects nothing until a row lists it.
+    fn has_unlisted_lease(&self, row: &Row, next: &Row, now: Now) -> bool {
         next.members.iter().any(|(id, new)| {
-            let waits = if *id == self.me {
-                self.waits_to_be_listed(now)
+            let unlisted = if *id == self.own_id {
+                self.is_unlisted(now)
             } else {
                 self.peers.get(id).is_some_and(|peer| peer.unlisted)
             };
-            waits
+            unlisted
                 && row
                     .members
                     .get(id)
@@ -162,17 +163,17 @@
         })
     }
 
-    /// Place of this member in the order of those who may write the row.
+    /// Returns this member's position in the order of proposers.
     fn rank(&self, row: &Row) -> u32 {
-        let mine = self.weight(&self.me);
-        let before = row
+        let own_weight = self.weight(&self.own_id);
+        let ahead = row
             .members
             .keys()
-            .filter(|id| **id != self.me && self.weight(id) > mine);
-        u32::try_from(before.count()).unwrap_or(u32::MAX)
+            .filter(|id| **id != self.own_id && self.weight(id) > own_weight);
+        u32::try_from(ahead.count()).unwrap_or(u32::MAX)
     }
 
-    /// Weight in the rendezvous order; FNV-1a, so that all members agree on it.
+    /// Returns the rendezvous weight of a member. FNV-1a, so that all members compute the same.
     fn weight(&self, member: &MemberId) -> u64 {
         let text = format!("{}/{}/{member}", self.terms.seed, self.pool);
         text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -181,17 +182,18 @@
     }
 }
 
-/// Whether a resource has less than the row says.
+/// Returns whether the capacity of a resource is less than the row says.
 ///
-/// More of it waits for the next regular row. The entries' pictures of the upstreams lag by different
-/// times, and two that disagree would otherwise replace each other's row without end.
+/// An increase waits for the next regular row. The entries' views of the upstreams lag by different
+/// times, and two entries that disagree would otherwise replace each other's rows forever.
 fn capacity_fell(row: &Row, next: &Row) -> bool {
     row.resources
         .iter()
         .any(|(resource, n)| amount(&next.resources, resource) < *n)
 }
 
-/// Whether the next row gives a token to a live member that lacks it.
+/// Returns whether the next row gives more tokens to a live member whose demand exceeds its
+/// allotment.
 fn demand_moved(row: &Row, next: &Row, members: &BTreeMap<MemberId, PlanMember>) -> bool {
     members.iter().any(|(id, member)| {
         let tokens = |row: &Row| row.members.get(id).map_or(0, |entry| total(&entry.allot));
--- a/crates/share/src/row.rs
+++ b/crates/share/src/row.rs
@@ -1,4 +1,4 @@
-//! The allotment of a pool: one row of the platform's table, replaced epoch by epoch.
+//! The allotment of a pool: one row of the platform's table, replaced at each epoch.
 
 use base::{
     Epoch,
@@ -25,33 +25,33 @@
 /// Tokens by resource; a missing resource stands for none.
 pub type Amounts = BTreeMap<ResourceId, u32>;
 
-/// Names the pool of the slots of `service` in `region`.
+/// Returns the name of the pool of the slots of `service` in `region`.
 pub fn slots_pool(service: &ServiceId, region: &RegionId) -> PoolId {
     format!("slots/{region}/{service}").into()
 }
 
-/// Names the pool of the cap on work that leaves region `from` for region `to`.
+/// Returns the name of the pool of the cap on work that region `from` sends to region `to`.
 pub fn cap_pool(from: &RegionId, to: &RegionId) -> PoolId {
     format!("cap/{from}/{to}").into()
 }
 
-/// Member of a pool: an instance in one life; `instance#incarnation` as text.
+/// Member of a pool: one incarnation of an instance; `instance#incarnation` as text.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct MemberId {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life; a member that lapsed for good comes back under a higher one.
+    /// Its incarnation; a member whose lease expired comes back with a higher one.
     pub incarnation: Incarnation,
 }
 
-/// Text that is no `instance#incarnation`.
+/// Error for text that is not of the form `instance#incarnation`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberIdError(String);
 
 impl fmt::Display for MemberIdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "`{}` is no instance#incarnation", self.0)
+        write!(f, "`{}` is not of the form instance#incarnation", self.0)
     }
 }
 
@@ -90,38 +90,39 @@
     }
 }
 
-/// What a row says of one member.
+/// Entry of one member in a row.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RowMember {
     /// Tokens allotted to it.
     pub allot: Amounts,
-    /// The most it may use without protection at any epoch that it may still be at.
+    /// The most that it may use without protection at any epoch that it may still be at.
     pub bound: Amounts,
-    /// Sequence number of its lease that the writer knew; a lapse of an older one says nothing.
+    /// Sequence number of its lease as known to the writer; the lapse of an older one is not
+    /// conclusive.
     pub lease_seq: u64,
     /// Epoch of the first row that lists it.
     pub since: Epoch,
-    /// Highest epoch that the writer knew it to have adopted.
+    /// Highest epoch that it had adopted as far as the writer knew.
     pub adopted: Epoch,
-    /// Whether it stops: it gets nothing more.
+    /// Whether it is stopping and gets no more tokens.
     pub leaving: bool,
-    /// Whether the writer saw its short term lapse: it keeps what it may be using.
+    /// Whether the writer saw its short TTL lapse; it keeps what it may still be using.
     pub lapsed: bool,
 }
 
 /// Allotment of a pool at one epoch.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Row {
-    /// Grows by one with each compare-and-set.
+    /// Incremented by each compare-and-set.
     pub epoch: Epoch,
     /// Capacity of each resource, in tokens.
     pub resources: Amounts,
-    /// Members and what each is allotted.
+    /// Members and their allotments.
     pub members: BTreeMap<MemberId, RowMember>,
 }
 
 impl Row {
-    /// Tokens of `resource` allotted to `member`.
+    /// Returns the tokens of `resource` allotted to `member`.
     pub fn allotted(&self, member: &MemberId, resource: &ResourceId) -> u32 {
         self.members
             .get(member)
@@ -130,12 +131,17 @@
 }
 
 impl fmt::Display for Row {
-    /// Writes one line a member, after a line with the epoch and the capacities.
+    /// Writes a line with the epoch and the capacities, then one line per member.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "epoch {} of {}", self.epoch, Listed(&self.resources))?;
+        write!(
+            f,
+            "epoch {} of {}",
+            self.epoch,
+            AmountsDisplay(&self.resources)
+        )?;
         for (id, entry) in &self.members {
-            write!(f, "\n  {id}: {}", Listed(&entry.allot))?;
-            write!(f, " bound {}", Listed(&entry.bound))?;
+            write!(f, "\n  {id}: {}", AmountsDisplay(&entry.allot))?;
+            write!(f, " bound {}", AmountsDisplay(&entry.bound))?;
             write!(f, " lease {}", entry.lease_seq)?;
             write!(f, " since {} adopted {}", entry.since, entry.adopted)?;
             if entry.leaving {
@@ -149,10 +155,10 @@
     }
 }
 
-/// Amounts as `a=2 b=1`, or `-` for none.
-pub(crate) struct Listed<'a>(pub(crate) &'a Amounts);
+/// Formats amounts as `a=2 b=1`, or `-` for none.
+pub(crate) struct AmountsDisplay<'a>(pub(crate) &'a Amounts);
 
-impl fmt::Display for Listed<'_> {
+impl fmt::Display for AmountsDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             return f.write_str("-");
@@ -165,26 +171,26 @@
     }
 }
 
-/// Tokens of `resource` in `amounts`.
+/// Returns the tokens of `resource` in `amounts`.
 pub(crate) fn amount(amounts: &Amounts, resource: &ResourceId) -> u32 {
     amounts.get(resource).copied().unwrap_or(0)
 }
 
-/// Sum over all resources.
+/// Returns the sum over all resources.
 pub(crate) fn total(amounts: &Amounts) -> u32 {
     amounts.values().sum()
 }
 
-/// The lesser of both, resource by resource.
-pub(crate) fn least(a: &Amounts, b: &Amounts) -> Amounts {
+/// Returns the lesser of both amounts for each resource.
+pub(crate) fn min_amounts(a: &Amounts, b: &Amounts) -> Amounts {
     a.iter()
         .map(|(resource, n)| (resource.clone(), (*n).min(amount(b, resource))))
         .filter(|(_, n)| *n > 0)
         .collect()
 }
 
-/// The greater of both, resource by resource.
-pub(crate) fn most(a: &Amounts, b: &Amounts) -> Amounts {
+/// Returns the greater of both amounts for each resource.
+pub(crate) fn max_amounts(a: &Amounts, b: &Amounts) -> Amounts {
     let mut all = a.clone();
     for (resource, n) in b {
         let entry = all.entry(resource.clone()).or_default();
@@ -193,24 +199,25 @@
     all
 }
 
-/// Whether `a` is within `b` for every resource.
+/// Returns whether `a` is within `b` for every resource.
 pub(crate) fn within(a: &Amounts, b: &Amounts) -> bool {
     a.iter().all(|(resource, n)| *n <= amount(b, resource))
 }
 
-/// The part of `allot` that only the long term frees: `floor_pct` of the whole, rounded up.
+/// Returns the part of `allot` that is freed only after the long TTL: `floor_pct` of the whole,
+/// rounded up.
 ///
-/// The rounding runs over the resources together. A member with one slot on each of three
-/// upstreams would otherwise have a floor of either nothing or everything.
+/// The rounding carries over from one resource to the next. Otherwise a member with one slot on
+/// each of three upstreams would have a floor of either nothing or everything.
 pub fn floor_of(allot: &Amounts, floor_pct: u32) -> Amounts {
     let mut before = 0_u64;
     let mut floor = Amounts::new();
-    let part = |n: u64| (n * u64::from(floor_pct)).div_ceil(100);
+    let floor_tokens = |n: u64| (n * u64::from(floor_pct)).div_ceil(100);
     for (resource, n) in allot {
         let after = before + u64::from(*n);
-        let share = part(after) - part(before);
-        // With a part of at most 100 % the step is at most `n`; a larger setting is cut to it.
-        let tokens = u32::try_from(share).unwrap_or(*n).min(*n);
+        let step = floor_tokens(after) - floor_tokens(before);
+        // With `floor_pct` up to 100 the step is at most `n`; a larger setting is limited to `n`.
+        let tokens = u32::try_from(step).unwrap_or(*n).min(*n);
         if tokens > 0 {
             floor.insert(resource.clone(), tokens);
         }
--- a/crates/share/src/terms.rs
+++ b/crates/share/src/terms.rs
@@ -1,25 +1,25 @@
-//! Durations and fractions that all members of a pool have to agree on, and the test switches.
+//! Durations and fractions on which all members of a pool have to agree, and switches for tests.
 
 use std::time::Duration;
 
-/// Agreed terms of a pool; every member must run with the same.
+/// Parameters of a pool; all members must run with the same.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Terms {
     /// How long a renewed lease protects the whole allotment.
     pub short_ttl: Duration,
     /// How long a renewed lease protects the floor.
     pub long_ttl: Duration,
-    /// Part of an allotment that only the long term frees, in percent.
+    /// Part of an allotment that is freed only after the long TTL, in percent.
     pub floor_pct: u32,
     /// How much faster one clock may run than another, in percent.
     pub drift_pct: u32,
-    /// How long work may go on after the check that let it start: its deadline at the upstream.
+    /// How long work may continue after the check that admitted it: its deadline at the upstream.
     pub grace: Duration,
-    /// How long a promise lasts, counted by the holder from before it asked; zero for no promises.
+    /// Length of a promise, counted by its holder from before it asked; zero disables promises.
     pub promise_term: Duration,
-    /// How long a member waits for each one before it in the order of proposers.
+    /// How long a member waits for each member before it in the order of proposers.
     pub propose_step: Duration,
-    /// Least time between two epochs that only follow demand.
+    /// Minimum time between two epochs that only follow demand.
     pub rebalance_every: Duration,
     /// Seed of the order of proposers.
     pub seed: u64,
@@ -42,7 +42,7 @@
 }
 
 impl Terms {
-    /// Stretches `span` by the drift, for whoever counts on behalf of another clock.
+    /// Extends `span` by the drift, for a member that counts on behalf of another clock.
     pub(crate) fn with_drift(&self, span: Duration, guards: &Guards) -> Duration {
         if guards.drift {
             span + span * self.drift_pct / 100
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Work that outlives the right it was started under, as the observer has to allow for.
-    pub(crate) fn outliving(&self, guards: &Guards) -> Duration {
+    /// Returns how long work may outlive the right under which it started, which observers add to a
+    /// TTL.
+    pub(crate) fn grace_allowance(&self, guards: &Guards) -> Duration {
         if guards.grace {
             self.grace
         } else {
@@ -61,46 +62,47 @@
     }
 }
 
-/// Switches that turn single guards off, for the search in `model` only.
+/// Switches that turn single guards off; only for the search in `model`.
 ///
-/// Each names a rule without which a token gets two users; the tests of `model` show the run.
+/// Each is a rule without which a token gets two users; the tests of `model` show a run for each.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Guards {
-    /// Others must have acknowledged before an allotment is used in full.
+    /// The whole allotment is used only after the others have acknowledged.
     pub wait_for_acks: bool,
-    /// An acknowledgement counts for exactly one epoch, not for those before.
+    /// An acknowledgement counts for exactly one epoch, not for earlier ones.
     pub exact_ack: bool,
     /// Work in flight delays the acknowledgement.
     pub ack_in_flight: bool,
-    /// Adopting an epoch raises nothing at once.
+    /// Adopting an epoch increases nothing at once.
     pub keep_minimum: bool,
     /// The holder counts its lease from before the renewal was sent.
     pub lease_from_send: bool,
-    /// A lease renewed after it lapsed protects nothing of the past.
+    /// A lease renewed after a lapse does not protect what was held before.
     pub broken_chain: bool,
-    /// A lapse needs a read of the table that started after it.
+    /// A lapse is conclusive only with a read of the table that started after it.
     pub confirm_read: bool,
-    /// The last lease of an earlier life is counted from the first sight of the next.
+    /// The last lease of an earlier incarnation counts from when the newer incarnation was first
+    /// seen.
     pub replaced_from_sight: bool,
-    /// A lapse of a lease older than the row lists counts for nothing.
+    /// The lapse of a lease older than the one in the row is not conclusive.
     pub listed_lease: bool,
-    /// What is left to a lapsed member covers every floor that it may still be using.
+    /// A lapsed member keeps every floor that it may still be using.
     pub floor_bound: bool,
-    /// Whoever helps to take a surplus has been a member since the lapsed one's epoch.
+    /// A witness has been a member since the epoch of the lapsed member.
     pub witness_since: bool,
-    /// Whoever helps to take a surplus has no promise left to the lapsed one.
+    /// A witness has no promise to the lapsed member that still runs.
     pub promise_kept: bool,
-    /// A promise is counted from before it was asked for.
+    /// A promise counts from before it was asked for.
     pub promise_from_ask: bool,
     /// A promise is made only within one epoch.
     pub promise_same_epoch: bool,
     /// A member whose lease lapsed enters a new epoch with its floor at most.
     pub clip_on_adopt: bool,
-    /// A hand-over is applied once.
+    /// A transfer is applied once.
     pub give_once: bool,
-    /// A hand-over is applied only within its epoch.
+    /// A transfer is applied only within its epoch.
     pub give_same_epoch: bool,
-    /// A giver stops using before it gives.
+    /// The sender of a transfer stops using the tokens before it sends them.
     pub give_stops_first: bool,
     /// Observers allow for work that outlives its lease.
     pub grace: bool,
--- a/crates/share/src/verify.rs
+++ b/crates/share/src/verify.rs
@@ -1,4 +1,4 @@
-//! Verifier of rows, apart from the builder: collects everything that is wrong.
+//! Verifier of rows, independent of the builder: collects all errors.
 
 use crate::row::{
     amount,
@@ -12,55 +12,56 @@
 };
 use std::fmt;
 
-/// One thing that is wrong with a row, and where.
+/// An error in a row, and where it is.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Finding {
-    /// More tokens are allotted than there are.
+    /// More tokens are allotted than the resource has.
     OverCapacity {
         /// The resource.
         resource: ResourceId,
         /// Tokens allotted.
         allotted: u32,
-        /// Tokens there are.
+        /// Tokens that the resource has.
         capacity: u32,
     },
-    /// Tokens of a resource that the row does not list.
+    /// Tokens of a resource that the row does not list are allotted.
     UnknownResource {
-        /// Whose.
+        /// The member.
         member: MemberId,
         /// The resource.
         resource: ResourceId,
     },
-    /// A live member got nothing although a token was to be had.
-    LeftOut {
-        /// Who.
+    /// A live member got no token although one was available.
+    NoTokens {
+        /// The member.
         member: MemberId,
     },
-    /// A bound below the floor of the row's own allotment.
+    /// The bound is below the floor of the allotment in the same row.
     BoundBelowFloor {
-        /// Whose.
+        /// The member.
         member: MemberId,
     },
-    /// An epoch of the member lies after the row's.
+    /// An epoch of the member is after the row's.
     EpochAhead {
-        /// Whose.
+        /// The member.
         member: MemberId,
     },
-    /// The row does not follow the one before it.
+    /// The row's epoch is not the successor of the previous one.
     EpochGap,
-    /// The first row of the member changed, or a new one claims an older.
+    /// The first epoch of a listed member changed, or a new member's is not that of
+    /// the row.
     SinceChanged {
-        /// Whose.
+        /// The member.
         member: MemberId,
     },
-    /// What only grows went back: the lease listed, or the epoch adopted.
-    WentBack {
-        /// Whose.
+    /// A value that only grows decreased: the listed lease, or the adopted epoch.
+    Regressed {
+        /// The member.
         member: MemberId,
     },
-    /// A bound forgets a floor that the member may still be using.
-    BoundForgets {
-        /// Whose.
+    /// The bound is below an earlier floor that the member may still be using.
+    BoundBelowEarlierFloor {
+        /// The member.
         member: MemberId,
     },
 }
@@ -76,18 +77,20 @@
             Self::UnknownResource { member, resource } => {
                 write!(f, "{member}: tokens of {resource}, which is not listed")
             }
-            Self::LeftOut { member } => write!(f, "{member}: no token at all"),
+            Self::NoTokens { member } => write!(f, "{member}: no token allotted"),
             Self::BoundBelowFloor { member } => write!(f, "{member}: bound below the floor"),
             Self::EpochAhead { member } => write!(f, "{member}: epoch after the row's"),
-            Self::EpochGap => f.write_str("epoch: not one after the last"),
+            Self::EpochGap => f.write_str("epoch: not the successor of the previous one"),
             Self::SinceChanged { member } => write!(f, "{member}: first epoch changed"),
-            Self::WentBack { member } => write!(f, "{member}: lease or epoch went back"),
-            Self::BoundForgets { member } => write!(f, "{member}: bound forgets a floor"),
+            Self::Regressed { member } => write!(f, "{member}: lease or epoch went back"),
+            Self::BoundBelowEarlierFloor { member } => {
+                write!(f, "{member}: bound below an earlier floor")
+            }
         }
     }
 }
 
-/// Everything wrong with a row by itself.
+/// Returns all errors of a row by itself.
 pub fn verify(row: &Row, floor_pct: u32) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (resource, capacity) in &row.resources {
@@ -107,7 +110,7 @@
     for (member, entry) in &row.members {
         verify_member(row, member, entry, floor_pct, &mut findings);
     }
-    findings.extend(left_out(row));
+    findings.extend(members_without_tokens(row));
     findings
 }
 
@@ -136,25 +139,25 @@
     }
 }
 
-/// Live members without a token, while tokens lie idle or another live member has two.
-fn left_out(row: &Row) -> Vec<Finding> {
+/// Finds live members without a token while tokens are idle or another live member has two.
+fn members_without_tokens(row: &Row) -> Vec<Finding> {
     let live = |entry: &RowMember| !entry.leaving && !entry.lapsed;
     let allotted: u32 = row.members.values().map(|entry| total(&entry.allot)).sum();
     let idle = allotted < total(&row.resources);
-    let rich = |entry: &RowMember| live(entry) && total(&entry.allot) > 1;
-    if !idle && !row.members.values().any(rich) {
+    let has_spare = |entry: &RowMember| live(entry) && total(&entry.allot) > 1;
+    if !idle && !row.members.values().any(has_spare) {
         return Vec::new();
     }
     let empty = |(_, entry): &(&MemberId, &RowMember)| live(entry) && total(&entry.allot) == 0;
-    let left_out = row.members.iter().filter(empty);
-    left_out
-        .map(|(member, _)| Finding::LeftOut {
+    let without_tokens = row.members.iter().filter(empty);
+    without_tokens
+        .map(|(member, _)| Finding::NoTokens {
             member: member.clone(),
         })
         .collect()
 }
 
-/// Everything wrong with `next` as the row after `previous`.
+/// Returns all errors of `next` as the successor of `previous`.
 pub fn verify_step(previous: &Row, next: &Row, floor_pct: u32) -> Vec<Finding> {
     let mut findings = verify(next, floor_pct);
     if next.epoch != previous.epoch + 1 {
@@ -186,7 +189,7 @@
         });
     }
     if new.lease_seq < old.lease_seq || new.adopted < old.adopted {
-        findings.push(Finding::WentBack {
+        findings.push(Finding::Regressed {
             member: member.clone(),
         });
     }
@@ -196,6 +199,6 @@
         old.bound.clone()
     };
     if !within(&earlier, &new.bound) {
-        findings.push(Finding::BoundForgets { member });
+        findings.push(Finding::BoundBelowEarlierFloor { member });
     }
 }
--- a/crates/share/tests/outage.rs
+++ b/crates/share/tests/outage.rs
@@ -1,5 +1,5 @@
-//! What four entries of one pool can use in outages, second by second, for each way weighed in
-//! docs/design/share.md. `cargo test -p share --test outage -- --nocapture` prints the figures.
+//! Usable tokens of four entries of one pool during outages, second by second, for each strategy compared
+//! in docs/design/share.md. `cargo test -p share --test outage -- --nocapture` prints the figures.
 
 use base::Now;
 use share::{
@@ -28,22 +28,22 @@
 /// Seconds between two renewals of a lease.
 const RENEW_S: u64 = 3;
 
-/// What goes wrong from `FAULT_S` on.
+/// Fault that begins at `FAULT_S`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
-    /// Nobody reaches the platform.
+    /// No entry reaches the platform.
     PlatformDown,
     /// The first entry takes no step.
     Paused,
     /// The first entry does not reach the platform; its peers do.
-    CutOffAlone,
+    OneCutOff,
     /// The first entry is gone and uses nothing.
     Killed,
-    /// Nobody reaches the platform, and the first entry is gone.
+    /// No entry reaches the platform, and the first entry is gone.
     PlatformDownAndKilled,
 }
 
-/// Entries with the table between them.
+/// Entries and the table that they share.
 struct Pool {
     members: Vec<Member>,
     row: Option<Arc<Row>>,
@@ -52,11 +52,11 @@
     until_s: u64,
 }
 
-/// Tokens over time.
+/// Tokens over time, summed over the entries.
 struct Usage {
-    /// Tokens that entries which run may use, by second.
+    /// Tokens that running entries may use, by second.
     usable: Vec<u32>,
-    /// The same with those that are paused.
+    /// The same, paused entries included.
     claimed: Vec<u32>,
 }
 
@@ -72,35 +72,35 @@
         }
     }
 
-    fn faulty(&self, second: u64) -> bool {
+    fn in_fault(&self, second: u64) -> bool {
         (FAULT_S..self.until_s).contains(&second)
     }
 
-    fn runs(&self, i: usize, second: u64) -> bool {
+    fn is_running(&self, i: usize, second: u64) -> bool {
         let stops = [Fault::Paused, Fault::Killed, Fault::PlatformDownAndKilled];
-        !(i == 0 && self.faulty(second) && stops.contains(&self.fault))
+        !(i == 0 && self.in_fault(second) && stops.contains(&self.fault))
     }
 
     fn reaches_platform(&self, i: usize, second: u64) -> bool {
         let down = match self.fault {
             Fault::PlatformDown | Fault::PlatformDownAndKilled => true,
-            Fault::CutOffAlone => i == 0,
+            Fault::OneCutOff => i == 0,
             Fault::Paused | Fault::Killed => false,
         };
-        self.runs(i, second) && !(down && self.faulty(second))
+        self.is_running(i, second) && !(down && self.in_fault(second))
     }
 
-    /// One second of entry `i`.
+    /// Runs entry `i` for one second.
     fn step(&mut self, i: usize, second: u64) {
         let now = Now::from_secs(second);
         let platform = self.reaches_platform(i, second);
         if platform {
-            self.use_platform(i, second, now);
+            self.exchange_with_platform(i, second, now);
         }
         let member = &mut self.members[i];
         member.set_capacity(capacity());
         member.set_demand(TOKENS);
-        // Every entry is as busy as it may be.
+        // Every entry uses all that its limits allow.
         let limits = member.limits();
         let busy = capacity().into_keys().map(|resource| {
             let n = limits.at(&resource, now);
@@ -108,17 +108,17 @@
         });
         member.set_in_flight(busy.filter(|(_, n)| *n > 0).collect());
         for action in member.tick(now) {
-            self.run(action, platform, now);
+            self.execute(action, platform, now);
         }
         let beat = self.members[i].beat(now);
         for j in (0..ENTRIES).filter(|j| *j != i) {
-            if self.runs(j, second) {
+            if self.is_running(j, second) {
                 self.members[j].on_beat(&beat, now);
             }
         }
     }
 
-    fn use_platform(&mut self, i: usize, second: u64, now: Now) {
+    fn exchange_with_platform(&mut self, i: usize, second: u64, now: Now) {
         if second % RENEW_S == 0 || self.leases[i] == 0 {
             self.leases[i] += 1;
             self.members[i].set_lease(self.leases[i], now, now);
@@ -133,7 +133,7 @@
         }
     }
 
-    fn run(&mut self, action: Action, platform: bool, now: Now) {
+    fn execute(&mut self, action: Action, platform: bool, now: Now) {
         match action {
             Action::Propose { expect_epoch, row } => {
                 let current = self.row.as_ref().map(|row| row.epoch);
@@ -146,16 +146,16 @@
                     .members
                     .iter_mut()
                     .find(|member| *member.id() == give.to);
-                to.expect("a member").on_give(&give, now);
+                to.expect("the receiver is a member").on_give(&give, now);
             }
             Action::SendRow { to, row } => {
                 let to = self.members.iter_mut().find(|member| *member.id() == to);
-                to.expect("a member").on_row(&row, now);
+                to.expect("the receiver is a member").on_row(&row, now);
             }
         }
     }
 
-    /// Runs until `end_s`; tokens by second.
+    /// Runs until `end_s` and returns the tokens by second.
     fn run_until(mut self, end_s: u64) -> Usage {
         let mut usage = Usage {
             usable: Vec::new(),
@@ -163,7 +163,7 @@
         };
         for second in 0..=end_s {
             for i in 0..ENTRIES {
-                if self.runs(i, second) {
+                if self.is_running(i, second) {
                     self.step(i, second);
                 }
             }
@@ -175,9 +175,9 @@
                     .map(|resource| limits.at(resource, now))
                     .sum()
             };
-            let running = (0..ENTRIES).filter(|i| self.runs(*i, second));
+            let running = (0..ENTRIES).filter(|i| self.is_running(*i, second));
             usage.usable.push(running.clone().map(|i| tokens(&i)).sum());
-            let gone = |i: &usize| self.fault != Fault::Paused && !self.runs(*i, second);
+            let gone = |i: &usize| self.fault != Fault::Paused && !self.is_running(*i, second);
             let claimed = (0..ENTRIES).filter(|i| !gone(i));
             usage.claimed.push(claimed.map(|i| tokens(&i)).sum());
         }
@@ -200,11 +200,11 @@
         f64::from(sum) * 100.0 / (slice.len() as f64 * f64::from(TOKENS))
     }
 
-    /// First second from `from` on at which at least `tokens` are usable for good.
-    fn back_at(&self, tokens: u32, from: usize) -> Option<usize> {
-        let below = self.usable.iter().rposition(|n| *n < tokens);
-        let back = below.map_or(from, |last| last + 1).max(from);
-        (back < self.usable.len()).then_some(back)
+    /// Returns the second, `from` or later, since which at least `tokens` have been usable to the end.
+    fn recovered_at(&self, tokens: u32, from: usize) -> Option<usize> {
+        let last_below = self.usable.iter().rposition(|n| *n < tokens);
+        let recovered = last_below.map_or(from, |last| last + 1).max(from);
+        (recovered < self.usable.len()).then_some(recovered)
     }
 }
 
@@ -221,98 +221,100 @@
         .collect()
 }
 
-/// The ways weighed: nothing after the lapse, a floor, a floor and promises.
-fn ways() -> BTreeMap<&'static str, Terms> {
-    let whole = Terms::default();
-    let floor = Terms {
+/// The strategies compared: nothing after the lapse, a floor, a floor and promises.
+fn strategies() -> BTreeMap<&'static str, Terms> {
+    let with_promises = Terms::default();
+    let with_floor = Terms {
         promise_term: Duration::ZERO,
-        ..whole
+        ..with_promises
     };
-    let lapse = Terms {
+    let no_floor = Terms {
         floor_pct: 0,
-        ..floor
+        ..with_floor
     };
     BTreeMap::from([
-        ("1 lapse", lapse),
-        ("3 floor", floor),
-        ("3+2 promises", whole),
+        ("1 lapse", no_floor),
+        ("3 floor", with_floor),
+        ("3+2 promises", with_promises),
     ])
 }
 
-/// Runs `fault` in each way, prints the figures and checks that no token is ever used twice.
+/// Runs `fault` with each strategy, prints the figures and checks that no token ever has two users.
 fn measure(fault: Fault, until_s: u64, end_s: u64) -> BTreeMap<&'static str, Usage> {
     let mut all = BTreeMap::new();
-    for (way, terms) in ways() {
+    for (strategy, terms) in strategies() {
         let usage = Pool::new(terms, fault, until_s).run_until(end_s);
-        let last = usize::try_from(until_s.min(end_s)).expect("small") - 1;
+        let last_in_fault = usize::try_from(until_s.min(end_s)).expect("fits usize") - 1;
         let most = usage.claimed.iter().max().expect("not empty");
         println!(
-            "{fault:?}, {way}: in the fault {:.1} % usable on average, least {} of {TOKENS}; \
+            "{fault:?}, {strategy}: in the fault {:.1} % usable on average, least {} of {TOKENS}; \
              whole again at {:?} s (fault from {FAULT_S} s to {until_s} s); most claimed {most}",
-            usage.mean_pct(60..=last),
-            usage.least(60..=last),
-            usage.back_at(TOKENS, 60),
+            usage.mean_pct(60..=last_in_fault),
+            usage.least(60..=last_in_fault),
+            usage.recovered_at(TOKENS, 60),
         );
-        assert_eq!(usage.usable[59], TOKENS, "{way}: whole before the fault");
-        assert!(*most <= TOKENS, "{way}: {most} tokens claimed");
-        all.insert(way, usage);
+        assert_eq!(
+            usage.usable[59], TOKENS,
+            "{strategy}: all tokens are usable before the fault"
+        );
+        assert!(*most <= TOKENS, "{strategy}: {most} tokens claimed");
+        all.insert(strategy, usage);
     }
     all
 }
 
-/// Symptom: callers are refused while all upstreams are well.
+/// Guards against refusing callers while all upstreams work.
 ///
-/// Sequence: the platform is down for ten minutes, no lease can be renewed, and each entry has to fear
-/// that it alone is cut off. Cause: time alone can't tell the two apart; the others' promises can.
+/// The platform is down for ten minutes and no lease can be renewed. Time alone does not tell an entry
+/// whether it is the only one that is cut off; the others' promises do.
 #[test]
-fn platform_down_ten_minutes() {
+fn platform_down_for_ten_minutes() {
     let all = measure(Fault::PlatformDown, 660, 720);
     assert_eq!(all["1 lapse"].least(75..=659), 0);
     assert!(all["3 floor"].least(60..=659) >= TOKENS / 2);
     assert_eq!(all["3+2 promises"].least(60..=720), TOKENS);
 }
 
-/// Symptom: two entries send to one slot after one of them wakes up.
+/// Guards against two entries that send to one slot after one of them wakes up.
 ///
-/// Sequence: an entry stands still for a minute, its lease lapses, the others take its surplus, and it
-/// wakes. Cause: nobody told it; its own clock has to.
+/// An entry is paused for a minute, its lease lapses, and the others take its surplus. Nothing but its
+/// own clock tells it so when it resumes.
 #[test]
-fn one_paused_past_its_lease() {
+fn one_entry_paused_past_its_lease() {
     let all = measure(Fault::Paused, 120, 180);
     for usage in all.values() {
         assert!(usage.least(60..=180) >= TOKENS * 3 / 4);
-        assert!(usage.back_at(TOKENS, 120).is_some());
+        assert!(usage.recovered_at(TOKENS, 120).is_some());
     }
 }
 
-/// Symptom: an entry that callers can reach refuses them for want of the platform.
+/// Guards against an entry that refuses callers because it can't reach the platform.
 ///
-/// Sequence: one entry of four loses its way to the platform for ten minutes and still hears its
-/// peers. Cause: its lease lapses, so its surplus goes to the others unless they promise not to.
+/// One entry of four is cut off from the platform for ten minutes and still hears its peers. Its lease
+/// lapses, so the others take its surplus unless they promised not to.
 #[test]
-fn one_cut_off_from_the_platform_alone() {
-    let all = measure(Fault::CutOffAlone, 660, 720);
+fn one_entry_cut_off_from_the_platform() {
+    let all = measure(Fault::OneCutOff, 660, 720);
     assert_eq!(all["3+2 promises"].least(60..=720), TOKENS);
 }
 
-/// Symptom: a quarter of the slots stays unused after an entry died.
+/// Guards against a quarter of the slots staying unused after an entry died.
 ///
-/// Sequence: an entry is killed and never comes back. Cause: its floor waits for the long term.
+/// An entry is killed and never comes back. Its floor is freed only after the long TTL.
 #[test]
-fn one_killed() {
+fn one_entry_killed() {
     let all = measure(Fault::Killed, 2000, 1200);
     assert!(all
         .values()
-        .all(|usage| usage.back_at(TOKENS, 60).is_some()));
+        .all(|usage| usage.recovered_at(TOKENS, 60).is_some()));
     assert!(all["3+2 promises"].least(85..=1200) >= TOKENS * 7 / 8 - 1);
 }
 
-/// Symptom: half of the slots are unused through an outage.
+/// Bounds the slots left unused when an entry dies during an outage of the platform.
 ///
-/// Sequence: the platform goes down and an entry dies in the outage. Cause: a dead entry promises
-/// nothing, and unanimity was the condition.
+/// A dead entry makes no promises, and the surplus is kept only if all others promise.
 #[test]
-fn platform_down_and_one_killed() {
+fn platform_down_and_one_entry_killed() {
     let all = measure(Fault::PlatformDownAndKilled, 660, 720);
     assert!(all["3+2 promises"].least(60..=659) >= TOKENS * 3 / 8);
 }
--- a/crates/share/tests/rows.rs
+++ b/crates/share/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Rows: what the builder makes, what the verifier finds, and how they read as text.
+//! Rows: what the builder makes, what the verifier finds, and their JSON form.
 
 use share::{
     floor_of,
@@ -22,12 +22,12 @@
     }
 }
 
-fn amounts(list: &[u32]) -> Amounts {
-    let named = list
+fn amounts(counts: &[u32]) -> Amounts {
+    let by_resource = counts
         .iter()
         .enumerate()
         .map(|(i, n)| (format!("u{i}").into(), *n));
-    named.collect()
+    by_resource.collect()
 }
 
 fn live(demand: u32) -> PlanMember {
@@ -49,7 +49,7 @@
     totals.collect()
 }
 
-/// Names each split of capacities over demands.
+/// Tests how the builder distributes capacities over demands.
 macro_rules! splits {
     ($($name:ident: $capacity:expr, $demands:expr => $totals:expr;)*) => {$(
         #[test]
@@ -62,11 +62,11 @@
 }
 
 splits! {
-    equal_demands_get_equal_parts: [9, 9], [9, 9] => [9, 9];
-    idle_member_keeps_one_at_least: [3, 3], [0, 9] => [1, 5];
-    demand_is_met_before_the_rest_is_dealt: [6], [1, 5] => [1, 5];
-    rest_evens_the_parts: [6], [1, 3] => [3, 3];
-    short_demand_is_met_evenly: [8], [2, 9, 9] => [2, 3, 3];
+    equal_demands_get_equal_shares: [9, 9], [9, 9] => [9, 9];
+    idle_member_gets_one_token: [3, 3], [0, 9] => [1, 5];
+    demand_is_met_before_the_rest_is_distributed: [6], [1, 5] => [1, 5];
+    rest_evens_out_the_shares: [6], [1, 3] => [3, 3];
+    scarce_tokens_meet_demand_evenly: [8], [2, 9, 9] => [2, 3, 3];
     fewer_tokens_than_members: [1], [5, 5] => [1, 0];
     no_tokens: [0], [5, 5] => [0, 0];
 }
@@ -85,12 +85,12 @@
     assert_eq!(floor_of(&amounts(&[5]), 100), amounts(&[5]));
 }
 
-/// Symptom: a lapsed entry wakes and sends to slots that others have.
+/// Guards against a lapsed entry that wakes up and sends to slots that others have.
 ///
-/// Sequence: a row lowers it from six to one, it lapses before it adopts that row, and the next row
-/// leaves it with the floor of one. Cause: at its own epoch its floor is three.
+/// A row reduces its allotment from six to one, and it lapses before it adopts that row. At its own
+/// epoch its floor is three, so the next row must not leave it with the floor of one.
 #[test]
-fn lapsed_member_keeps_the_floor_of_the_epoch_it_is_at() {
+fn lapsed_member_keeps_the_floor_of_its_epoch() {
     let terms = Terms::default();
     let capacity = amounts(&[12]);
     let first = plan(None, &capacity, &all_live(&[6, 6]), &terms);
@@ -106,20 +106,20 @@
     assert_eq!(verify_step(&second, &third, 50), []);
 }
 
-/// Names each way to spoil a good row, and what the verifier says.
-macro_rules! spoiled {
-    ($($name:ident: $spoil:expr => $finding:expr;)*) => {$(
+/// Tests the verifier's findings for each way to invalidate a valid row.
+macro_rules! invalid_rows {
+    ($($name:ident: $mutate:expr => $messages:expr;)*) => {$(
         #[test]
         fn $name() {
             let terms = Terms::default();
             let first = plan(None, &amounts(&[6]), &all_live(&[3, 3]), &terms);
             let mut next = plan(Some(&first), &amounts(&[6]), &all_live(&[3, 3]), &terms);
             assert_eq!(verify_step(&first, &next, 50), []);
-            let spoil: fn(&mut Row) = $spoil;
-            spoil(&mut next);
+            let mutate: fn(&mut Row) = $mutate;
+           mutate(&mut next);
             let findings = verify_step(&first, &next, 50);
-            let said: Vec<String> = findings.iter().map(Finding::to_string).collect();
-            assert_eq!(said, $finding);
+            let messages: Vec<String> = findings.iter().map(Finding::to_string).collect();
+            assert_eq!(messages, $messages);
         }
     )*};
 }
@@ -128,27 +128,27 @@
     row.members.get_mut(&id(0)).unwrap()
 }
 
-spoiled! {
+invalid_rows! {
     over_capacity: |row| { first_member(row).allot = amounts(&[4]); }
         => ["u0: 7 tokens allotted of 6"];
     unknown_resource: |row| { first_member(row).allot = [("x".into(), 1)].into(); }
         => ["e0#1: tokens of x, which is not listed", "e0#1: bound below the floor"];
-    left_out: |row| { first_member(row).allot.clear(); }
-        => ["e0#1: no token at all"];
-    bound_forgets: |row| { first_member(row).allot = amounts(&[1]); first_member(row).bound = amounts(&[1]); }
-        => ["e0#1: bound forgets a floor"];
+    member_without_tokens: |row| { first_member(row).allot.clear(); }
+        => ["e0#1: no token allotted"];
+    bound_below_earlier_floor: |row| { first_member(row).allot = amounts(&[1]); first_member(row).bound = amounts(&[1]); }
+        => ["e0#1: bound below an earlier floor"];
     epoch_gap: |row| { row.epoch += 1; }
-        => ["epoch: not one after the last"];
+        => ["epoch: not the successor of the previous one"];
     since_changed: |row| { first_member(row).since = 2; }
         => ["e0#1: first epoch changed"];
-    went_back: |row| { first_member(row).lease_seq = 0; }
+    lease_seq_decreased: |row| { first_member(row).lease_seq = 0; }
         => ["e0#1: lease or epoch went back"];
     epoch_ahead: |row| { first_member(row).adopted = 9; }
         => ["e0#1: epoch after the row's"];
 }
 
 #[test]
-fn row_survives_its_text() {
+fn row_round_trips_through_json() {
     let row = plan(
         None,
         &amounts(&[3, 3]),
@@ -161,7 +161,7 @@
     assert!(serde_json::from_str::<Row>(&text.replace("e0#1", "e0")).is_err());
 }
 
-/// Every row that the builder makes, from any chain of rows, passes the verifier.
+/// Every row that the builder makes, after any chain of rows, passes the verifier.
 #[test]
 fn builder_satisfies_the_verifier() {
     type Step = ([u8; 2], Vec<(u8, u8, bool)>);
