--- a/crates/overlay/src/follow.rs
+++ b/crates/overlay/src/follower.rs
@@ -1,4 +1,4 @@
-//! How far a table of the store was read.
+//! How far an entry has read a table of the store.
 
 use base::{
     InstanceId,
@@ -9,10 +9,10 @@
     time::Duration, //
 };
 
-/// What keeps the reading whole; all are on but in tests that have to find what each prevents.
+/// Rules that keep the reading complete. All are on, except in tests that check what each prevents.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// Rows that begin after the position are not taken.
+    /// Rows that begin after the position are not applied.
     pub gap: bool,
     /// A hub that has been silent for too long no longer counts as forwarding.
     pub silence: bool,
@@ -27,12 +27,12 @@
     }
 }
 
-/// What to do with rows that a hub forwards.
+/// How rows that a hub forwards relate to the position.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Take them: they follow on what was read.
+    /// They continue what was read: apply them.
     Next,
-    /// Nothing new.
+    /// They contain nothing new.
     Known,
     /// Rows before them are missing: read those from the store.
     Gap,
@@ -42,21 +42,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Follow {
     guards: Guards,
-    /// All rows up to this version were read; `None` before the first whole table.
+    /// Version up to which all rows were read; `None` until the whole table was read once.
     position: Option<u64>,
-    /// Rows are known to be missing.
+    /// Whether rows are known to be missing.
     gap: bool,
-    /// Hubs that forward, and when each did last.
+    /// Hubs that forward, and when each last did.
     hubs: BTreeMap<InstanceId, Now>,
 }
 
 impl Follow {
-    /// Nothing was read yet.
+    /// Creates the state before anything was read.
     pub fn new() -> Self {
         Self::with_guards(Guards::default())
     }
 
-    /// The same with these guards.
+    /// Creates the same with these guards.
     pub fn with_guards(guards: Guards) -> Self {
         Self {
             guards,
@@ -66,32 +66,32 @@
         }
     }
 
-    /// All rows up to this version were read; `None` before the first whole table.
+    /// Returns the version up to which all rows were read; `None` until the whole table was read once.
     pub fn position(&self) -> Option<u64> {
         self.position
     }
 
-    /// Takes that the whole table was read at `position`.
+    /// Records that the whole table was read at `position`.
     pub fn take_whole(&mut self, position: u64) {
         self.position = self.position.max(Some(position));
         self.gap = false;
     }
 
-    /// Takes that the store gave all changes from the position to `position`.
+    /// Records that all changes from the position up to `position` were read from the store.
     pub fn take_read(&mut self, position: u64) {
         self.position = self.position.max(Some(position));
         self.gap = false;
     }
 
-    /// A hub says how far it has read; from then on it forwards what comes. A hub that is ahead of this entry doesn't
-    /// count as forwarding, since it won't send what is missing here.
+    /// Records how far a hub has read; from then on it forwards what it reads. A hub that is ahead of this entry does
+    /// not count as forwarding, since it won't send what is missing here.
     pub fn take_position(&mut self, hub: &InstanceId, position: u64, now: Now) {
         if self.position.is_some_and(|known| position <= known) {
             self.hubs.insert(hub.clone(), now);
         }
     }
 
-    /// A hub forwards the changes after `after` up to `position`.
+    /// Handles the changes after `after` up to `position`, forwarded by a hub.
     pub fn step(&mut self, hub: &InstanceId, after: u64, position: u64, now: Now) -> Step {
         self.hubs.insert(hub.clone(), now);
         let Some(known) = self.position else {
@@ -108,19 +108,19 @@
         Step::Next
     }
 
-    /// A hub can't read the store, or is lost.
+    /// Records that a hub can't read the store, or is lost.
     pub fn stop(&mut self, hub: &InstanceId) {
         self.hubs.remove(hub);
     }
 
-    /// Whether some hub forwards what is read, and nothing is missing: no call of the store is due. Each reading is
-    /// forwarded, also one without rows, so that a hub counts as lost after a `silence`.
+    /// Returns whether some hub forwards what it reads and nothing is missing, so that no call of the store is due.
+    /// Hubs forward each read, even one without rows, so a hub counts as lost after `silence`.
     pub fn is_forwarded(&self, silence: Duration, now: Now) -> bool {
         let fresh = |at: &Now| now.saturating_sub(*at) < silence || !self.guards.silence;
         self.position.is_some() && !self.gap && self.hubs.values().any(fresh)
     }
 
-    /// Whether rows are known to be missing.
+    /// Returns whether rows are known to be missing.
     pub fn has_gap(&self) -> bool {
         self.gap
     }
--- a/crates/overlay/src/member.rs
+++ b/crates/overlay/src/member.rs
@@ -1,4 +1,4 @@
-//! An entry as the others know it.
+//! An entry as other entries know it.
 
 use base::{
     DomainId,
@@ -14,7 +14,7 @@
     net::SocketAddr, //
 };
 
-/// What an entry says of itself in its row and on its sessions.
+/// What an entry states about itself in its row and on its sessions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// Name.
@@ -25,13 +25,13 @@
     pub failure_domain: DomainId,
     /// Where other entries connect.
     pub peers_addr: SocketAddr,
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_milli: u32,
 }
 
 impl Member {
-    /// Place in the order of its domain: instances with the most processor first, since a hub has more to do.
-    pub(crate) fn place(&self) -> (Reverse<u32>, &InstanceId) {
+    /// Returns its rank in the order of its domain: instances with the most CPU first, since a hub has more work.
+    pub(crate) fn rank(&self) -> (Reverse<u32>, &InstanceId) {
         (Reverse(self.cpu_milli), &self.instance)
     }
 }
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -1,12 +1,12 @@
-//! What an entry knows of the others, and what changes it.
+//! What an entry knows of the others, and the events that change it.
 //!
-//! `roles` derives from it whom to dial, `live` who is up.
+//! `roles` derives from it which entries to dial, `live` which are up.
 
 use crate::{
     member::Member,
     roster::{
-        Held,
-        Live,
+        LiveEntry,
+        ReceivedRoster,
         Roster, //
     }, //
 };
@@ -23,18 +23,18 @@
 };
 
 /// How long an entry that is no longer up may still be sending.
-pub(crate) const LOST_MEMORY: Duration = Duration::from_secs(20);
+pub(crate) const LOST_RETENTION: Duration = Duration::from_secs(20);
 
 /// How a session ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Down {
-    /// One end no longer needs it; the other entry is well.
+    /// One side no longer needs it; the other entry is healthy.
     Unneeded,
     /// The other entry stopped, failed or can't be reached.
     Lost,
 }
 
-/// An entry that this one has or had a session to.
+/// An entry that has or had a session to this one.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     pub(crate) region: RegionId,
@@ -42,37 +42,37 @@
     pub(crate) up: bool,
     pub(crate) lost_at: Now,
     pub(crate) round_trip: Duration,
-    /// Where callers reach it and whether it takes new ones, once it has said so.
+    /// Where callers reach it and whether it takes new ones; `None` until it has said so.
     pub(crate) callers: Option<(SocketAddr, bool)>,
-    /// It says that it is a hub.
+    /// Whether it says that it is a hub.
     pub(crate) is_hub: bool,
 }
 
-/// One entry's part in the overlay.
+/// The overlay as one entry sees it.
 #[derive(Clone, Debug)]
 pub struct Overlay {
     pub(crate) own: Member,
-    /// Own place among the callers' entries.
+    /// Where callers reach this entry and whether it takes new ones.
     pub(crate) callers: Option<(SocketAddr, bool)>,
-    /// Entries that the store lists or that said so themselves, this one included.
+    /// Entries that the store lists or that introduced themselves on a session, this one included.
     pub(crate) members: BTreeMap<InstanceId, Member>,
-    /// How many the store lists; `None` until it was read.
+    /// How many entries the store lists; `None` until it was read.
     pub(crate) registered: Option<usize>,
     pub(crate) sessions: BTreeMap<InstanceId, Session>,
-    /// Rosters by the session that they came by and the hub that they are of.
-    pub(crate) rosters: BTreeMap<(InstanceId, InstanceId), Held>,
-    /// Since when entries without a session are dialled.
+    /// Rosters by the session on which they arrived and the hub that made them.
+    pub(crate) rosters: BTreeMap<(InstanceId, InstanceId), ReceivedRoster>,
+    /// When this entry began to dial those without a session.
     pub(crate) dialled: BTreeMap<InstanceId, Now>,
     /// When entries that are no longer up were lost.
     pub(crate) lost: BTreeMap<InstanceId, Now>,
-    /// Grows with each change of who is up or takes callers.
-    pub(crate) number: u64,
-    /// Other entries that are up, and the number that this was found for.
-    pub(crate) live: (u64, BTreeMap<InstanceId, Live>),
+    /// Incremented when an entry goes up or down or its callers' state changes.
+    pub(crate) version: u64,
+    /// Other entries that are up, and the version for which they were computed.
+    pub(crate) live: (u64, BTreeMap<InstanceId, LiveEntry>),
 }
 
 impl Overlay {
-    /// An entry that knows of no other.
+    /// Creates the state of an entry that knows no other.
     pub fn new(own: Member) -> Self {
         let members = BTreeMap::from([(own.instance.clone(), own.clone())]);
         Self {
@@ -84,24 +84,24 @@
             rosters: BTreeMap::new(),
             dialled: BTreeMap::new(),
             lost: BTreeMap::new(),
-            number: 0,
+            version: 0,
             live: (0, BTreeMap::new()),
         }
     }
 
-    /// Grows with each change of who is up or takes callers.
+    /// Returns a number that grows when an entry goes up or down or its callers' state changes.
     pub fn number(&self) -> u64 {
-        self.number
+        self.version
     }
 
-    /// Takes the entries that the store lists.
-    pub fn take_registered(&mut self, listed: impl IntoIterator<Item = Member>) {
-        let listed = listed.into_iter();
-        let mut members: BTreeMap<InstanceId, Member> = listed
+    /// Replaces the entries that the store lists.
+    pub fn take_registered(&mut self, entries: impl IntoIterator<Item = Member>) {
+        let entries = entries.into_iter();
+        let mut members: BTreeMap<InstanceId, Member> = entries
             .map(|member| (member.instance.clone(), member))
             .collect();
         self.registered = Some(members.len());
-        // Who is in session is there, whatever the store's reading lacks.
+        // An entry with a session stays known even if it is missing in what was read from the store.
         for (instance, member) in &self.members {
             let up = *instance == self.own.instance || self.is_up(instance);
             if up && !members.contains_key(instance) {
@@ -111,7 +111,7 @@
         self.members = members;
     }
 
-    /// A session stands.
+    /// Handles an established session.
     pub fn take_up(
         &mut self,
         instance: &InstanceId,
@@ -119,22 +119,22 @@
         failure_domain: &DomainId,
         round_trip: Duration,
     ) {
-        let before = self.sessions.remove(instance);
+        let previous = self.sessions.remove(instance);
         let session = Session {
             region: region.clone(),
             failure_domain: failure_domain.clone(),
             up: true,
             lost_at: Now::ZERO,
             round_trip,
-            callers: before.as_ref().and_then(|before| before.callers),
-            is_hub: before.is_some_and(|before| before.is_hub),
+            callers: previous.as_ref().and_then(|previous| previous.callers),
+            is_hub: previous.is_some_and(|previous| previous.is_hub),
         };
         self.sessions.insert(instance.clone(), session);
         self.dialled.remove(instance);
-        self.number += 1;
+        self.version += 1;
     }
 
-    /// A session has ended.
+    /// Handles the end of a session.
     pub fn take_down(&mut self, instance: &InstanceId, down: Down, now: Now) {
         if let Some(session) = self.sessions.get_mut(instance) {
             session.up = false;
@@ -144,15 +144,15 @@
         if down == Down::Unneeded {
             self.sessions.remove(instance);
         }
-        for ((via, _), held) in &mut self.rosters {
+        for ((via, _), received) in &mut self.rosters {
             if via == instance {
-                held.lost_at.get_or_insert(now);
+                received.lost_at.get_or_insert(now);
             }
         }
-        self.number += 1;
+        self.version += 1;
     }
 
-    /// An entry in session says what it is; whether that changes who takes callers.
+    /// Handles the state that an entry sends on its session; returns whether its callers' state changed.
     pub fn take_state(
         &mut self,
         member: Member,
@@ -168,48 +168,49 @@
         session.callers = callers;
         session.is_hub = is_hub;
         self.members.insert(member.instance.clone(), member);
-        self.number += u64::from(changed);
+        self.version += u64::from(changed);
         changed
     }
 
-    /// Notes a measured round trip.
+    /// Records a measured round trip.
     pub fn set_round_trip(&mut self, instance: &InstanceId, round_trip: Duration) {
         if let Some(session) = self.sessions.get_mut(instance) {
             session.round_trip = round_trip;
         }
     }
 
-    /// This entry's own place among the callers' entries.
+    /// Sets where callers reach this entry and whether it takes new ones.
     pub fn set_own(&mut self, callers_addr: SocketAddr, ready: bool) {
         self.callers = Some((callers_addr, ready));
     }
 
-    /// Takes a roster that came by a session.
+    /// Handles a roster that arrived on a session.
     pub fn take_roster(&mut self, via: &InstanceId, roster: Roster, now: Now) {
         if roster.hub == self.own.instance || !self.is_up(via) {
             return;
         }
         let key = (via.clone(), roster.hub.clone());
-        let before = self.rosters.get(&key);
-        let changed = before.is_none_or(|held| held.roster != roster || held.lost_at.is_some());
-        self.number += u64::from(changed);
-        let number = match before {
-            Some(held) if held.roster == roster => held.number,
-            _ => self.number,
+        let previous = self.rosters.get(&key);
+        let changed =
+            previous.is_none_or(|received| received.roster != roster || received.lost_at.is_some());
+        self.version += u64::from(changed);
+        let version = match previous {
+            Some(received) if received.roster == roster => received.version,
+            _ => self.version,
         };
-        let held = Held {
+        let received = ReceivedRoster {
             roster,
-            number,
+            version,
             received_at: now,
             lost_at: None,
         };
-        self.rosters.insert(key, held);
+        self.rosters.insert(key, received);
     }
 
-    /// Whoever a session leads to has lost this hub.
+    /// Records that the entry behind session `via` has lost `hub`.
     pub fn drop_roster(&mut self, via: &InstanceId, hub: &InstanceId, now: Now) {
-        if let Some(held) = self.rosters.get_mut(&(via.clone(), hub.clone())) {
-            held.lost_at.get_or_insert(now);
+        if let Some(received) = self.rosters.get_mut(&(via.clone(), hub.clone())) {
+            received.lost_at.get_or_insert(now);
         }
     }
 }
--- a/crates/overlay/src/roster.rs
+++ b/crates/overlay/src/roster.rs
@@ -1,4 +1,4 @@
-//! Entries that a hub has sessions to.
+//! Rosters: the entries that a hub has sessions to.
 
 use base::{
     DomainId,
@@ -12,18 +12,18 @@
 };
 use std::net::SocketAddr;
 
-/// An entry on a roster.
+/// An entry in a roster.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listed {
+pub struct RosterEntry {
     /// Name.
     pub instance: InstanceId,
     /// Where callers reach it.
     pub callers_addr: SocketAddr,
-    /// Takes new callers.
+    /// Whether it takes new callers.
     pub ready: bool,
 }
 
-/// Entries of one failure domain that a hub of it is in session with, itself included.
+/// Entries of one failure domain that have a session to one of its hubs, the hub included.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Roster {
     /// The hub.
@@ -33,27 +33,27 @@
     /// Its failure domain.
     pub failure_domain: DomainId,
     /// The entries.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<RosterEntry>,
 }
 
 /// An entry that is up.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Live {
+pub struct LiveEntry {
     /// Region.
     pub region: RegionId,
-    /// Where callers reach it, once it has said so.
+    /// Where callers reach it; `None` until it has said so.
     pub callers_addr: Option<SocketAddr>,
-    /// Takes new callers.
+    /// Whether it takes new callers.
     pub ready: bool,
 }
 
-/// A roster as it was received.
+/// A roster and how it was received.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct ReceivedRoster {
     pub(crate) roster: Roster,
-    /// Another number for each version of it.
-    pub(crate) number: u64,
+    /// Unique for each version of the roster.
+    pub(crate) version: u64,
     pub(crate) received_at: Now,
-    /// When the session that it came by, or the one behind that, was lost.
+    /// When the session on which it arrived, or the sender's session to the hub, was lost.
     pub(crate) lost_at: Option<Now>,
 }
--- a/crates/overlay/src/sums.rs
+++ b/crates/overlay/src/sums.rs
@@ -1,8 +1,8 @@
 //! Requests in flight at upstreams, added up over entries.
 //!
-//! A leaf reports its own to one hub. Hubs tell each other the sums over themselves and their leaves, and their leaves
-//! the sum over all. Nothing but the choice among upstreams depends on it: what is lost or late makes a
-//! choice worse, never wrong.
+//! A leaf reports its own requests to one hub. Hubs send each other the sums over themselves and their leaves, and send
+//! their leaves the sum over all entries. Only the choice among upstreams depends on these sums: a lost or late message
+//! makes a choice worse, never wrong.
 
 use base::{
     FastMap,
@@ -14,18 +14,18 @@
     time::Duration, //
 };
 
-/// Hash of an upstream's name, cut to what a message has room for.
+/// Hash of an upstream's name, truncated to keep messages small.
 pub type LoadKey = u32;
 
 /// Requests in flight at one upstream.
 pub type Load = (LoadKey, u32);
 
-/// What one entry or hub said, and when.
+/// Loads reported by one entry or hub, and when.
 #[derive(Clone, Debug)]
 struct Report {
     at: Now,
     loads: Vec<Load>,
-    /// Age at which it says nothing any more.
+    /// Age at which the report is ignored.
     stale_after: Duration,
 }
 
@@ -43,19 +43,19 @@
     }
 }
 
-/// Reports of entries, and what follows for this one.
+/// Reports of other entries, and the sums derived from them.
 #[derive(Clone, Debug, Default)]
 pub struct Sums {
     leaves: BTreeMap<InstanceId, Report>,
     hubs: BTreeMap<InstanceId, Report>,
-    /// Sum over all entries, as this leaf's hub told.
+    /// Sum over all entries, as this leaf's hub sent it.
     fleet: Option<Report>,
-    /// What this leaf reported last, and before that: the hub's sum holds one of both.
+    /// The last two reports of this leaf, newest first; the hub's sum includes one of them.
     reported: [Vec<Load>; 2],
 }
 
 impl Sums {
-    /// A leaf reports to this hub.
+    /// Records a leaf's report to this hub.
     pub fn take_leaf(
         &mut self,
         leaf: &InstanceId,
@@ -67,7 +67,7 @@
         self.leaves.insert(leaf.clone(), report);
     }
 
-    /// Another hub tells the sum over itself and its leaves.
+    /// Records another hub's sum over itself and its leaves.
     pub fn take_hub(
         &mut self,
         hub: &InstanceId,
@@ -79,24 +79,24 @@
         self.hubs.insert(hub.clone(), report);
     }
 
-    /// This leaf's hub tells the sum over all entries.
+    /// Records the sum over all entries that this leaf's hub sent.
     pub fn take_fleet(&mut self, loads: Vec<Load>, stale_after: Duration, now: Now) {
         self.fleet = Some(Report::new(loads, stale_after, now));
     }
 
-    /// Notes what this leaf reports now.
+    /// Records what this leaf reports now.
     pub fn note_reported(&mut self, own: &[Load]) {
         self.reported.swap(0, 1);
         self.reported[0] = own.to_vec();
     }
 
-    /// Forgets a session's reports.
+    /// Drops the reports of an entry whose session has ended.
     pub fn forget(&mut self, instance: &InstanceId) {
         self.leaves.remove(instance);
         self.hubs.remove(instance);
     }
 
-    /// Leaves that report to this hub.
+    /// Returns the leaves that report to this hub.
     pub fn reporting(&self, now: Now) -> impl Iterator<Item = &InstanceId> {
         let leaves = self.leaves.iter();
         leaves
@@ -104,7 +104,7 @@
             .map(|(leaf, _)| leaf)
     }
 
-    /// What this hub tells the other hubs: its own requests and those of its leaves.
+    /// Returns what this hub sends to other hubs: its own requests and those of its leaves.
     pub fn of_domain(&self, own: &[Load], now: Now) -> Vec<Load> {
         let mut sums = FastMap::default();
         add(&mut sums, own);
@@ -112,7 +112,7 @@
         sorted(sums)
     }
 
-    /// What this hub tells its leaves: the requests of all entries.
+    /// Returns what this hub sends to its leaves: the requests of all entries.
     pub fn of_fleet(&self, own: &[Load], now: Now) -> Vec<Load> {
         let mut sums = FastMap::default();
         add(&mut sums, own);
@@ -121,7 +121,7 @@
         sorted(sums)
     }
 
-    /// Requests of all other entries, for a hub.
+    /// Returns the requests of all other entries, for a hub.
     pub fn others_of_hub(&self, now: Now) -> FastMap<LoadKey, u32> {
         let mut sums = FastMap::default();
         add_fresh(&mut sums, &self.leaves, now);
@@ -129,10 +129,10 @@
         sums
     }
 
-    /// Requests of all other entries, for a leaf; `None` as long as no hub has told them.
+    /// Returns the requests of all other entries, for a leaf; `None` until a hub has sent them.
     ///
-    /// Of its own, those are taken off that both of its last reports have: a request that has just begun must not
-    /// hide another entry's.
+    /// Of its own requests, only those in both of its last reports are subtracted: a request that has just begun must
+    /// not hide another entry's.
     pub fn others_of_leaf(&self, now: Now) -> Option<FastMap<LoadKey, u32>> {
         let fleet = self.fleet.as_ref().filter(|fleet| fleet.is_fresh(now))?;
         let mut sums = FastMap::default();
--- a/crates/overlay/tests/fleet.rs
+++ b/crates/overlay/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many entries: whom they keep sessions to, and whom they count as up.
+//! Sessions and views of many entries under failures.
 
 use base::{
     InstanceId,
@@ -9,7 +9,7 @@
     Member,
     Overlay,
     Roster,
-    HUBS, //
+    HUBS_PER_DOMAIN, //
 };
 use std::{
     collections::{
@@ -21,12 +21,12 @@
 };
 
 const STEP: Duration = Duration::from_millis(250);
-/// In which a session that went silent is lost.
-const SILENT: Duration = Duration::from_millis(3500);
-/// Within which every entry has to know who is up, after the last change.
-const SETTLED: Duration = Duration::from_secs(9);
+/// Time after which a silent session is lost.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Time after the last change within which every entry has to know which entries are up.
+const SETTLE_TIME: Duration = Duration::from_secs(9);
 /// Longest time for which an entry that is gone may be counted as up.
-const GONE: Duration = Duration::from_secs(6);
+const MAX_STALE: Duration = Duration::from_secs(6);
 
 struct Entry {
     member: Member,
@@ -36,30 +36,30 @@
     died_at: Now,
 }
 
-/// Entries, the sessions between them, and what is cut.
+/// Entries, the sessions between them, and the links that are cut.
 struct Fleet {
     now: Now,
     entries: Vec<Entry>,
-    /// Pairs in session, with who dialled.
+    /// Pairs with a session, and which of them dialled.
     sessions: BTreeMap<(usize, usize), BTreeSet<usize>>,
-    /// Hubs whose rosters went from one entry to another last.
+    /// Hubs whose rosters one entry last sent to another.
     sent: BTreeMap<(usize, usize), BTreeSet<InstanceId>>,
-    /// Pairs that can't reach each other, since when.
+    /// Pairs that can't reach each other, and since when.
     cut: BTreeMap<(usize, usize), Now>,
 }
 
-fn addr(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8], 7000))
+fn addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7000))
 }
 
-fn member(place: usize, domains: usize) -> Member {
-    let domain = place % domains;
+fn member(index: usize, domains: usize) -> Member {
+    let domain = index % domains;
     Member {
-        instance: format!("entry-{place:03}").into(),
+        instance: format!("entry-{index:03}").into(),
         region: format!("region-{}", domain % 3).into(),
         failure_domain: format!("domain-{domain}").into(),
-        peers_addr: addr(place),
-        cpu_milli: if place < 3 * domains { 500 } else { 100 },
+        peers_addr: addr(index),
+        cpu_milli: if index < 3 * domains { 500 } else { 100 },
     }
 }
 
@@ -69,10 +69,10 @@
 
 impl Fleet {
     fn new(entries: usize, domains: usize) -> Self {
-        let members: Vec<Member> = (0..entries).map(|place| member(place, domains)).collect();
+        let members: Vec<Member> = (0..entries).map(|index| member(index, domains)).collect();
         let entries = members.iter().map(|own| Entry {
             member: own.clone(),
-            overlay: started(own, &members),
+            overlay: new_overlay(own, &members),
             alive: true,
             frozen: false,
             died_at: Now::ZERO,
@@ -86,31 +86,35 @@
         }
     }
 
-    fn place(&self, instance: &InstanceId) -> usize {
+    fn index_of(&self, instance: &InstanceId) -> usize {
         let number = instance
             .strip_prefix("entry-")
-            .expect("a name of this test");
-        number.parse().expect("a name of this test")
+            .expect("the name is `entry-NNN`");
+        number.parse().expect("the name is `entry-NNN`")
     }
 
-    fn runs(&self, place: usize) -> bool {
-        self.entries[place].alive && !self.entries[place].frozen
+    fn is_running(&self, index: usize) -> bool {
+        self.entries[index].alive && !self.entries[index].frozen
     }
 
-    fn kill(&mut self, places: impl IntoIterator<Item = usize>) {
-        for place in places {
-            self.entries[place].alive = false;
-            self.entries[place].died_at = self.now;
+    fn kill(&mut self, indices: impl IntoIterator<Item = usize>) {
+        for index in indices {
+            self.entries[index].alive = false;
+            self.entries[index].died_at = self.now;
         }
     }
 
-    /// Processes start anew and know nothing but what the store lists.
-    fn restart(&mut self, places: impl IntoIterator<Item = usize>) {
-        let members: Vec<Member> = self.entries.iter().map(|one| one.member.clone()).collect();
-        for place in places {
-            let own = self.entries[place].member.clone();
-            self.entries[place].overlay = started(&own, &members);
-            self.entries[place].alive = true;
+    /// Starts processes anew; they know nothing but what the store lists.
+    fn restart(&mut self, indices: impl IntoIterator<Item = usize>) {
+        let members: Vec<Member> = self
+            .entries
+            .iter()
+            .map(|entry| entry.member.clone())
+            .collect();
+        for index in indices {
+            let own = self.entries[index].member.clone();
+            self.entries[index].overlay = new_overlay(&own, &members);
+            self.entries[index].alive = true;
         }
     }
 
@@ -121,17 +125,20 @@
             self.lose_sessions();
             self.dial();
             self.exchange();
-            self.check_gone();
+            self.check_no_stale_entries();
         }
     }
 
-    /// Sessions to processes that ended break at once; those that are cut or frozen go silent.
+    /// Sessions to processes that ended break at once; those over a cut link are lost after a silence.
     fn lose_sessions(&mut self) {
         let now = self.now;
         let pairs: Vec<(usize, usize)> = self.sessions.keys().copied().collect();
         for (a, b) in pairs {
             let dead = !self.entries[a].alive || !self.entries[b].alive;
-            let cut = self.cut.get(&(a, b)).is_some_and(|at| now >= *at + SILENT);
+            let cut = self
+                .cut
+                .get(&(a, b))
+                .is_some_and(|at| now >= *at + SILENCE_TIMEOUT);
             if dead || cut {
                 self.sessions.remove(&(a, b));
                 self.end((a, b), Down::Lost);
@@ -140,12 +147,12 @@
     }
 
     fn end(&mut self, (a, b): (usize, usize), down: Down) {
-        for (one, other) in [(a, b), (b, a)] {
-            self.sent.remove(&(one, other));
+        for (entry, other) in [(a, b), (b, a)] {
+            self.sent.remove(&(entry, other));
             let other = self.entries[other].member.instance.clone();
-            if self.entries[one].alive {
+            if self.entries[entry].alive {
                 let now = self.now;
-                self.entries[one].overlay.take_down(&other, down, now);
+                self.entries[entry].overlay.take_down(&other, down, now);
             }
         }
     }
@@ -153,56 +160,59 @@
     fn dial(&mut self) {
         let mut wanted: BTreeMap<(usize, usize), BTreeSet<usize>> = BTreeMap::new();
         let running: Vec<usize> = (0..self.entries.len())
-            .filter(|place| self.runs(*place))
+            .filter(|index| self.is_running(*index))
             .collect();
-        for place in running {
+        for index in running {
             let now = self.now;
-            let overlay = &mut self.entries[place].overlay;
+            let overlay = &mut self.entries[index].overlay;
             overlay.sweep(now);
             for partner in overlay.partners(now) {
                 let other = partner.instance.strip_prefix("entry-").map(str::parse);
-                let other: usize = other.expect("a name").expect("a number");
-                wanted.entry(pair(place, other)).or_default().insert(place);
+                let other: usize = other
+                    .expect("the name is `entry-NNN`")
+                    .expect("the index is a number");
+                wanted.entry(pair(index, other)).or_default().insert(index);
             }
         }
         let pairs: Vec<(usize, usize)> = self.sessions.keys().copied().collect();
         for pair in pairs {
             let dialled = self.sessions[&pair].clone();
-            let kept = wanted.get(&pair).cloned().unwrap_or_default();
+            let still_wanted = wanted.get(&pair).cloned().unwrap_or_default();
             if dialled
                 .iter()
-                .all(|by| !kept.contains(by) && self.runs(*by))
+                .all(|by| !still_wanted.contains(by) && self.is_running(*by))
             {
                 self.sessions.remove(&pair);
                 self.end(pair, Down::Unneeded);
             }
         }
         for ((a, b), by) in wanted {
-            let reach = self.runs(a) && self.runs(b) && !self.cut.contains_key(&(a, b));
+            let reachable =
+                self.is_running(a) && self.is_running(b) && !self.cut.contains_key(&(a, b));
             if let Some(dialled) = self.sessions.get_mut(&(a, b)) {
                 dialled.extend(by);
-            } else if reach {
+            } else if reachable {
                 self.sessions.insert((a, b), by);
-                for (one, other) in [(a, b), (b, a)] {
+                for (entry, other) in [(a, b), (b, a)] {
                     let other = self.entries[other].member.clone();
-                    let trip = Duration::from_millis(1);
-                    self.entries[one].overlay.take_up(
+                    let round_trip = Duration::from_millis(1);
+                    self.entries[entry].overlay.take_up(
                         &other.instance,
                         &other.region,
                         &other.failure_domain,
-                        trip,
+                        round_trip,
                     );
                 }
             }
         }
     }
 
-    /// States and rosters go over each session that isn't cut.
+    /// Sends states and rosters over each session that isn't cut.
     fn exchange(&mut self) {
         let now = self.now;
         let pairs: Vec<(usize, usize)> = self.sessions.keys().copied().collect();
         for (a, b) in pairs {
-            if !self.runs(a) || !self.runs(b) || self.cut.contains_key(&(a, b)) {
+            if !self.is_running(a) || !self.is_running(b) || self.cut.contains_key(&(a, b)) {
                 continue;
             }
             for (from, to) in [(a, b), (b, a)] {
@@ -213,7 +223,7 @@
                 let to_name = &self.entries[to].member.instance;
                 let to_leaf = overlay.leaves().any(|leaf| leaf == to_name);
                 let mut rosters = Vec::new();
-                if to_leaf || overlay.advertised_to(now).any(|one| one == to_name) {
+                if to_leaf || overlay.advertised_to(now).any(|entry| entry == to_name) {
                     rosters.push(overlay.own_roster());
                 }
                 if !rosters.is_empty() {
@@ -236,7 +246,7 @@
         let via = member.instance.clone();
         let overlay = &mut self.entries[to].overlay;
         overlay.take_state(member, addr(from), true, is_hub);
-        let hubs: BTreeSet<InstanceId> = rosters.iter().map(|one| one.hub.clone()).collect();
+        let hubs: BTreeSet<InstanceId> = rosters.iter().map(|roster| roster.hub.clone()).collect();
         for roster in rosters {
             overlay.take_roster(&via, roster, self.now);
         }
@@ -246,41 +256,49 @@
         }
     }
 
-    /// No entry counts one as up that has been gone for long.
-    fn check_gone(&self) {
-        for one in self.entries.iter().filter(|one| one.alive && !one.frozen) {
-            for instance in one.overlay.live().keys() {
-                let other = &self.entries[self.place(instance)];
+    /// Checks that no entry counts another as up that has been gone for too long.
+    fn check_no_stale_entries(&self) {
+        for entry in self
+            .entries
+            .iter()
+            .filter(|entry| entry.alive && !entry.frozen)
+        {
+            for instance in entry.overlay.live().keys() {
+                let other = &self.entries[self.index_of(instance)];
                 assert!(
-                    other.alive || self.now < other.died_at + GONE,
-                    "{} counts {instance} as up {:?} after its end",
-                    one.member.instance,
+                    other.alive || self.now < other.died_at + MAX_STALE,
+                    "{} counts {instance} as up {:?} after it ended",
+                    entry.member.instance,
                     self.now - other.died_at
                 );
             }
         }
     }
 
-    /// Every entry knows all that run, and no others.
-    fn check_known(&self) {
+    /// Checks that every entry knows exactly the running entries.
+    fn check_views(&self) {
         let up: BTreeSet<&InstanceId> = (0..self.entries.len())
-            .filter(|place| self.runs(*place))
-            .map(|place| &self.entries[place].member.instance)
+            .filter(|index| self.is_running(*index))
+            .map(|index| &self.entries[index].member.instance)
             .collect();
-        for one in self.entries.iter().filter(|one| one.alive && !one.frozen) {
-            let own = &one.member.instance;
-            let mut known: BTreeSet<&InstanceId> = one.overlay.live().keys().collect();
+        for entry in self
+            .entries
+            .iter()
+            .filter(|entry| entry.alive && !entry.frozen)
+        {
+            let own = &entry.member.instance;
+            let mut known: BTreeSet<&InstanceId> = entry.overlay.live().keys().collect();
             known.insert(own);
             assert_eq!(known, up, "as {own} sees it");
         }
     }
 
-    /// Most sessions of any leaf, and of any hub.
+    /// Returns the most sessions of any leaf, and of any hub.
     fn most_sessions(&self) -> (usize, usize) {
         let mut most = (0, 0);
-        for one in self.entries.iter().filter(|one| one.alive) {
-            let sessions = one.overlay.up().count();
-            if one.overlay.is_hub(self.now) {
+        for entry in self.entries.iter().filter(|entry| entry.alive) {
+            let sessions = entry.overlay.up().count();
+            if entry.overlay.is_hub(self.now) {
                 most.1 = most.1.max(sessions);
             } else {
                 most.0 = most.0.max(sessions);
@@ -291,158 +309,169 @@
 
     fn hubs(&self) -> Vec<usize> {
         (0..self.entries.len())
-            .filter(|place| self.runs(*place) && self.entries[*place].overlay.is_hub(self.now))
+            .filter(|index| {
+                self.is_running(*index) && self.entries[*index].overlay.is_hub(self.now)
+            })
             .collect()
     }
 }
 
-fn started(own: &Member, members: &[Member]) -> Overlay {
+fn new_overlay(own: &Member, members: &[Member]) -> Overlay {
     let mut overlay = Overlay::new(own.clone());
     overlay.take_registered(members.to_vec());
     overlay
 }
 
-/// Sessions of an entry don't grow with the number of entries: a leaf's not at all, a hub's with its domain.
+/// The sessions of one entry must not grow with the number of all entries: a leaf has a fixed number, a hub's grow only
+/// with its domain.
 #[test]
-fn sessions_do_not_grow_with_the_square() {
+fn session_count_does_not_grow_quadratically() {
     for (entries, domains) in [(30, 9), (100, 9), (300, 9), (530, 17)] {
         let mut fleet = Fleet::new(entries, domains);
-        fleet.run(SETTLED);
-        fleet.check_known();
+        fleet.run(SETTLE_TIME);
+        fleet.check_views();
         let (leaf, hub) = fleet.most_sessions();
-        assert_eq!(leaf, HUBS, "{entries} entries");
+        assert_eq!(leaf, HUBS_PER_DOMAIN, "{entries} entries");
         let of_domain = entries.div_ceil(domains) - 1;
-        assert_eq!(hub, of_domain + HUBS * (domains - 1), "{entries} entries");
-        assert_eq!(fleet.hubs().len(), HUBS * domains, "{entries} entries");
+        assert_eq!(
+            hub,
+            of_domain + HUBS_PER_DOMAIN * (domains - 1),
+            "{entries} entries"
+        );
+        assert_eq!(
+            fleet.hubs().len(),
+            HUBS_PER_DOMAIN * domains,
+            "{entries} entries"
+        );
     }
 }
 
-/// Domains with no more entries than hubs: every entry is in session with every other one.
+/// In domains with no more entries than hubs, every entry has a session to every other one.
 #[test]
 fn small_domains_are_a_full_mesh() {
     let mut fleet = Fleet::new(12, 6);
-    fleet.run(SETTLED);
-    fleet.check_known();
+    fleet.run(SETTLE_TIME);
+    fleet.check_views();
     assert_eq!(fleet.most_sessions(), (0, 11));
 }
 
-/// Names each failure, and plays it over a fleet that has settled: afterwards every entry knows who is up.
+/// Tests each failure on a fleet that has settled: afterwards every entry knows which entries are up.
 macro_rules! failures {
-    ($($(#[$doc:meta])* $name:ident: |$fleet:ident| $play:block)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: |$fleet:ident| $scenario:block)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             let mut $fleet = Fleet::new(45, 5);
-            $fleet.run(SETTLED);
-            $fleet.check_known();
-            $play
-            $fleet.run(SETTLED);
-            $fleet.check_known();
+            $fleet.run(SETTLE_TIME);
+            $fleet.check_views();
+            $scenario
+            $fleet.run(SETTLE_TIME);
+            $fleet.check_views();
         }
     )*};
 }
 
 failures! {
-    /// Leaves that lost both hubs of their domain would know of nobody.
+    /// Leaves that lost both hubs of their domain must find others.
     both_hubs_of_a_domain_are_killed: |fleet| {
         fleet.kill([0, 5]);
     }
-    /// Hubs that come back must not stay beside those that took their place.
+    /// Hubs that come back must not remain beside those that replaced them.
     killed_hubs_come_back: |fleet| {
         fleet.kill([0, 5]);
-        fleet.run(SETTLED);
-        fleet.check_known();
+        fleet.run(SETTLE_TIME);
+        fleet.check_views();
         fleet.restart([0, 5]);
-        fleet.run(SETTLED);
-        assert_eq!(fleet.hubs().len(), HUBS * 5);
-        assert_eq!(fleet.most_sessions().0, HUBS);
+        fleet.run(SETTLE_TIME);
+        assert_eq!(fleet.hubs().len(), HUBS_PER_DOMAIN * 5);
+        assert_eq!(fleet.most_sessions().0, HUBS_PER_DOMAIN);
     }
     /// The next entries in order may be gone as well as the hubs.
-    the_first_six_of_a_domain_are_killed: |fleet| {
+    first_six_of_a_domain_are_killed: |fleet| {
         fleet.kill([0, 5, 10, 15, 20, 25]);
     }
-    /// A domain without power leaves no entry behind that counts as up.
-    a_domain_is_lost: |fleet| {
-        fleet.kill((0..45).filter(|place| place % 5 == 2));
+    /// When a whole domain fails, none of its entries may still count as up.
+    a_domain_fails: |fleet| {
+        fleet.kill((0..45).filter(|index| index % 5 == 2));
     }
-    /// More than half of all processes end at one moment.
+    /// More than half of all processes end at the same moment.
     most_processes_end_and_start_again: |fleet| {
-        fleet.kill((0..45).filter(|place| place % 9 < 5));
+        fleet.kill((0..45).filter(|index| index % 9 < 5));
         fleet.run(Duration::from_secs(2));
-        fleet.restart((0..45).filter(|place| place % 9 < 5));
+        fleet.restart((0..45).filter(|index| index % 9 < 5));
     }
-    /// Nobody is there to tell who else is.
+    /// No running entry is left that knows of others.
     all_processes_end_and_start_again: |fleet| {
         fleet.kill(0..45);
         fleet.run(Duration::from_secs(2));
         fleet.restart(0..45);
     }
-    /// A hub that is suspended, and finds all its sessions lost when it wakes.
-    a_frozen_hub_wakes: |fleet| {
+    /// A hub is suspended and finds all its sessions lost when it resumes.
+    a_frozen_hub_resumes: |fleet| {
         fleet.entries[1].frozen = true;
         let cut = fleet.now;
-        fleet.cut.extend((0..45).filter(|place| *place != 1).map(|place| (pair(1, place), cut)));
-        fleet.run(SETTLED);
-        fleet.check_known();
+        fleet.cut.extend((0..45).filter(|index| *index != 1).map(|index| (pair(1, index), cut)));
+        fleet.run(SETTLE_TIME);
+        fleet.check_views();
         fleet.entries[1].frozen = false;
         fleet.cut.clear();
     }
-    /// A leaf that can't reach its hubs, which all others reach.
+    /// A leaf can't reach its hubs, which all other entries reach.
     a_leaf_is_cut_off_from_both_hubs: |fleet| {
         let cut = fleet.now;
         fleet.cut.extend([((0, 40), cut), ((5, 40), cut)]);
     }
-    /// The hubs of two domains can't reach each other; all others can.
+    /// The hubs of two domains can't reach each other; all other entries can.
     hubs_of_two_domains_are_cut_off_from_each_other: |fleet| {
         let cut = fleet.now;
         let pairs = [(0, 1), (0, 6), (1, 5), (5, 6)];
         fleet.cut.extend(pairs.map(|(a, b)| (pair(a, b), cut)));
     }
-    /// Two halves that can't reach each other find together again.
+    /// Two halves that can't reach each other reunite.
     two_halves_are_cut_off_from_each_other: |fleet| {
         let cut = fleet.now;
         let apart = |a: usize, b: usize| (a % 5 < 2) != (b % 5 < 2);
         let pairs = (0..45).flat_map(|a| (a + 1..45).map(move |b| (a, b)));
         fleet.cut.extend(pairs.filter(|(a, b)| apart(*a, *b)).map(|pair| (pair, cut)));
-        fleet.run(SETTLED);
+        fleet.run(SETTLE_TIME);
         fleet.cut.clear();
     }
 }
 
-/// Whatever ends, starts again, freezes or is cut off at random, entries know who is up once it is over.
+/// After random kills, restarts and cut links, entries know which entries are up once the failures end.
 #[test]
-fn any_failures_are_recovered_from() {
+fn random_failures_are_recovered_from() {
     use rand::{
         rngs::StdRng,
         RngExt,
         SeedableRng, //
     };
     for seed in 0..40 {
-        let mut random = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut fleet = Fleet::new(36, 4);
-        fleet.run(SETTLED);
+        fleet.run(SETTLE_TIME);
         for _ in 0..12 {
-            let place = random.random_range(0..36);
-            match random.random_range(0..4) {
-                0 => fleet.kill([place]),
-                1 if !fleet.entries[place].alive => fleet.restart([place]),
+            let index = rng.random_range(0..36);
+            match rng.random_range(0..4) {
+                0 => fleet.kill([index]),
+                1 if !fleet.entries[index].alive => fleet.restart([index]),
                 2 => {
-                    let other = random.random_range(0..36);
+                    let other = rng.random_range(0..36);
                     let now = fleet.now;
-                    if other != place {
-                        fleet.cut.insert(pair(place, other), now);
+                    if other != index {
+                        fleet.cut.insert(pair(index, other), now);
                     }
                 }
                 _ => fleet.cut.clear(),
             }
-            fleet.run(Duration::from_millis(random.random_range(0..3000)));
+            fleet.run(Duration::from_millis(rng.random_range(0..3000)));
         }
         fleet.cut.clear();
         let dead: Vec<usize> = (0..36)
-            .filter(|place| !fleet.entries[*place].alive)
+            .filter(|index| !fleet.entries[*index].alive)
             .collect();
         fleet.restart(dead);
-        fleet.run(SETTLED);
-        fleet.check_known();
+        fleet.run(SETTLE_TIME);
+        fleet.check_views();
     }
 }
--- a/crates/overlay/tests/follow.rs
+++ b/crates/overlay/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Reading a table through hubs: nothing is missed, whatever is lost on the way.
+//! Reading a table through hubs: no change is missed, whatever is lost on the way.
 
 use base::{
     InstanceId,
@@ -16,18 +16,18 @@
 
 const SILENCE: Duration = Duration::from_secs(6);
 
-fn s(s: u64) -> Now {
-    Duration::from_secs(s)
+fn secs(seconds: u64) -> Now {
+    Duration::from_secs(seconds)
 }
 
 fn hub(number: usize) -> InstanceId {
     format!("hub-{number}").into()
 }
 
-/// A leaf, and which changes of the store it has taken.
+/// A leaf, and the changes of the store that it has applied.
 struct Leaf {
     follow: Follow,
-    taken: BTreeSet<u64>,
+    applied: BTreeSet<u64>,
 }
 
 impl Leaf {
@@ -36,132 +36,135 @@
         follow.take_whole(0);
         Self {
             follow,
-            taken: BTreeSet::new(),
+            applied: BTreeSet::new(),
         }
     }
 
-    /// Whether all changes up to its position were taken.
-    fn is_whole(&self) -> bool {
+    /// Returns whether all changes up to its position were applied.
+    fn is_complete(&self) -> bool {
         let position = self.follow.position().unwrap_or(0);
-        (1..=position).all(|version| self.taken.contains(&version))
+        (1..=position).all(|version| self.applied.contains(&version))
     }
 }
 
-/// Plays what two hubs read and forward, of which some is lost; whether the leaf missed nothing.
-fn play(steps: &[(bool, u8, bool)], guards: Guards) -> bool {
+/// Runs reads of two hubs, some of whose messages are lost; returns whether the leaf missed nothing.
+fn run(steps: &[(bool, u8, bool)], guards: Guards) -> bool {
     let mut leaf = Leaf::new(guards);
     let mut store = 0;
     let mut read = [0_u64, 0];
-    for (number, (second, writes, lost)) in steps.iter().enumerate() {
+    for (number, (by_second_hub, writes, lost)) in steps.iter().enumerate() {
         store += u64::from(writes % 4);
-        let by = usize::from(*second);
-        let after = std::mem::replace(&mut read[by], store);
+        let hub_index = usize::from(*by_second_hub);
+        let after = std::mem::replace(&mut read[hub_index], store);
         if *lost {
             continue;
         }
-        let now = s(1) + Duration::from_millis(number as u64 * 10);
-        match leaf.follow.step(&hub(by), after, store, now) {
-            Step::Next => leaf.taken.extend(after + 1..=store),
+        let now = secs(1) + Duration::from_millis(number as u64 * 10);
+        match leaf.follow.step(&hub(hub_index), after, store, now) {
+            Step::Next => leaf.applied.extend(after + 1..=store),
             Step::Known => {}
             Step::Gap => {
                 assert!(
                     !leaf.follow.is_forwarded(SILENCE, now),
-                    "the store is to be called"
+                    "a call of the store is due"
                 );
-                leaf.taken.extend(1..=store);
+                leaf.applied.extend(1..=store);
                 leaf.follow.take_read(store);
             }
         }
-        if !leaf.is_whole() {
+        if !leaf.is_complete() {
             return false;
         }
     }
     true
 }
 
-/// Rows of a message that was lost would never be taken.
+/// Guards against rows of a lost message that are never applied.
 #[test]
-fn nothing_is_missed_through_hubs() {
+fn no_change_is_missed_through_hubs() {
     bolero::check!()
         .with_type::<Vec<(bool, u8, bool)>>()
-        .for_each(|steps| assert!(play(steps, Guards::default())));
+        .for_each(|steps| assert!(run(steps, Guards::default())));
 }
 
-/// The search above finds what the guard against gaps prevents.
+/// The check above finds the runs that the guard against gaps prevents.
 #[test]
-fn a_gap_needs_its_guard() {
-    let lost_once = [(false, 1, true), (false, 1, false)];
-    assert!(play(&lost_once, Guards::default()));
+fn changes_are_missed_without_the_gap_guard() {
+    let one_lost_message = [(false, 1, true), (false, 1, false)];
+    assert!(run(&one_lost_message, Guards::default()));
     let guards = Guards {
         gap: false,
         ..Guards::default()
     };
-    assert!(!play(&lost_once, guards));
+    assert!(!run(&one_lost_message, guards));
 }
 
-/// A leaf whose hub went silent would wait for it for ever.
+/// Guards against a leaf that waits forever for a hub that went silent.
 #[test]
-fn a_silent_hub_forwards_no_more() {
+fn a_silent_hub_does_not_count_as_forwarding() {
     let mut follow = Follow::new();
-    assert!(!follow.is_forwarded(SILENCE, s(0)), "no table was read");
+    assert!(
+        !follow.is_forwarded(SILENCE, secs(0)),
+        "the table was not read yet"
+    );
     follow.take_whole(5);
-    assert!(!follow.is_forwarded(SILENCE, s(0)), "no hub forwards");
-    assert_eq!(follow.step(&hub(0), 5, 5, s(1)), Step::Known);
-    assert!(follow.is_forwarded(SILENCE, s(6)));
-    assert!(!follow.is_forwarded(SILENCE, s(7)));
+    assert!(!follow.is_forwarded(SILENCE, secs(0)), "no hub forwards");
+    assert_eq!(follow.step(&hub(0), 5, 5, secs(1)), Step::Known);
+    assert!(follow.is_forwarded(SILENCE, secs(6)));
+    assert!(!follow.is_forwarded(SILENCE, secs(7)));
     let guards = Guards {
         silence: false,
         ..Guards::default()
     };
-    let mut without = Follow::with_guards(guards);
-    without.take_whole(5);
-    without.step(&hub(0), 5, 5, s(1));
+    let mut unguarded = Follow::with_guards(guards);
+    unguarded.take_whole(5);
+    unguarded.step(&hub(0), 5, 5, secs(1));
     assert!(
-        without.is_forwarded(SILENCE, s(600)),
-        "the guard is what ends it"
+        unguarded.is_forwarded(SILENCE, secs(600)),
+        "without the guard, a silent hub counts as forwarding"
     );
 }
 
-/// A hub that can't read the store, or is lost, is none to wait for.
+/// Guards against waiting for a hub that can't read the store or is lost.
 #[test]
-fn a_hub_that_stops_forwards_no_more() {
+fn a_stopped_hub_does_not_count_as_forwarding() {
     let mut follow = Follow::new();
     follow.take_whole(5);
-    follow.step(&hub(0), 5, 5, s(1));
-    follow.step(&hub(1), 5, 5, s(1));
+    follow.step(&hub(0), 5, 5, secs(1));
+    follow.step(&hub(1), 5, 5, secs(1));
     follow.stop(&hub(0));
     assert!(
-        follow.is_forwarded(SILENCE, s(1)),
-        "the other one still does"
+        follow.is_forwarded(SILENCE, secs(1)),
+        "the other hub still forwards"
     );
     follow.stop(&hub(1));
-    assert!(!follow.is_forwarded(SILENCE, s(1)));
+    assert!(!follow.is_forwarded(SILENCE, secs(1)));
 }
 
-/// A hub that has read farther than this leaf would be waited for, though it will not forward what is missing.
+/// Guards against waiting for a hub that has read further than this leaf: it won't forward what is missing.
 #[test]
-fn a_hub_that_is_ahead_is_none_to_wait_for() {
+fn a_hub_that_is_ahead_does_not_count_as_forwarding() {
     let mut follow = Follow::new();
     follow.take_whole(5);
-    follow.take_position(&hub(0), 8, s(1));
-    assert!(!follow.is_forwarded(SILENCE, s(1)));
-    follow.take_position(&hub(1), 5, s(1));
-    assert!(follow.is_forwarded(SILENCE, s(1)));
-    assert_eq!(follow.step(&hub(0), 8, 9, s(1)), Step::Gap);
+    follow.take_position(&hub(0), 8, secs(1));
+    assert!(!follow.is_forwarded(SILENCE, secs(1)));
+    follow.take_position(&hub(1), 5, secs(1));
+    assert!(follow.is_forwarded(SILENCE, secs(1)));
+    assert_eq!(follow.step(&hub(0), 8, 9, secs(1)), Step::Gap);
     assert!(
-        !follow.is_forwarded(SILENCE, s(1)),
-        "the store is to be called"
+        !follow.is_forwarded(SILENCE, secs(1)),
+        "a call of the store is due"
     );
 }
 
-/// Rows that come before the first whole table was read are a part of nothing.
+/// Rows forwarded before the whole table was read once do not make a table.
 #[test]
 fn rows_before_the_first_table_are_a_gap() {
     let mut follow = Follow::new();
-    assert_eq!(follow.step(&hub(0), 3, 4, s(1)), Step::Gap);
-    assert!(!follow.is_forwarded(SILENCE, s(1)));
+    assert_eq!(follow.step(&hub(0), 3, 4, secs(1)), Step::Gap);
+    assert!(!follow.is_forwarded(SILENCE, secs(1)));
     follow.take_whole(9);
-    assert_eq!(follow.step(&hub(0), 4, 8, s(1)), Step::Known);
-    assert_eq!(follow.step(&hub(0), 8, 12, s(1)), Step::Next);
+    assert_eq!(follow.step(&hub(0), 4, 8, secs(1)), Step::Known);
+    assert_eq!(follow.step(&hub(0), 8, 12, secs(1)), Step::Next);
     assert_eq!(follow.position(), Some(12));
 }
--- a/crates/overlay/tests/sums.rs
+++ b/crates/overlay/tests/sums.rs
@@ -14,8 +14,8 @@
 
 const STALE: Duration = Duration::from_secs(1);
 
-fn s(s: u64) -> Now {
-    Duration::from_secs(s)
+fn secs(seconds: u64) -> Now {
+    Duration::from_secs(seconds)
 }
 
 fn name(number: usize) -> InstanceId {
@@ -26,7 +26,7 @@
     loads.iter().copied().collect()
 }
 
-/// Two hubs with two leaves each: each entry learns the sum over all others, each counted once.
+/// With two hubs of two leaves each, each entry learns the sum over all others, each counted once.
 #[test]
 fn each_entry_is_counted_once() {
     let own: [Vec<Load>; 6] = [
@@ -41,55 +41,55 @@
     let mut hubs = [Sums::default(), Sums::default()];
     for (hub, leaves) in [(0, [1, 2]), (1, [4, 5])] {
         for leaf in leaves {
-            hubs[hub].take_leaf(&name(leaf), own[leaf].clone(), STALE, s(1));
+            hubs[hub].take_leaf(&name(leaf), own[leaf].clone(), STALE, secs(1));
         }
     }
     let of_domain = [
-        hubs[0].of_domain(&own[0], s(1)),
-        hubs[1].of_domain(&own[3], s(1)),
+        hubs[0].of_domain(&own[0], secs(1)),
+        hubs[1].of_domain(&own[3], secs(1)),
     ];
-    hubs[0].take_hub(&name(3), of_domain[1].clone(), STALE, s(1));
-    hubs[1].take_hub(&name(0), of_domain[0].clone(), STALE, s(1));
+    hubs[0].take_hub(&name(3), of_domain[1].clone(), STALE, secs(1));
+    hubs[1].take_hub(&name(0), of_domain[0].clone(), STALE, secs(1));
     let all = FastMap::from_iter([(1, 43), (2, 5), (3, 17)]);
-    assert_eq!(map(&hubs[0].of_fleet(&own[0], s(1))), all);
-    assert_eq!(map(&hubs[1].of_fleet(&own[3], s(1))), all);
-    let others = hubs[0].others_of_hub(s(1));
+    assert_eq!(map(&hubs[0].of_fleet(&own[0], secs(1))), all);
+    assert_eq!(map(&hubs[1].of_fleet(&own[3], secs(1))), all);
+    let others = hubs[0].others_of_hub(secs(1));
     assert_eq!(others, FastMap::from_iter([(1, 42), (2, 5), (3, 17)]));
     let mut leaf = Sums::default();
     leaf.note_reported(&own[5]);
     leaf.note_reported(&own[5]);
-    leaf.take_fleet(hubs[1].of_fleet(&own[3], s(1)), STALE, s(1));
-    let others = leaf.others_of_leaf(s(1)).expect("a hub told");
+    leaf.take_fleet(hubs[1].of_fleet(&own[3], secs(1)), STALE, secs(1));
+    let others = leaf.others_of_leaf(secs(1)).expect("a hub sent the sum");
     assert_eq!(others, FastMap::from_iter([(1, 11), (2, 5), (3, 16)]));
 }
 
-/// A request that has just begun, and that the hub's sum doesn't have yet, must not hide another entry's.
+/// A request that has just begun, and that the hub's sum doesn't include yet, must not hide another entry's.
 #[test]
-fn a_leafs_newest_requests_hide_no_others() {
+fn new_requests_of_a_leaf_hide_no_others() {
     let mut leaf = Sums::default();
     leaf.note_reported(&[]);
-    leaf.take_fleet(vec![(1, 3)], STALE, s(1));
+    leaf.take_fleet(vec![(1, 3)], STALE, secs(1));
     leaf.note_reported(&[(1, 2)]);
     assert_eq!(
-        leaf.others_of_leaf(s(1)),
+        leaf.others_of_leaf(secs(1)),
         Some(FastMap::from_iter([(1, 3)]))
     );
 }
 
-/// What a lost entry said last would count for ever.
+/// Guards against the last report of a lost entry counting forever.
 #[test]
-fn old_reports_say_nothing() {
+fn stale_reports_are_ignored() {
     let mut hub = Sums::default();
-    hub.take_leaf(&name(1), vec![(1, 1)], STALE, s(1));
-    hub.take_hub(&name(2), vec![(1, 2)], STALE, s(1));
-    assert_eq!(hub.reporting(s(2)).count(), 1);
-    assert_eq!(hub.reporting(s(3)).count(), 0);
-    assert!(hub.others_of_hub(s(3)).is_empty());
+    hub.take_leaf(&name(1), vec![(1, 1)], STALE, secs(1));
+    hub.take_hub(&name(2), vec![(1, 2)], STALE, secs(1));
+    assert_eq!(hub.reporting(secs(2)).count(), 1);
+    assert_eq!(hub.reporting(secs(3)).count(), 0);
+    assert!(hub.others_of_hub(secs(3)).is_empty());
     let mut leaf = Sums::default();
-    assert_eq!(leaf.others_of_leaf(s(1)), None, "nobody told");
-    leaf.take_fleet(vec![(1, 3)], STALE, s(1));
-    assert_eq!(leaf.others_of_leaf(s(3)), None);
-    hub.take_leaf(&name(1), vec![(1, 1)], STALE, s(3));
+    assert_eq!(leaf.others_of_leaf(secs(1)), None, "no hub sent a sum");
+    leaf.take_fleet(vec![(1, 3)], STALE, secs(1));
+    assert_eq!(leaf.others_of_leaf(secs(3)), None);
+    hub.take_leaf(&name(1), vec![(1, 1)], STALE, secs(3));
     hub.forget(&name(1));
-    assert!(hub.others_of_hub(s(3)).is_empty());
+    assert!(hub.others_of_hub(secs(3)).is_empty());
 }
