--- a/crates/filing/src/batch.rs
+++ b/crates/filing/src/batch.rs
@@ -1,8 +1,8 @@
-//! Conditional writes of many callers in one transaction of the table.
+//! Combines conditional writes of many callers into one transaction of the table.
 //!
-//! The table takes several hundred writes a second; a storm brings more filings than that. A
-//! transaction fails as a whole, so one caller's conflict would fail its neighbours: the batch
-//! takes out those whose rows differ and commits the others again.
+//! The table takes several hundred writes per second, and peak load brings more filings than that. A
+//! transaction fails as a whole, so one caller's conflict would fail the writes of the others. The
+//! batch therefore drops the writes whose rows differ and commits the others again.
 
 use crate::ClaimEvent;
 use bytestring::ByteString;
@@ -11,184 +11,189 @@
     VecDeque, //
 };
 
-/// Caller of writes that nobody waits for: outcomes of filings that were answered.
+/// Caller id of writes that nobody waits for, such as outcomes of filings whose caller has its
+/// response.
 pub const NO_CALLER: u64 = u64::MAX;
 
-/// Writes that wait for a better time; beyond it the oldest are dropped, and repeats of their
-/// filings are told `unknown`.
-const PARKED_MAX: usize = 10_000;
+/// Deferred writes kept. Beyond it the oldest are dropped, and repeats of their filings get
+/// `unknown`.
+const DEFERRED_MAX: usize = 10_000;
 
 /// Row of the table.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Row {
     /// Version of the last commit that wrote it.
     pub version: u64,
-    /// Text.
+    /// Value of the row.
     pub value: ByteString,
 }
 
 /// One caller's conditional write.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Insert {
-    /// Whom to tell what happened.
+    /// Caller to notify of the result.
     pub caller: u64,
-    /// The row.
+    /// Key of the row.
     pub key: ByteString,
-    /// Version that it must have; `None`: absent.
+    /// Version that the row must have; `None` if it must be absent.
     pub check: Option<u64>,
-    /// Its new text.
+    /// New value of the row.
     pub value: ByteString,
 }
 
-/// One transaction: each row is checked and written.
+/// One transaction, which checks and writes each row.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Commit {
-    /// The writes, sorted by key, one a row.
+    /// The writes, sorted by key, at most one for each row.
     pub inserts: Vec<Insert>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum CommitAnswer {
-    /// All took effect, as this version.
+    /// All writes took effect.
     Committed {
-        /// Version of all rows written.
+        /// New version of all written rows.
         version: u64,
     },
-    /// None took effect: the current rows, in the order of the inserts.
+    /// No write took effect, since the condition of at least one failed.
     Conflict {
-        /// One for each insert.
+        /// Current rows, one for each write, in the same order.
         rows: Vec<Option<Row>>,
     },
-    /// The answer was lost.
+    /// The result was lost; the writes may have taken effect.
     Lost,
-    /// The platform provably did nothing.
+    /// The platform is unavailable and provably did nothing.
     Down,
 }
 
-/// Writes that wait, and those of the one transaction under way.
+/// Queue of writes, with at most one transaction in flight.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Batch {
-    waiting: VecDeque<Insert>,
-    under_way: Vec<Insert>,
+    queued: VecDeque<Insert>,
+    in_flight: Vec<Insert>,
     /// Writes of [`NO_CALLER`] that failed, until [`Batch::unpark`].
-    parked: VecDeque<Insert>,
+    deferred: VecDeque<Insert>,
     size_max: usize,
 }
 
 impl Batch {
-    /// Empty batch of up to `size_max` writes a transaction.
+    /// Creates an empty batch with up to `size_max` writes per transaction.
     pub fn new(size_max: usize) -> Self {
         Self {
-            waiting: VecDeque::new(),
-            under_way: Vec::new(),
-            parked: VecDeque::new(),
+            queued: VecDeque::new(),
+            in_flight: Vec::new(),
+            deferred: VecDeque::new(),
             size_max: size_max.max(1),
         }
     }
 
-    /// Adds a caller's write.
+    /// Queues a caller's write.
     pub fn push(&mut self, insert: Insert) {
-        self.waiting.push_back(insert);
+        self.queued.push_back(insert);
     }
 
-    /// Drops the write of a caller who has given up, if it still waits; true if it did.
+    /// Drops the queued write of a caller that has given up; `false` if none was queued.
     pub fn cancel(&mut self, caller: u64) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|insert| insert.caller != caller);
-        self.waiting.len() < before
+        let before = self.queued.len();
+        self.queued.retain(|insert| insert.caller != caller);
+        self.queued.len() < before
     }
 
-    /// How many writes wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Number of queued writes.
+    pub fn queued(&self) -> usize {
+        self.queued.len()
     }
 
-    /// Puts the writes that failed and that nobody waits for back in line.
+    /// Queues the deferred writes again.
     ///
-    /// Not done at once: while the table is down each failure would follow on the last without a
-    /// pause. To be called now and then, once the table answers.
+    /// This is a separate call, because immediate retries would run in a tight loop while the table is
+    /// down. Call it periodically, once the table responds.
     pub fn unpark(&mut self) {
-        self.waiting.append(&mut self.parked);
+        self.queued.append(&mut self.deferred);
     }
 
-    /// How many writes wait for [`Batch::unpark`].
-    pub fn parked(&self) -> usize {
-        self.parked.len()
+    /// Number of writes deferred until [`Batch::unpark`].
+    pub fn deferred(&self) -> usize {
+        self.deferred.len()
     }
 
-    /// Next transaction; `None` while one is under way or nothing waits.
+    /// Returns the next transaction; `None` while one is in flight or if nothing is queued.
     ///
-    /// Two writes of one row never share a transaction: the second would overwrite the first.
+    /// A transaction has at most one write for each row, since a second one would overwrite the first.
     pub fn commit(&mut self) -> Option<Commit> {
-        if !self.under_way.is_empty() || self.waiting.is_empty() {
+        if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
         }
         let mut chosen: BTreeMap<ByteString, Insert> = BTreeMap::new();
-        let mut later = VecDeque::new();
-        while let Some(insert) = self.waiting.pop_front() {
+        let mut remaining = VecDeque::new();
+        while let Some(insert) = self.queued.pop_front() {
             if chosen.len() < self.size_max && !chosen.contains_key(&insert.key) {
                 chosen.insert(insert.key.clone(), insert);
             } else {
-                later.push_back(insert);
+                remaining.push_back(insert);
             }
         }
-        self.waiting = later;
-        self.under_way = chosen.into_values().collect();
+        self.queued = remaining;
+        self.in_flight = chosen.into_values().collect();
         Some(Commit {
-            inserts: self.under_way.clone(),
+            inserts: self.in_flight.clone(),
         })
     }
 
-    /// Takes the answer of the transaction under way; returns whom to tell what.
+    /// Handles the result of the transaction in flight; returns the events to pass to callers.
     ///
-    /// [`NO_CALLER`] is never told. Its writes are kept if the table is down or the answer was
-    /// lost; one that had taken effect fails its condition the second time.
-    pub fn answer(&mut self, answer: CommitAnswer) -> Vec<(u64, ClaimEvent)> {
-        let inserts = std::mem::take(&mut self.under_way);
-        let tell_all = |event: ClaimEvent| {
-            let tell = |insert: &Insert| (insert.caller, event.clone());
-            let awaited = |insert: &&Insert| insert.caller != NO_CALLER;
-            inserts.iter().filter(awaited).map(tell).collect()
+    /// [`NO_CALLER`] gets no events. Its writes are retried if the table is down or the result was
+    /// lost; the condition of one that had taken effect fails on the retry.
+    pub fn answer(&mut self, result: CommitAnswer) -> Vec<(u64, ClaimEvent)> {
+        let inserts = std::mem::take(&mut self.in_flight);
+        let notify_all = |event: ClaimEvent| {
+            let notify = |insert: &Insert| (insert.caller, event.clone());
+            let has_caller = |insert: &&Insert| insert.caller != NO_CALLER;
+            inserts.iter().filter(has_caller).map(notify).collect()
         };
-        match answer {
-            CommitAnswer::Committed { version } => tell_all(ClaimEvent::Committed { version }),
+        match result {
+            CommitAnswer::Committed { version } => notify_all(ClaimEvent::Committed { version }),
             CommitAnswer::Lost => {
-                self.park(&inserts);
-                tell_all(ClaimEvent::Lost)
+                self.defer(&inserts);
+                notify_all(ClaimEvent::Lost)
             }
             CommitAnswer::Down => {
-                self.park(&inserts);
-                tell_all(ClaimEvent::Down)
+                self.defer(&inserts);
+                notify_all(ClaimEvent::Down)
             }
-            CommitAnswer::Conflict { rows } => self.split(inserts, rows),
+            CommitAnswer::Conflict { rows } => self.retry_unconflicted(inserts, rows),
         }
     }
 
-    fn park(&mut self, inserts: &[Insert]) {
-        let unawaited = inserts.iter().filter(|insert| insert.caller == NO_CALLER);
-        self.parked.extend(unawaited.cloned());
-        while self.parked.len() > PARKED_MAX {
-            self.parked.pop_front();
+    fn defer(&mut self, inserts: &[Insert]) {
+        let without_caller = inserts.iter().filter(|insert| insert.caller == NO_CALLER);
+        self.deferred.extend(without_caller.cloned());
+        while self.deferred.len() > DEFERRED_MAX {
+            self.deferred.pop_front();
         }
     }
 
-    /// Tells those whose rows differ; the others go first into the next transaction.
-    fn split(&mut self, inserts: Vec<Insert>, rows: Vec<Option<Row>>) -> Vec<(u64, ClaimEvent)> {
-        let mut told = Vec::new();
-        let mut again = Vec::new();
+    /// Returns conflicts for the writes whose rows differ, and puts the others at the head of the queue.
+    fn retry_unconflicted(
+        &mut self,
+        inserts: Vec<Insert>,
+        rows: Vec<Option<Row>>,
+    ) -> Vec<(u64, ClaimEvent)> {
+        let mut notifications = Vec::new();
+        let mut retries = Vec::new();
         let rows = rows.into_iter().chain(std::iter::repeat(None));
         for (insert, row) in inserts.into_iter().zip(rows) {
             let version = row.as_ref().map(|row| row.version);
             if version == insert.check {
-                again.push(insert);
+                retries.push(insert);
             } else if insert.caller != NO_CALLER {
-                told.push((insert.caller, ClaimEvent::Conflict(row)));
+                notifications.push((insert.caller, ClaimEvent::Conflict(row)));
             }
         }
-        for insert in again.into_iter().rev() {
-            self.waiting.push_front(insert);
+        for insert in retries.into_iter().rev() {
+            self.queued.push_front(insert);
         }
-        told
+        notifications
     }
 }
--- a/crates/filing/src/bounds.rs
+++ b/crates/filing/src/bounds.rs
@@ -1,21 +1,21 @@
-//! How much a ledger remembers, and for how long.
+//! Limits on what a ledger stores, and for how long.
 
 use std::time::Duration;
 
-/// How much a ledger remembers, and for how long.
+/// Limits on what a ledger stores, and for how long.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Bounds {
-    /// Tickets remembered at a time.
+    /// Tickets stored at a time.
     pub tickets_max: usize,
-    /// Largest record that is kept whole, headers and body.
+    /// Largest record that is stored with headers and body, in bytes.
     pub record_bytes_max: usize,
-    /// All records and what is reserved for running ones.
+    /// Total size of all records and of the space reserved for running filings, in bytes.
     pub total_bytes_max: usize,
-    /// All records of an offer to a successor, which goes in one message.
+    /// Total size of the records in an offer to a successor, which is sent as one message, in bytes.
     pub offer_bytes_max: usize,
-    /// Longest life of a ticket; one that claims more was made by a wrong clock.
+    /// Longest lifetime of a ticket. One that expires later was issued with a wrong clock.
     pub life_max: Duration,
-    /// How long an outcome is remembered past its ticket's end.
+    /// How long an outcome is kept after its ticket has expired.
     pub margin: Duration,
 }
 
--- a/crates/filing/src/claim.rs
+++ b/crates/filing/src/claim.rs
@@ -1,4 +1,4 @@
-//! Rows of the table that claim a caller's key.
+//! Claims on callers' idempotency keys, as rows of the platform's table.
 
 use crate::{
     escape::escape,
@@ -16,7 +16,7 @@
     str::FromStr, //
 };
 
-/// Row of the table for a caller's idempotency key within a class.
+/// Key of the table row for a caller's idempotency key within a class.
 pub fn claim_key(class: &str, key: &[u8]) -> ByteString {
     let mut row = String::from("claim/");
     escape(class.as_bytes(), &mut row);
@@ -25,33 +25,34 @@
     ByteString::from(row)
 }
 
-/// How far a claimed filing is.
+/// State of a claimed filing.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ClaimState {
-    /// Its holder runs it, or has, or was lost.
+    /// The holder is running the filing, has run it, or failed before it recorded an outcome.
     Held,
-    /// Given up by its holder, never sent: the key is free.
+    /// The holder gave the claim up without sending the request: the key is free.
     Released,
-    /// It has ended.
+    /// The filing has ended with this outcome.
     Ended(Record),
 }
 
-/// One row: who claimed the key, for which request, and what came of it.
+/// Value of a claim's row: who claimed the key, for which request, and its state.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Claim {
-    /// What makes it its holder's own.
+    /// Random number that identifies the holder's claim.
     pub token: Token,
-    /// Holder.
+    /// Instance that holds the claim.
     pub instance: InstanceId,
-    /// Life of the holder.
+    /// Incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Digest of the request; another request under the same key gets no other's answer.
+    /// Digest of the request; a different request under the same key must not get this one's
+    /// response.
     pub digest: u128,
-    /// How far it is.
+    /// State of the filing.
     pub state: ClaimState,
 }
 
-/// First line: token, holder, incarnation, digest, state; a record's text follows.
+/// First line: token, holder, incarnation, digest, state. The text of the record, if any, follows.
 impl fmt::Display for Claim {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut holder = String::new();
@@ -69,7 +70,7 @@
     }
 }
 
-/// Text that is no claim.
+/// The text is not a valid claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MalformedClaim;
 
--- a/crates/filing/src/claimer.rs
+++ b/crates/filing/src/claimer.rs
@@ -1,9 +1,10 @@
-//! State machine of one request that brings a key of the caller's.
+//! State machine of one request that carries an idempotency key of its caller.
 //!
-//! It inserts its claim on the condition that the key is free; only when the claim is known to be
-//! in the table may the request be sent. An insert whose answer was lost is read back and known
-//! by its token. Whoever ends `not-run` without that knowledge leaves a [`Releaser`] behind,
-//! which seals the row: an insert still under way must not block the key for good.
+//! It inserts its claim on the condition that the key is free. The request may be sent only once the
+//! claim is known to be in the table. If the result of the insert is lost, the row is read back, and
+//! the claim is recognised by its token. If the request ends `not-run` while its insert may have taken
+//! effect or may still do so, a [`Releaser`] takes over and writes the row, so that the insert can't
+//! block the key for good.
 //!
 //! [`Releaser`]: crate::Releaser
 
@@ -24,34 +25,34 @@
 };
 use bytestring::ByteString;
 
-/// Attempts to learn what became of an insert before the request ends `not-run`.
-const TRIES_MAX: u8 = 3;
+/// Repeated inserts and reads of the row before the request ends `not-run`.
+const ATTEMPTS_MAX: u8 = 3;
 
 /// Whether the holder of a lease that is valid until `lease_until` may send at `now`.
 ///
-/// To be asked immediately before the first byte: a holder that was paused wakes with an old
-/// picture and would send after others have told callers how the filing ended.
+/// Call it immediately before the first byte is sent. A holder that was paused resumes with outdated
+/// state, and would otherwise send after others have reported the filing's outcome to callers.
 pub fn may_send(now: Now, lease_until: Now) -> bool {
     now < lease_until
 }
 
-/// Who claims, and for which request.
+/// Identity of a claim: its row, holder and request.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Claimant {
-    /// The row, as [`claim_key`](crate::claim_key) names it.
+    /// Key of the row, made by [`claim_key`](crate::claim_key).
     pub key: ByteString,
-    /// What makes the claim its own: random, new with each request.
+    /// Random number, new for each request, that identifies the claim.
     pub token: Token,
     /// Claiming entry.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of that entry.
     pub incarnation: Incarnation,
     /// Digest of the request.
     pub digest: u128,
 }
 
 impl Claimant {
-    pub(crate) fn value(&self, state: ClaimState) -> ByteString {
+    pub(crate) fn row_value(&self, state: ClaimState) -> ByteString {
         let claim = Claim {
             token: self.token,
             instance: self.instance.clone(),
@@ -63,65 +64,66 @@
     }
 }
 
-/// What happened to the last step.
+/// Result of the last step, or a timeout.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ClaimEvent {
-    /// The insert took effect, as this version of the row.
+    /// The write took effect.
     Committed {
-        /// The row's version.
+        /// New version of the row.
         version: u64,
     },
-    /// The insert didn't take effect: the row is this one.
+    /// The write's condition failed: the row has this content.
     Conflict(Option<Row>),
-    /// The answer was lost: the insert may have taken effect, or may yet.
+    /// The result was lost: the write may have taken effect, or may still do so.
     Lost,
-    /// The platform provably did nothing.
+    /// The platform is unavailable and provably did nothing.
     Down,
-    /// The row, read back.
+    /// The row was read.
     Read(Option<Row>),
-    /// The caller's time is over.
+    /// The caller's deadline has passed.
     TimedOut,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ClaimStep {
-    /// Commit this, alone or in a [`Batch`](crate::Batch).
+    /// Write the claim, alone or in a [`Batch`](crate::Batch).
     Insert {
-        /// Version that the row must have; `None`: absent.
+        /// Version that the row must have; `None` if it must be absent.
         check: Option<u64>,
-        /// Text of the row.
+        /// New value of the row.
         value: ByteString,
     },
     /// Read the row.
     ReadBack,
-    /// The claim is held: call [`Claimer::send`] immediately before sending.
+    /// The claim is held. Call [`Claimer::send`] immediately before sending.
     Ready,
     /// Send the request now.
     Send,
-    /// Answer the caller.
+    /// Respond to the caller.
     Answer(ClaimAnswer),
-    /// Nothing: the event came late.
+    /// Do nothing: the event came too late.
     Nothing,
 }
 
-/// How a request ends that isn't sent.
+/// How a request ends without being sent.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ClaimAnswer {
-    /// Nothing was sent: `not-run`. The releaser has to be driven to its end.
+    /// Nothing was sent: `not-run`. The releaser, if any, must be run until it is done.
     NotRun(Option<Releaser>),
-    /// It ended before: the recorded answer.
+    /// The filing has ended before: replay the recorded response.
     Replay(Record),
-    /// Another holds the claim, and no outcome is recorded: `unknown` if it can't be asked.
+    /// Another request holds the claim, and no outcome is recorded: `unknown` unless the holder can tell
+    /// the outcome.
     InProgress {
-        /// Holder.
+        /// Holder of the claim.
         owner: InstanceId,
-        /// Its life.
+        /// Incarnation of the holder.
         incarnation: Incarnation,
     },
-    /// The key was used for another request.
+    /// The key was used for a different request.
     KeyReused,
-    /// The row can't be read: `unknown`.
+    /// The row can't be parsed: `unknown`.
     Unreadable,
 }
 
@@ -131,65 +133,65 @@
     ReadingBack,
     Claimed { version: u64 },
     Sent { version: u64 },
-    Over,
+    Finished,
 }
 
-/// One request's way from its key to the right to send.
+/// Claims the key of one request and decides whether it may be sent.
 ///
-/// Invariant: in `Claimed` and `Sent` the table's row holds this claimant's token.
+/// Invariant: in `Claimed` and `Sent`, the row in the table holds this claimant's token.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Claimer {
     claimant: Claimant,
     guards: Guards,
     state: State,
-    /// Version that the insert replaces.
+    /// Version of the row that the insert expects; `None` if it must be absent.
     check: Option<u64>,
-    /// An insert may have taken effect, or may yet.
-    doubtful: bool,
-    tries: u8,
+    /// An insert may have taken effect, or may still do so.
+    may_be_stored: bool,
+    attempts: u8,
 }
 
 impl Claimer {
-    /// Starts, with the first step.
+    /// Creates the state machine and returns the first step.
     pub fn start(claimant: Claimant, guards: Guards) -> (Self, ClaimStep) {
         let mut claimer = Self {
             claimant,
             guards,
             state: State::Inserting,
             check: None,
-            doubtful: false,
-            tries: 0,
+            may_be_stored: false,
+            attempts: 0,
         };
         let step = claimer.insert(None);
         (claimer, step)
     }
 
-    /// Takes what happened to the last step.
+    /// Handles the result of the last step and returns the next one.
     pub fn on(&mut self, event: ClaimEvent) -> ClaimStep {
         match self.state {
             State::Inserting => self.on_inserting(event),
             State::ReadingBack => self.on_reading_back(event),
-            State::Claimed { .. } if event == ClaimEvent::TimedOut => self.not_run(),
-            State::Claimed { .. } | State::Sent { .. } | State::Over => ClaimStep::Nothing,
+            State::Claimed { .. } if event == ClaimEvent::TimedOut => self.finish_not_run(),
+            State::Claimed { .. } | State::Sent { .. } | State::Finished => ClaimStep::Nothing,
         }
     }
 
-    /// Last check, immediately before the first byte: [`ClaimStep::Send`], or the answer to give
-    /// instead if the lease has lapsed.
+    /// Last check, immediately before the first byte is sent. Returns [`ClaimStep::Send`], or, if the
+    /// lease has expired, the response to give instead.
     pub fn send(&mut self, now: Now, lease_until: Now) -> ClaimStep {
         let State::Claimed { version } = self.state else {
             return ClaimStep::Nothing;
         };
         if self.guards.lease_before_send && !may_send(now, lease_until) {
-            return self.not_run();
+            return self.finish_not_run();
         }
         self.state = State::Sent { version };
         ClaimStep::Send
     }
 
-    /// Write that records what came of the sent request; `None` before it was sent.
+    /// Write that records the outcome of the sent request; `None` if it was not sent.
     ///
-    /// May go into a later batch: until then repeats are told `unknown`.
+    /// It may go into a later batch; until then, repeats get `unknown`.
     pub fn ended(&self, caller: u64, record: Record) -> Option<Insert> {
         let State::Sent { version } = self.state else {
             return None;
@@ -198,40 +200,40 @@
             caller,
             key: self.claimant.key.clone(),
             check: Some(version),
-            value: self.claimant.value(ClaimState::Ended(record)),
+            value: self.claimant.row_value(ClaimState::Ended(record)),
         })
     }
 
-    /// Takes back a request that the upstream provably didn't run; the key gets free again.
+    /// Ends a request that the upstream provably didn't run as `not-run`, which frees the key.
     pub fn unsent(&mut self) -> ClaimStep {
         match self.state {
-            State::Claimed { .. } | State::Sent { .. } => self.not_run(),
-            State::Inserting | State::ReadingBack | State::Over => ClaimStep::Nothing,
+            State::Claimed { .. } | State::Sent { .. } => self.finish_not_run(),
+            State::Inserting | State::ReadingBack | State::Finished => ClaimStep::Nothing,
         }
     }
 
-    /// The row.
+    /// Key of the claim's row.
     pub fn key(&self) -> &ByteString {
         &self.claimant.key
     }
 
-    /// What makes the claim its own.
+    /// Token of the claim.
     pub fn token(&self) -> Token {
         self.claimant.token
     }
 
     fn on_inserting(&mut self, event: ClaimEvent) -> ClaimStep {
         match event {
-            ClaimEvent::Committed { version } => self.claimed(version),
-            ClaimEvent::Conflict(row) => self.judge(row),
-            // Without reading back an insert that never took effect would be taken for a claim,
-            // and another entry would hold the row while this one sends.
-            ClaimEvent::Lost if !self.guards.read_back => self.claimed(0),
+            ClaimEvent::Committed { version } => self.set_claimed(version),
+            ClaimEvent::Conflict(row) => self.resolve_row(row),
+            // Without reading back, an insert that never took effect would pass for a claim, and
+            // another entry could hold the row while this one sends.
+            ClaimEvent::Lost if !self.guards.read_back => self.set_claimed(0),
             ClaimEvent::Lost => self.read_back(),
-            ClaimEvent::Down => self.not_run(),
+            ClaimEvent::Down => self.finish_not_run(),
             ClaimEvent::TimedOut => {
-                self.doubtful = true;
-                self.not_run()
+                self.may_be_stored = true;
+                self.finish_not_run()
             }
             ClaimEvent::Read(_) => ClaimStep::Nothing,
         }
@@ -239,36 +241,36 @@
 
     fn on_reading_back(&mut self, event: ClaimEvent) -> ClaimStep {
         match event {
-            ClaimEvent::Read(row) => self.judge(row),
+            ClaimEvent::Read(row) => self.resolve_row(row),
             ClaimEvent::Lost | ClaimEvent::Down => self.read_back(),
-            ClaimEvent::TimedOut => self.not_run(),
+            ClaimEvent::TimedOut => self.finish_not_run(),
             ClaimEvent::Committed { .. } | ClaimEvent::Conflict(_) => ClaimStep::Nothing,
         }
     }
 
-    fn judge(&mut self, row: Option<Row>) -> ClaimStep {
+    fn resolve_row(&mut self, row: Option<Row>) -> ClaimStep {
         let Some(row) = row else {
-            return self.insert_again(None);
+            return self.retry_insert(None);
         };
         let Ok(claim) = row.value.parse::<Claim>() else {
-            return self.over(ClaimAnswer::Unreadable);
+            return self.finish(ClaimAnswer::Unreadable);
         };
-        let mine = claim.token == self.claimant.token
+        let is_own = claim.token == self.claimant.token
             || (!self.guards.own_token && self.state == State::ReadingBack);
         match claim.state {
-            ClaimState::Held if mine => self.claimed(row.version),
-            ClaimState::Released => self.insert_again(Some(row.version)),
-            _ if claim.digest != self.claimant.digest => self.over(ClaimAnswer::KeyReused),
-            ClaimState::Ended(record) => self.over(ClaimAnswer::Replay(record)),
-            ClaimState::Held => self.over(ClaimAnswer::InProgress {
+            ClaimState::Held if is_own => self.set_claimed(row.version),
+            ClaimState::Released => self.retry_insert(Some(row.version)),
+            _ if claim.digest != self.claimant.digest => self.finish(ClaimAnswer::KeyReused),
+            ClaimState::Ended(record) => self.finish(ClaimAnswer::Replay(record)),
+            ClaimState::Held => self.finish(ClaimAnswer::InProgress {
                 owner: claim.instance,
                 incarnation: claim.incarnation,
             }),
         }
     }
 
-    fn claimed(&mut self, version: u64) -> ClaimStep {
-        self.doubtful = true;
+    fn set_claimed(&mut self, version: u64) -> ClaimStep {
+        self.may_be_stored = true;
         self.state = State::Claimed { version };
         ClaimStep::Ready
     }
@@ -278,37 +280,37 @@
         self.check = check;
         ClaimStep::Insert {
             check,
-            value: self.claimant.value(ClaimState::Held),
+            value: self.claimant.row_value(ClaimState::Held),
         }
     }
 
-    fn insert_again(&mut self, check: Option<u64>) -> ClaimStep {
-        self.tries += 1;
-        if self.tries > TRIES_MAX {
-            return self.not_run();
+    fn retry_insert(&mut self, check: Option<u64>) -> ClaimStep {
+        self.attempts += 1;
+        if self.attempts > ATTEMPTS_MAX {
+            return self.finish_not_run();
         }
         self.insert(check)
     }
 
     fn read_back(&mut self) -> ClaimStep {
-        self.doubtful = true;
-        self.tries += 1;
-        if self.tries > TRIES_MAX {
-            return self.not_run();
+        self.may_be_stored = true;
+        self.attempts += 1;
+        if self.attempts > ATTEMPTS_MAX {
+            return self.finish_not_run();
         }
         self.state = State::ReadingBack;
         ClaimStep::ReadBack
     }
 
-    fn not_run(&mut self) -> ClaimStep {
+    fn finish_not_run(&mut self) -> ClaimStep {
         let releaser = self
-            .doubtful
+            .may_be_stored
             .then(|| Releaser::new(self.claimant.clone(), self.guards));
-        self.over(ClaimAnswer::NotRun(releaser))
+        self.finish(ClaimAnswer::NotRun(releaser))
     }
 
-    fn over(&mut self, answer: ClaimAnswer) -> ClaimStep {
-        self.state = State::Over;
-        ClaimStep::Answer(answer)
+    fn finish(&mut self, result: ClaimAnswer) -> ClaimStep {
+        self.state = State::Finished;
+        ClaimStep::Answer(result)
     }
 }
--- a/crates/filing/src/escape.rs
+++ b/crates/filing/src/escape.rs
@@ -1,19 +1,19 @@
-//! Percent escapes: any bytes as ASCII without separators, and back.
+//! Percent-encoding of arbitrary bytes as ASCII without separators, and decoding.
 
 use std::fmt::Write;
 
-/// Appends `bytes` to `out`; what is no letter, digit, `-` or `_` becomes `%` and two hex digits.
+/// Appends `bytes` to `out`; all but letters, digits, `-` and `_` become `%` and two hex digits.
 pub(crate) fn escape(bytes: &[u8], out: &mut String) {
     for &byte in bytes {
         if byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_' {
             out.push(char::from(byte));
         } else {
-            write!(out, "%{byte:02x}").expect("a String takes all that is written");
+            write!(out, "%{byte:02x}").expect("writing to a String can't fail");
         }
     }
 }
 
-/// Bytes of an escaped text, or `None` if it is none that [`escape`] writes.
+/// Decodes an escaped text; `None` if [`escape`] can't have written it.
 pub(crate) fn unescape(text: &str) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
--- a/crates/filing/src/guards.rs
+++ b/crates/filing/src/guards.rs
@@ -1,33 +1,35 @@
-//! Switches that turn one guard off, so that a search can show what the guard is for.
+//! Switches that turn off single safety checks, so that a model check can show what each prevents.
 
-/// Guards of this crate's state machines; all on, but in tests.
+/// Safety checks of this crate's state machines; all are on outside tests.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Guards {
-    /// An outcome is remembered once the request has ended.
+    /// An outcome is stored when the request ends.
     pub remember: bool,
-    /// Only tickets of the ledger's own incarnation run.
+    /// Of this entry's tickets, only those of the ledger's own incarnation run.
     pub bind_incarnation: bool,
-    /// Expiry is judged by a clock that can't be stepped.
+    /// Expiry is checked against a clock that can't be stepped.
     pub one_clock: bool,
-    /// A ticket for which a caller was told `not-run` never runs later.
+    /// A ticket whose caller was told `not-run` is invalidated and never runs later.
     pub burn_refused: bool,
-    /// Nothing runs once the records were offered to a successor.
+    /// Nothing runs once the records have been offered to a successor.
     pub stop_before_offer: bool,
-    /// Once it has made its offer, a ledger calls no unused ticket expired.
+    /// A ledger that has made its offer reports unused tickets as handed over, never as expired.
     pub unknown_once_offered: bool,
     /// A repeated offer changes nothing at the successor.
     pub adopt_once: bool,
     /// An offer is valid for one incarnation of the successor.
     pub bind_successor: bool,
-    /// A successor refuses tickets that the giver may have forgotten.
+    /// A successor refuses tickets whose outcomes its predecessor may have forgotten.
     pub carry_closed: bool,
-    /// Nothing is sent before the claim is known to be in the table.
+    /// After a lost commit result the row is read back; nothing is sent before the claim is known to
+    /// be in the table.
     pub read_back: bool,
-    /// A claim read back is one's own only by its token.
+    /// A claim that is read back counts as the reader's own only if its token matches.
     pub own_token: bool,
     /// The holder's lease is checked immediately before sending.
     pub lease_before_send: bool,
-    /// A claim whose request ended `not-run` is sealed before its key can be claimed again.
+    /// To release a claim whose row is absent, a `released` row is written, so that an insert still in
+    /// flight fails and can't block the key.
     pub seal: bool,
 }
 
--- a/crates/filing/src/handover.rs
+++ b/crates/filing/src/handover.rs
@@ -1,15 +1,15 @@
-//! Hand-over at a planned stop: records and the right to unused tickets go to a successor.
+//! Handover at a planned stop: transfers records and the right to run unused tickets to a successor.
 //!
-//! The giver closes first and never opens again, then makes one offer, to one incarnation of one
-//! successor, and may repeat just that. So whatever is lost, at most one ledger runs a ticket: the
-//! giver's before the offer, the successor's after it. If the acknowledgement is lost the giver
-//! names no successor and answers `unknown`.
+//! The predecessor closes first and never reopens. It then makes one offer, to one incarnation of one
+//! successor, and may only repeat that offer. So whichever message is lost, at most one ledger runs a
+//! ticket: the predecessor's before the offer, the successor's after it. If the acknowledgement is
+//! lost, the predecessor names no successor and reports `unknown`.
 
 use crate::{
     ledger::Phase,
-    memory::{
+    ticket_store::{
         unknown_record,
-        Fate, //
+        TicketState, //
     },
     Begin,
     Ledger,
@@ -28,86 +28,90 @@
 };
 use std::fmt;
 
-/// What a record takes in an encoded offer besides its headers and body, at most.
-const HANDED_BYTES: usize = 160;
+/// Upper bound on the encoded size of a record in an offer besides its headers and body, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 160;
 
-/// What is known of the tickets of one incarnation, besides the records.
+/// Expiry watermarks for the tickets of one incarnation that have no record.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Origin {
-    /// Tickets that end no later than this never run unless they did: wall time, milliseconds.
+pub struct TicketWatermarks {
+    /// Unused tickets that expire at or before this time never run: wall time in milliseconds since
+    /// the Unix epoch.
     pub closed_until_ms: u64,
-    /// Outcomes of tickets that end no later than this may be forgotten: wall time, milliseconds.
+    /// Outcomes of tickets that expire at or before this time may have been forgotten: wall time in
+    /// milliseconds since the Unix epoch.
     pub forgotten_until_ms: u64,
 }
 
-/// Record of one ticket on its way to a successor.
+/// Record of one ticket, as transferred to a successor.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct HandedRecord {
-    /// The ticket's nonce.
+pub struct HandoverRecord {
+    /// Nonce of the ticket.
     pub nonce: Nonce,
-    /// The ticket's end: wall time, milliseconds.
+    /// Expiry of the ticket: wall time in milliseconds since the Unix epoch.
     pub expires_at_ms: u64,
-    /// What came of it; `unknown` for what was still running.
+    /// Outcome of the filing; `unknown` if it was still running.
     pub record: Record,
 }
 
-/// Message of a stopping entry to its successor.
+/// Message from a stopping entry to its successor.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Offer {
-    /// Entry that stops.
+    /// Stopping entry.
     pub from: InstanceId,
-    /// Its life.
+    /// Incarnation of the stopping entry.
     pub from_incarnation: Incarnation,
-    /// The one successor.
+    /// Successor.
     pub to: InstanceId,
-    /// Its life; a later one must not take the offer, for it forgot what the earlier one ran.
+    /// Incarnation of the successor. A later one must not accept the offer, since it doesn't know what
+    /// the earlier one ran.
     pub to_incarnation: Incarnation,
     /// Incarnations whose unused tickets the successor may run.
-    pub origins: Vec<(InstanceId, Incarnation, Origin)>,
-    /// What the giver remembers; tickets of records that didn't fit are closed by the origins.
-    pub records: Vec<HandedRecord>,
+    pub origins: Vec<(InstanceId, Incarnation, TicketWatermarks)>,
+    /// Records of the predecessor. Tickets whose records didn't fit are covered by the watermarks in
+    /// `origins`.
+    pub records: Vec<HandoverRecord>,
 }
 
 /// A successor's acknowledgement of an [`Offer`].
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Accepted {
-    /// Entry that stops.
+    /// Stopping entry.
     pub from: InstanceId,
-    /// Its life.
+    /// Incarnation of the stopping entry.
     pub from_incarnation: Incarnation,
-    /// The successor.
+    /// Successor.
     pub by: InstanceId,
-    /// Its life.
+    /// Incarnation of the successor.
     pub by_incarnation: Incarnation,
 }
 
-/// Why an offer wasn't taken.
+/// Why an offer was not accepted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum AdoptError {
-    /// It is for another entry, or another life of this one.
-    NotForMe,
-    /// This entry is stopping too.
+pub enum AcceptError {
+    /// The offer is for another entry, or for another incarnation of this one.
+    WrongRecipient,
+    /// This entry is stopping, too.
     Stopping,
-    /// The records don't fit.
+    /// The records don't fit within the limits of this ledger.
     TooMany,
 }
 
-impl fmt::Display for AdoptError {
+impl fmt::Display for AcceptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotForMe => "the offer is for another incarnation",
+            Self::WrongRecipient => "the offer is for another incarnation",
             Self::Stopping => "the successor is stopping",
             Self::TooMany => "the successor has no room for the records",
         })
     }
 }
 
-impl std::error::Error for AdoptError {}
+impl std::error::Error for AcceptError {}
 
 impl Ledger {
-    /// Starts nothing from now on; what runs goes on.
+    /// Stops starting filings; running ones continue.
     pub fn stop(mut self) -> Stopping<Draining> {
         self.phase = Phase::Draining;
         Stopping {
@@ -116,146 +120,147 @@
         }
     }
 
-    /// Takes over the records and the unused tickets of a stopping entry.
+    /// Accepts an offer: takes over the records and the unused tickets of a stopping entry.
     ///
-    /// A repeated offer changes nothing: it lacks what was run here since the first.
+    /// A repeated offer changes nothing, since it lacks what has run here since the first one.
     ///
     /// # Errors
     ///
-    /// See [`AdoptError`]; nothing was taken over then.
-    pub fn adopt(&mut self, offer: &Offer) -> Result<Accepted, AdoptError> {
-        let for_my_life = offer.to_incarnation == self.incarnation || !self.guards.bind_successor;
-        if offer.to != self.me || !for_my_life {
-            return Err(AdoptError::NotForMe);
+    /// See [`AcceptError`]; the ledger is unchanged then.
+    pub fn adopt(&mut self, offer: &Offer) -> Result<Accepted, AcceptError> {
+        let for_this_incarnation =
+            offer.to_incarnation == self.incarnation || !self.guards.bind_successor;
+        if offer.to != self.instance || !for_this_incarnation {
+            return Err(AcceptError::WrongRecipient);
         }
         if self.phase != Phase::Open {
-            return Err(AdoptError::Stopping);
+            return Err(AcceptError::Stopping);
         }
-        let giver = (offer.from.clone(), offer.from_incarnation);
-        if !self.origins.contains_key(&giver) {
-            self.check_room(offer)?;
-            self.take_over(offer);
+        let predecessor = (offer.from.clone(), offer.from_incarnation);
+        if !self.accepted_incarnations.contains_key(&predecessor) {
+            self.check_capacity(offer)?;
+            self.apply_offer(offer);
         } else if !self.guards.adopt_once {
-            self.take_over(offer);
+            self.apply_offer(offer);
         }
         Ok(Accepted {
             from: offer.from.clone(),
             from_incarnation: offer.from_incarnation,
-            by: self.me.clone(),
+            by: self.instance.clone(),
             by_incarnation: self.incarnation,
         })
     }
 
-    fn check_room(&self, offer: &Offer) -> Result<(), AdoptError> {
-        let records = offer.records.iter().map(|handed| &handed.record);
-        if self.memory.has_room_for(records) {
+    fn check_capacity(&self, offer: &Offer) -> Result<(), AcceptError> {
+        let records = offer.records.iter().map(|handover| &handover.record);
+        if self.tickets.has_room_for(records) {
             Ok(())
         } else {
-            Err(AdoptError::TooMany)
+            Err(AcceptError::TooMany)
         }
     }
 
-    fn take_over(&mut self, offer: &Offer) {
-        for (instance, incarnation, origin) in &offer.origins {
-            let carried = if self.guards.carry_closed {
-                *origin
+    fn apply_offer(&mut self, offer: &Offer) {
+        for (instance, incarnation, watermarks) in &offer.origins {
+            let watermarks = if self.guards.carry_closed {
+                *watermarks
             } else {
-                Origin::default()
+                TicketWatermarks::default()
             };
             let key = (instance.clone(), *incarnation);
-            self.origins.insert(key, carried);
+            self.accepted_incarnations.insert(key, watermarks);
         }
         if !self.guards.adopt_once {
-            self.memory.forget_all();
+            self.tickets.clear();
         }
-        for handed in &offer.records {
-            let record = handed.record.clone();
-            self.memory
-                .take_record(handed.nonce, handed.expires_at_ms, record);
+        for handover in &offer.records {
+            let record = handover.record.clone();
+            self.tickets
+                .import_record(handover.nonce, handover.expires_at_ms, record);
         }
     }
 
-    fn offer(&self, to: InstanceId, to_incarnation: Incarnation, now: Now) -> Offer {
-        let (records, dropped_until_ms) = self.handed_records();
+    fn make_offer(&self, to: InstanceId, to_incarnation: Incarnation, now: Now) -> Offer {
+        let (records, dropped_until_ms) = self.records_within_limit();
         Offer {
-            from: self.me.clone(),
+            from: self.instance.clone(),
             from_incarnation: self.incarnation,
             to,
             to_incarnation,
-            origins: self.origins_at(now, dropped_until_ms),
+            origins: self.watermarks_at(now, dropped_until_ms),
             records,
         }
     }
 
-    /// The origins, closed for all that this clock calls expired and for all dropped records.
+    /// Watermarks advanced past all tickets that have expired by this clock and all dropped records.
     ///
-    /// The successor's clock may be behind: it would run a ticket whose outcome was forgotten
-    /// here, or of which a caller was told that it expired unused.
-    fn origins_at(
+    /// The successor's clock may be behind. It would then run a ticket whose outcome was forgotten
+    /// here, or whose caller was told that it expired unused.
+    fn watermarks_at(
         &self,
         now: Now,
         dropped_until_ms: u64,
-    ) -> Vec<(InstanceId, Incarnation, Origin)> {
+    ) -> Vec<(InstanceId, Incarnation, TicketWatermarks)> {
         let wall_ms = self.clock.wall_ms(now);
         let forgotten_until_ms = self.forgotten_until_ms(now).max(dropped_until_ms);
-        let at_now = |origin: &Origin| Origin {
-            closed_until_ms: origin.closed_until_ms.max(wall_ms),
-            forgotten_until_ms: origin.forgotten_until_ms.max(forgotten_until_ms),
+        let advance = |watermarks: &TicketWatermarks| TicketWatermarks {
+            closed_until_ms: watermarks.closed_until_ms.max(wall_ms),
+            forgotten_until_ms: watermarks.forgotten_until_ms.max(forgotten_until_ms),
         };
-        self.origins
+        self.accepted_incarnations
             .iter()
-            .map(|((instance, incarnation), origin)| {
-                (instance.clone(), *incarnation, at_now(origin))
+            .map(|((instance, incarnation), watermarks)| {
+                (instance.clone(), *incarnation, advance(watermarks))
             })
             .collect()
     }
 
-    /// Records that fit an offer, those whose tickets end last first, and the end of the last
-    /// ticket that was dropped.
-    fn handed_records(&self) -> (Vec<HandedRecord>, u64) {
+    /// Records that fit into an offer, latest expiry first, and the latest expiry of a dropped one, in
+    /// milliseconds; 0 if all fit.
+    fn records_within_limit(&self) -> (Vec<HandoverRecord>, u64) {
         let mut records = Vec::new();
         let mut bytes = 0;
-        for (nonce, expires_at_ms, fate) in self.memory.latest_first() {
-            let handed = HandedRecord {
+        for (nonce, expires_at_ms, state) in self.tickets.by_latest_expiry() {
+            let handover = HandoverRecord {
                 nonce,
                 expires_at_ms,
-                record: record_of(fate),
+                record: handover_outcome(state),
             };
-            bytes += HANDED_BYTES + handed.record.bytes();
+            bytes += RECORD_OVERHEAD_BYTES + handover.record.bytes();
             if bytes > self.bounds.offer_bytes_max {
-                return (records, handed.expires_at_ms);
+                return (records, handover.expires_at_ms);
             }
-            records.push(handed);
+            records.push(handover);
         }
         (records, 0)
     }
 }
 
-/// What a successor tells of a filing; of one that still runs nobody can tell its outcome.
-fn record_of(fate: &Fate) -> Record {
-    match fate {
-        Fate::Running => unknown_record(),
-        Fate::Ended(record) => record.clone(),
+/// Record that a successor gets for a filing; `unknown` if it is still running.
+fn handover_outcome(state: &TicketState) -> Record {
+    match state {
+        TicketState::Running => unknown_record(),
+        TicketState::Ended(record) => record.clone(),
     }
 }
 
-/// Waits for what runs.
+/// State: waits for running filings to end.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Draining;
 
-/// Has made its offer and waits for the acknowledgement.
+/// State: has made its offer and waits for the acknowledgement.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Offered {
     offer: Offer,
 }
 
-/// Knows that the successor has all.
+/// State: the successor has acknowledged the offer.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HandedOver {
     successor: InstanceId,
 }
 
-/// Ledger of an entry that stops, in state `S`: [`Draining`], [`Offered`], [`HandedOver`].
+/// Ledger of a stopping entry, in state `S`: [`Draining`], [`Offered`] or [`HandedOver`].
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Stopping<S> {
     ledger: Ledger,
@@ -263,7 +268,7 @@
 }
 
 impl<S> Stopping<S> {
-    /// See [`Ledger::begin`]; never [`Begin::Run`].
+    /// See [`Ledger::begin`]; never returns [`Begin::Run`].
     pub fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
         self.ledger.begin(ticket, now)
     }
@@ -293,16 +298,17 @@
         self.ledger.written(nonces);
     }
 
-    /// The ledger, to read from.
+    /// Read access to the ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 }
 
 impl Stopping<Draining> {
-    /// Closes, and makes the one offer that this incarnation will ever make.
+    /// Closes the ledger and makes the only offer of this incarnation.
     ///
-    /// What still runs goes into it as `unknown`: better after `ledger().running()` is 0.
+    /// Filings that still run are recorded in it as `unknown`, so prefer to call this once
+    /// `ledger().running()` is 0.
     pub fn offer(
         mut self,
         to: InstanceId,
@@ -310,7 +316,7 @@
         now: Now,
     ) -> Stopping<Offered> {
         self.ledger.phase = Phase::Closed { successor: None };
-        let offer = self.ledger.offer(to, to_incarnation, now);
+        let offer = self.ledger.make_offer(to, to_incarnation, now);
         Stopping {
             ledger: self.ledger,
             state: Offered { offer },
@@ -319,23 +325,23 @@
 }
 
 impl Stopping<Offered> {
-    /// The offer, to be sent and repeated.
+    /// The offer, to be sent and resent.
     pub fn offer(&self) -> &Offer {
         &self.state.offer
     }
 
-    /// Takes the successor's acknowledgement.
+    /// Handles the successor's acknowledgement.
     ///
     /// # Errors
     ///
-    /// Gives itself back if the acknowledgement belongs to another offer.
+    /// Returns `self` unchanged if the acknowledgement belongs to another offer.
     pub fn acknowledged(mut self, accepted: &Accepted) -> Result<Stopping<HandedOver>, Box<Self>> {
         let offer = &self.state.offer;
-        let same_giver =
+        let same_predecessor =
             (&accepted.from, accepted.from_incarnation) == (&offer.from, offer.from_incarnation);
         let same_successor =
             (&accepted.by, accepted.by_incarnation) == (&offer.to, offer.to_incarnation);
-        if !(same_giver && same_successor) {
+        if !(same_predecessor && same_successor) {
             return Err(Box::new(self));
         }
         let successor = offer.to.clone();
@@ -350,7 +356,7 @@
 }
 
 impl Stopping<HandedOver> {
-    /// Entry that has the records and runs what is unused.
+    /// Entry that has taken over the records and runs the unused tickets.
     pub fn successor(&self) -> &InstanceId {
         &self.state.successor
     }
--- a/crates/filing/src/ledger.rs
+++ b/crates/filing/src/ledger.rs
@@ -1,13 +1,13 @@
-//! The ledger: what became of each ticket of this incarnation, and whether a copy may run.
+//! The ledger: state of each ticket of this incarnation, and whether a copy of it may run.
 
 use crate::{
     bounds::Bounds,
-    handover::Origin,
-    memory::{
-        Fate,
-        Memory, //
-    },
+    handover::TicketWatermarks,
     refuse::RefuseReason,
+    ticket_store::{
+        TicketState,
+        TicketStore, //
+    },
     Guards,
     Nonce,
     Record,
@@ -26,19 +26,20 @@
     time::Duration, //
 };
 
-/// Status of a repeat whose ticket was refused.
+/// HTTP status of a repeat whose ticket was refused.
 const REFUSED_STATUS: u16 = 503;
 
-/// What to do with a request that brings a ticket.
+/// What to do with a request that carries a ticket.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Begin {
-    /// Run it; exactly one caller of `begin` is told so until the nonce is unsent.
+    /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::unsent`] frees the
+    /// nonce again.
     Run,
-    /// A copy is running: wait for its end, then ask again.
+    /// A copy is running: wait until it ends, then call `begin` again.
     Wait,
-    /// It has ended: answer with this.
+    /// The filing has ended: respond with this record.
     Replay(Record),
-    /// It doesn't run here.
+    /// The ticket is refused.
     Refuse(RefuseReason),
 }
 
@@ -49,196 +50,207 @@
     Closed { successor: Option<InstanceId> },
 }
 
-/// What became of each ticket that this process may run.
+/// State of each ticket that this process may run.
 ///
-/// Invariant: a nonce leaves `memory` only when [`Ledger::unsent`] is told that nothing was sent, or
-/// once its ticket is expired by `clock` and the margin is over.
+/// Invariant: a nonce is removed from `tickets` only by [`Ledger::unsent`], when nothing was sent, or
+/// once its ticket has expired by `clock` and the retention time [`Bounds::margin`] has passed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ledger {
-    pub(crate) me: InstanceId,
+    pub(crate) instance: InstanceId,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: WallClock,
     pub(crate) bounds: Bounds,
     pub(crate) guards: Guards,
     pub(crate) phase: Phase,
-    /// Incarnations whose tickets run here: this one, and those taken over.
-    pub(crate) origins: BTreeMap<(InstanceId, Incarnation), Origin>,
-    pub(crate) memory: Memory,
+    /// Incarnations whose tickets run here: this one, and those taken over from predecessors.
+    pub(crate) accepted_incarnations: BTreeMap<(InstanceId, Incarnation), TicketWatermarks>,
+    pub(crate) tickets: TicketStore,
 }
 
 impl Ledger {
-    /// Empty ledger of one incarnation.
+    /// Creates an empty ledger of one incarnation.
     pub fn new(
-        me: InstanceId,
+        instance: InstanceId,
         incarnation: Incarnation,
         clock: WallClock,
         bounds: Bounds,
         guards: Guards,
     ) -> Self {
-        let own = ((me.clone(), incarnation), Origin::default());
+        let own = ((instance.clone(), incarnation), TicketWatermarks::default());
         Self {
-            me,
+            instance,
             incarnation,
             clock,
             bounds,
             guards,
             phase: Phase::Open,
-            origins: BTreeMap::from([own]),
-            memory: Memory::new(&bounds),
+            accepted_incarnations: BTreeMap::from([own]),
+            tickets: TicketStore::new(&bounds),
         }
     }
 
-    /// Decides what to do with a request that brings `ticket`.
+    /// Decides what to do with a request that carries `ticket`.
     pub fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
-        if let Some(decided) = self.decided(ticket, now) {
-            return decided;
+        if let Some(decision) = self.fixed_decision(ticket, now) {
+            return decision;
         }
         if self.phase == Phase::Draining {
-            self.burn(ticket);
+            self.invalidate(ticket);
             return Begin::Refuse(RefuseReason::Stopping);
         }
         self.start(ticket)
     }
 
-    /// Decides what to tell a request that the entry won't run, for reasons of its own.
+    /// Decides how to respond to a request that the entry won't run for reasons of its own.
     ///
-    /// Whoever refuses a filing without asking the ledger leaves its ticket valid: the caller,
-    /// told `not-run`, files again with a new one, and a late copy of the first runs as well.
-    /// Never [`Begin::Run`]; a `Replay` of a `not-run` record when the ticket was burned.
+    /// Refusing a filing without this call would leave its ticket valid: the caller, told `not-run`,
+    /// files again with a new ticket, and a late copy of the first one runs as well. Never returns
+    /// [`Begin::Run`]; returns [`Begin::Replay`] with a `not-run` record if the ticket was
+    /// invalidated.
     pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
-        if let Some(decided) = self.decided(ticket, now) {
-            return decided;
+        if let Some(decision) = self.fixed_decision(ticket, now) {
+            return decision;
         }
-        self.burn(ticket);
+        self.invalidate(ticket);
         Begin::Replay(Record::bare(RunOutcome::NotRun, REFUSED_STATUS))
     }
 
-    /// Keeps what came of a running filing; every repeat gets it.
+    /// Stores the outcome of a running filing; every repeat gets it.
     ///
-    /// With `not-run` the ticket is burned: a caller who was told so takes a new one. A record
-    /// over the bound is kept as `unknown` without its body, for a short answer must never pass
-    /// as whole.
+    /// The outcome `not-run` invalidates the ticket, since the caller files again with a new one. A
+    /// record over the size limit is stored as `unknown` without headers and body, since a truncated
+    /// response must never pass as complete.
     pub fn finish(&mut self, nonce: Nonce, record: Record) {
-        if !self.memory.is_running(nonce) {
+        if !self.tickets.is_running(nonce) {
             return;
         }
-        let burned = record.outcome == RunOutcome::NotRun;
-        let kept_by_guards = if burned {
+        let invalidated = record.outcome == RunOutcome::NotRun;
+        let retained = if invalidated {
             self.guards.burn_refused
         } else {
             self.guards.remember
         };
-        if kept_by_guards {
-            self.memory.end(nonce, record);
+        if retained {
+            self.tickets.complete(nonce, record);
         } else {
-            self.memory.remove(nonce);
+            self.tickets.remove(nonce);
         }
     }
 
-    /// Frees a running filing of which provably nothing was sent: a copy may run.
+    /// Removes a running filing of which provably nothing was sent, so that a copy may run.
     ///
-    /// For an entry that will try again itself. Before a caller is told `not-run` the ticket has
-    /// to be burned, by [`Ledger::finish`] with such a record.
+    /// For an entry that retries by itself. Before a caller is told `not-run`, the ticket must be
+    /// invalidated by [`Ledger::finish`] with a `not-run` record.
     pub fn unsent(&mut self, nonce: Nonce) {
-        if self.memory.is_running(nonce) {
-            self.memory.remove(nonce);
+        if self.tickets.is_running(nonce) {
+            self.tickets.remove(nonce);
         }
     }
 
-    /// Forgets outcomes whose tickets ended longer ago than the margin; returns how many.
+    /// Removes outcomes whose tickets expired longer ago than the retention time
+    /// [`Bounds::margin`], and returns their number.
     ///
-    /// What still runs is kept.
+    /// Running filings are kept.
     pub fn expire(&mut self, now: Now) -> usize {
         let forgotten_until_ms = self.forgotten_until_ms(now);
-        self.memory.forget_until(forgotten_until_ms)
+        self.tickets.remove_expired(forgotten_until_ms)
     }
 
-    /// Up to `count` outcomes that the table doesn't have yet.
+    /// Up to `count` outcomes that are not in the table yet.
     pub fn unwritten(&self, count: usize) -> Vec<(Nonce, Record)> {
-        self.memory.unwritten(count)
+        self.tickets.unwritten(count)
     }
 
-    /// Notes that the table has the outcomes of these.
+    /// Notes that the outcomes of these nonces are in the table.
     pub fn written(&mut self, nonces: &[Nonce]) {
-        self.memory.written(nonces);
+        self.tickets.mark_written(nonces);
     }
 
-    /// Outcome of a filing that has ended here.
+    /// Outcome of a filing, if it has ended.
     pub fn record(&self, nonce: Nonce) -> Option<&Record> {
-        self.memory.record(nonce)
+        self.tickets.record(nonce)
     }
 
-    /// How many filings are running.
+    /// Number of running filings.
     pub fn running(&self) -> usize {
-        self.memory.running()
+        self.tickets.running()
     }
 
-    /// How many tickets are remembered.
-    pub fn remembered(&self) -> usize {
-        self.memory.len()
+    /// Number of stored tickets.
+    pub fn ticket_count(&self) -> usize {
+        self.tickets.len()
     }
 
-    /// What the remembered ones keep and reserve, in bytes.
+    /// Bytes used or reserved by the stored tickets.
     pub fn used_bytes(&self) -> usize {
-        self.memory.used_bytes()
+        self.tickets.used_bytes()
     }
 
-    /// Follows a step of the system's wall clock, which a search does with the guard off.
+    /// Follows a step of the system's wall clock; only model checks do so, with the guard off.
     pub fn step_clock(&mut self, clock: WallClock) {
         if !self.guards.one_clock {
             self.clock = clock;
         }
     }
 
-    /// What is settled before the entry's own wish matters; `None` for a ticket free to run.
-    fn decided(&self, ticket: &Ticket, now: Now) -> Option<Begin> {
-        let Some(origin) = self.origin(ticket) else {
-            let reason = if ticket.instance == self.me {
+    /// Decision that holds whether or not the entry is willing to run the filing; `None` if the ticket
+    /// may run.
+    fn fixed_decision(&self, ticket: &Ticket, now: Now) -> Option<Begin> {
+        let Some(watermarks) = self.watermarks(ticket) else {
+            let reason = if ticket.instance == self.instance {
                 RefuseReason::OtherIncarnation
             } else {
                 RefuseReason::OtherInstance
             };
             return Some(Begin::Refuse(reason));
         };
-        if let Some(fate) = self.memory.fate(ticket.nonce) {
-            return Some(match fate {
-                Fate::Running => Begin::Wait,
-                Fate::Ended(record) => Begin::Replay(record.clone()),
+        if let Some(state) = self.tickets.state(ticket.nonce) {
+            return Some(match state {
+                TicketState::Running => Begin::Wait,
+                TicketState::Ended(record) => Begin::Replay(record.clone()),
             });
         }
-        let over = match &self.phase {
-            // The successor may have run it since the offer, so its expiry proves nothing here.
+        let refusal = match &self.phase {
+            // The successor may have run the ticket since the offer, so expiry here doesn't prove that
+            // it never ran.
             Phase::Closed { successor } if self.guards.stop_before_offer => {
-                let over = self.over(ticket, origin, now);
-                let over = over.filter(|_| !self.guards.unknown_once_offered);
-                Some(over.unwrap_or(RefuseReason::HandedOver(successor.clone())))
+                let refusal = self.expiry_refusal(ticket, watermarks, now);
+                let refusal = refusal.filter(|_| !self.guards.unknown_once_offered);
+                Some(refusal.unwrap_or(RefuseReason::HandedOver(successor.clone())))
             }
-            _ => self.over(ticket, origin, now),
+            _ => self.expiry_refusal(ticket, watermarks, now),
         };
-        over.map(Begin::Refuse)
+        refusal.map(Begin::Refuse)
     }
 
-    fn origin(&self, ticket: &Ticket) -> Option<Origin> {
-        let incarnation = if self.guards.bind_incarnation || ticket.instance != self.me {
+    fn watermarks(&self, ticket: &Ticket) -> Option<TicketWatermarks> {
+        let incarnation = if self.guards.bind_incarnation || ticket.instance != self.instance {
             ticket.incarnation
         } else {
             self.incarnation
         };
         let key = (ticket.instance.clone(), incarnation);
-        self.origins.get(&key).copied()
+        self.accepted_incarnations.get(&key).copied()
     }
 
-    /// Why a ticket that isn't remembered can no longer run, or not yet.
-    fn over(&self, ticket: &Ticket, origin: Origin, now: Now) -> Option<RefuseReason> {
+    /// Why a ticket that isn't stored can't run because of its expiry; `None` if it can.
+    fn expiry_refusal(
+        &self,
+        ticket: &Ticket,
+        watermarks: TicketWatermarks,
+        now: Now,
+    ) -> Option<RefuseReason> {
         let wall_ms = self.clock.wall_ms(now);
         let expires_at_ms = ticket.expires_at_ms;
-        let forgotten_until_ms = origin.forgotten_until_ms.max(self.forgotten_until_ms(now));
+        let forgotten_until_ms = watermarks
+            .forgotten_until_ms
+            .max(self.forgotten_until_ms(now));
         let latest_ms = wall_ms.saturating_add(millis(self.bounds.life_max));
         if expires_at_ms <= forgotten_until_ms {
             Some(RefuseReason::Expired)
         } else if expires_at_ms <= wall_ms {
             Some(RefuseReason::ExpiredUnused)
-        } else if expires_at_ms <= origin.closed_until_ms {
+        } else if expires_at_ms <= watermarks.closed_until_ms {
             Some(RefuseReason::TooMany)
         } else if expires_at_ms > latest_ms {
             Some(RefuseReason::TooFar)
@@ -248,36 +260,43 @@
     }
 
     fn start(&mut self, ticket: &Ticket) -> Begin {
-        if self.memory.start(ticket.nonce, ticket.expires_at_ms) {
+        if self
+            .tickets
+            .insert_running(ticket.nonce, ticket.expires_at_ms)
+        {
             return Begin::Run;
         }
-        self.close(ticket);
+        self.invalidate_up_to(ticket);
         Begin::Refuse(RefuseReason::TooMany)
     }
 
-    /// Makes sure that no copy of `ticket` runs from now on.
-    fn burn(&mut self, ticket: &Ticket) {
+    /// Ensures that no copy of `ticket` runs from now on.
+    fn invalidate(&mut self, ticket: &Ticket) {
         if !self.guards.burn_refused {
             return;
         }
         let record = Record::bare(RunOutcome::NotRun, REFUSED_STATUS);
-        if !self.memory.keep(ticket.nonce, ticket.expires_at_ms, record) {
-            self.close(ticket);
+        if !self
+            .tickets
+            .insert_record(ticket.nonce, ticket.expires_at_ms, record)
+        {
+            self.invalidate_up_to(ticket);
         }
     }
 
-    /// Burns, without a byte of memory, all unused tickets that end no later than this one.
-    fn close(&mut self, ticket: &Ticket) {
+    /// Invalidates, without using memory, all unused tickets of the same incarnation that expire no
+    /// later than this one.
+    fn invalidate_up_to(&mut self, ticket: &Ticket) {
         if !self.guards.burn_refused {
             return;
         }
         let key = (ticket.instance.clone(), ticket.incarnation);
-        if let Some(origin) = self.origins.get_mut(&key) {
-            origin.closed_until_ms = origin.closed_until_ms.max(ticket.expires_at_ms);
+        if let Some(watermarks) = self.accepted_incarnations.get_mut(&key) {
+            watermarks.closed_until_ms = watermarks.closed_until_ms.max(ticket.expires_at_ms);
         }
     }
 
-    /// End of the tickets whose outcomes may be forgotten at `now`, wall time.
+    /// Wall time in milliseconds; outcomes of tickets that expired by then may be forgotten at `now`.
     pub(crate) fn forgotten_until_ms(&self, now: Now) -> u64 {
         let margin_ms = millis(self.bounds.margin);
         self.clock.wall_ms(now).saturating_sub(margin_ms)
@@ -288,14 +307,14 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// One line for the ledger, one for each ticket that it remembers.
+/// Prints one line for the ledger and one for each stored ticket.
 impl fmt::Display for Ledger {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "ledger {}#{} {:?}",
-            self.me, self.incarnation, self.phase
+            self.instance, self.incarnation, self.phase
         )?;
-        self.memory.fmt(f)
+        self.tickets.fmt(f)
     }
 }
--- a/crates/filing/src/lib.rs
+++ b/crates/filing/src/lib.rs
@@ -1,24 +1,25 @@
-//! Non-idempotent work: tickets, claims and outcome records that make it run at most once.
+//! At-most-once execution of non-idempotent requests, by tickets, claims and outcome records.
 //!
-//! A caller files non-idempotent work in one of two ways.
+//! A filing is one non-idempotent request. A caller submits it in one of two ways.
 //!
-//! With a [`Ticket`], made by the entry that answered the look-up. It binds the filing to one
-//! incarnation of one entry, whose [`Ledger`] is the only judge of whether it may run, and asks
-//! the platform nothing; what came of it is written to the table afterwards, for whoever asks when
-//! this process is gone. At a planned stop a [`Stopping`] ledger closes, then offers its records
-//! and the right to its unused tickets to one incarnation of one successor.
+//! With a [`Ticket`], issued by the entry that answered the lookup. It binds the filing to one
+//! incarnation of one entry. Only that entry's [`Ledger`] decides whether the filing may run, and it
+//! decides without calling the platform. The outcome is written to the platform's table afterwards,
+//! so that it can be read once this process is gone. At a planned stop, a [`Stopping`] ledger closes,
+//! then offers its records and the right to run its unused tickets to one incarnation of one
+//! successor.
 //!
-//! With a key of the caller's, claimed by a conditional insert into the table before anything is
-//! sent: [`Claimer`] is the state machine of one request, [`Batch`] puts the inserts of many
-//! callers into one transaction, and [`Releaser`] gives up a claim that was never used.
+//! With an idempotency key of the caller's, claimed by a conditional insert into the table before
+//! anything is sent: [`Claimer`] is the state machine of one request, [`Batch`] combines the writes
+//! of many callers into one transaction, and [`Releaser`] releases a claim that was never used.
 //!
-//! Invariants: of one ticket, and of one claimed key, at most one request is ever sent; an answer
-//! `not-run` is final, so no late copy of the ticket runs after it; an outcome is never forgotten
-//! while a copy of its ticket could still be taken for a new one.
+//! Invariants: for each ticket, and for each claimed key, at most one request is ever sent; the
+//! outcome `not-run` is final, so no late copy of the ticket runs after it; an outcome is never
+//! forgotten while a copy of its ticket could still be taken for a new one.
 //!
-//! Start with `ticket`, then `ledger`, which decides, and `memory`, which it decides from. The
-//! reasons, and the gap that remains between the last check and the send, are in
-//! `docs/design/filing.md`; the searches are in crate `model`.
+//! Start with `ticket`, then `ledger`, which decides, and `ticket_store`, which holds the state it
+//! decides from. Design reasons, and the gap that remains between the last check and the send, are
+//! in `docs/design/filing.md`; the model checks are in crate `model`.
 
 mod batch;
 mod bounds;
@@ -29,11 +30,11 @@
 mod guards;
 mod handover;
 mod ledger;
-mod memory;
 mod record;
 mod refuse;
 mod releaser;
 mod ticket;
+mod ticket_store;
 
 pub use batch::{
     Batch,
@@ -61,15 +62,15 @@
 pub use clock::WallClock;
 pub use guards::Guards;
 pub use handover::{
+    AcceptError,
     Accepted,
-    AdoptError,
     Draining,
     HandedOver,
-    HandedRecord,
+    HandoverRecord,
     Offer,
     Offered,
-    Origin,
-    Stopping, //
+    Stopping,
+    TicketWatermarks, //
 };
 pub use ledger::{
     Begin,
@@ -91,7 +92,7 @@
     TicketError, //
 };
 
-/// Number that makes a ticket unique; random, 128 bits.
+/// Random 128-bit number that makes a ticket unique.
 pub type Nonce = u128;
-/// Number that makes a claim its holder's own; random, 128 bits.
+/// Random 128-bit number that identifies the holder of a claim.
 pub type Token = u128;
--- a/crates/filing/src/record.rs
+++ b/crates/filing/src/record.rs
@@ -1,4 +1,4 @@
-//! What came of a filing, kept so that every repeat gets the same answer.
+//! Recorded outcomes of filings, so that every repeat gets the same response.
 
 use crate::{
     escape::{
@@ -19,28 +19,28 @@
     str::FromStr, //
 };
 
-/// Row of the table that holds the outcome of the ticket with this nonce.
+/// Key of the table row that holds the outcome of the ticket with this nonce.
 pub fn outcome_key(nonce: Nonce) -> ByteString {
     ByteString::from(format!("outcome/{nonce:032x}"))
 }
 
-/// What came of a filing.
+/// Outcome of a filing and its response.
 ///
-/// Invariant: `Done` only with the whole body.
+/// Invariant: a `Done` record has the complete body.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Record {
-    /// What is claimed about the run.
+    /// Whether the filing ran.
     pub outcome: RunOutcome,
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// The few headers that a repeat needs: names in lower case, and values.
+    /// Headers that a replayed response needs: lower-case names, and values.
     pub headers: Vec<(ByteString, Bytes)>,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Bytes,
 }
 
 impl Record {
-    /// Record without headers and body.
+    /// Creates a record without headers or body.
     pub fn bare(outcome: RunOutcome, status: u16) -> Self {
         Self {
             outcome,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Size of what it keeps, in bytes.
+    /// Size of headers and body, in bytes.
     pub fn bytes(&self) -> usize {
         let headers: usize = self
             .headers
@@ -61,7 +61,7 @@
     }
 }
 
-/// Text of a row: outcome, status, headers and body on lines of their own, escaped.
+/// Text of a row: a line for outcome and status, one for each header, one for the body, escaped.
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = format!("{} {}", self.outcome, self.status);
@@ -77,7 +77,7 @@
     }
 }
 
-/// Text that is no record.
+/// The text is not a valid record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MalformedRecord;
 
--- a/crates/filing/src/refuse.rs
+++ b/crates/filing/src/refuse.rs
@@ -1,36 +1,37 @@
-//! Why a ticket is refused, and what its caller may be told.
+//! Reasons for refusing a ticket, and the outcome reported to its caller.
 
 use base::{
     InstanceId,
     RunOutcome, //
 };
 
-/// Why a ticket doesn't run here.
+/// Why a ticket is refused.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefuseReason {
-    /// It expired before it was ever used, and recently enough to know that.
+    /// The ticket expired without being used, recently enough that an outcome would still be stored.
     ExpiredUnused,
-    /// It expired so long ago that an outcome would be forgotten.
+    /// The ticket expired so long ago that its outcome may have been forgotten.
     Expired,
-    /// It ends later than any honest ticket does: its maker's clock is wrong.
+    /// The ticket expires later than any valid ticket can: the clock of its issuer is wrong.
     TooFar,
-    /// It is another entry's.
+    /// The ticket belongs to another entry.
     OtherInstance,
-    /// It is of another life of this entry.
+    /// The ticket belongs to another incarnation of this entry.
     OtherIncarnation,
-    /// This entry is stopping and starts nothing; the ticket is burned.
+    /// This entry is stopping and starts nothing new; the ticket has been invalidated.
     Stopping,
-    /// The right to it was offered to a successor, named once that has acknowledged.
+    /// The right to run the ticket was offered to a successor, which is named once it has
+    /// acknowledged.
     HandedOver(Option<InstanceId>),
-    /// Too much is remembered to take one more; the ticket is burned.
+    /// The ledger is full; the ticket has been invalidated.
     TooMany,
 }
 
 impl RefuseReason {
-    /// What a caller may be told about the filing.
+    /// Outcome to report to the caller.
     ///
-    /// Only those reasons say `not-run` after which no copy of the ticket can run anywhere, and
-    /// before which none did: a caller takes a new ticket on that word.
+    /// `not-run` is reported only if no copy of the ticket has run or can run anywhere, since the
+    /// caller then files again with a new ticket.
     pub fn outcome(&self) -> RunOutcome {
         match self {
             Self::ExpiredUnused | Self::Stopping | Self::TooMany => RunOutcome::NotRun,
--- a/crates/filing/src/releaser.rs
+++ b/crates/filing/src/releaser.rs
@@ -1,8 +1,9 @@
-//! Gives up a claim of which nothing was sent.
+//! Releases a claim whose request was not sent.
 //!
-//! Works on after the caller has its `not-run`, through outages. It writes the row even where it
-//! finds none: an insert whose answer was lost may still be under way, and would hold the key for
-//! a request that is over. The row changed, that insert's condition fails.
+//! It continues after the caller has got its `not-run`, and through outages of the platform. It writes
+//! the row even if it finds none: an insert whose result was lost may still be in flight, and would
+//! hold the key for a request that has ended. Once the row exists, the condition of that insert
+//! fails.
 
 use crate::{
     Claim,
@@ -19,20 +20,20 @@
 pub enum ReleaseStep {
     /// Read the row.
     Read,
-    /// Commit this.
+    /// Write the row.
     Write {
-        /// Version that the row must have; `None`: absent.
+        /// Version that the row must have; `None` if it must be absent.
         check: Option<u64>,
-        /// Text of the row.
+        /// New value of the row.
         value: ByteString,
     },
-    /// The platform is down: go on later, with [`Releaser::start`].
+    /// The step failed or its result was lost: continue later with [`Releaser::start`].
     Later,
-    /// The key is free, or another's.
+    /// The claim no longer holds the key.
     Done,
 }
 
-/// One claim on its way out of the table.
+/// Releases one claim.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Releaser {
     claimant: Claimant,
@@ -44,26 +45,26 @@
         Self { claimant, guards }
     }
 
-    /// The row.
+    /// Key of the claim's row.
     pub fn key(&self) -> &ByteString {
         &self.claimant.key
     }
 
-    /// First step, also after [`ReleaseStep::Later`].
+    /// First step, also used to continue after [`ReleaseStep::Later`].
     pub fn start(&self) -> ReleaseStep {
         ReleaseStep::Read
     }
 
-    /// Takes what happened to the last step.
+    /// Handles the result of the last step and returns the next one.
     pub fn on(&self, event: ClaimEvent) -> ReleaseStep {
         match event {
-            ClaimEvent::Read(row) | ClaimEvent::Conflict(row) => self.judge(row),
+            ClaimEvent::Read(row) | ClaimEvent::Conflict(row) => self.resolve_row(row),
             ClaimEvent::Committed { .. } => ReleaseStep::Done,
             ClaimEvent::Lost | ClaimEvent::Down | ClaimEvent::TimedOut => ReleaseStep::Later,
         }
     }
 
-    fn judge(&self, row: Option<Row>) -> ReleaseStep {
+    fn resolve_row(&self, row: Option<Row>) -> ReleaseStep {
         let Some(row) = row else {
             return if self.guards.seal {
                 self.write(None)
@@ -71,12 +72,12 @@
                 ReleaseStep::Done
             };
         };
-        let mine = |claim: &Claim| claim.token == self.claimant.token;
+        let is_own = |claim: &Claim| claim.token == self.claimant.token;
         match row.value.parse::<Claim>() {
-            Ok(claim) if claim.state == ClaimState::Held && mine(&claim) => {
+            Ok(claim) if claim.state == ClaimState::Held && is_own(&claim) => {
                 self.write(Some(row.version))
             }
-            Ok(claim) if claim.state == ClaimState::Released && !mine(&claim) => {
+            Ok(claim) if claim.state == ClaimState::Released && !is_own(&claim) => {
                 self.write(Some(row.version))
             }
             Ok(_) | Err(_) => ReleaseStep::Done,
@@ -86,7 +87,7 @@
     fn write(&self, check: Option<u64>) -> ReleaseStep {
         ReleaseStep::Write {
             check,
-            value: self.claimant.value(ClaimState::Released),
+            value: self.claimant.row_value(ClaimState::Released),
         }
     }
 }
--- a/crates/filing/src/ticket.rs
+++ b/crates/filing/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: the right to file once at one incarnation of one entry.
+//! Tickets: each grants one filing at one incarnation of one entry.
 
 use crate::{
     escape::{
@@ -20,28 +20,28 @@
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// First field of the text; another layout gets another one.
+/// Format version, the first field of the text; a changed layout needs a new one.
 const FORMAT: &str = "t1";
-/// Hex digits of the keyed hash in the text: 128 bits.
-const MAC_DIGITS: usize = 32;
-/// Longest text that is looked at; ids are short, so longer ones are no ticket of ours.
+/// Length of the keyed hash in the text, in hex digits: 128 bits.
+const MAC_HEX_DIGITS: usize = 32;
+/// Longest text that is parsed. Ids are short, so a longer text is not one of our tickets.
 const TEXT_BYTES_MAX: usize = 1024;
-/// Keeps the key of tickets apart from other uses of the same secret.
+/// Key-derivation context; separates the ticket key from other uses of the same secret.
 const KEY_CONTEXT: &str = "jasminefield 2025 ticket key";
 
-/// Key that the daemons share; tickets are unforgeable without it.
+/// Key shared by the daemons that authenticates tickets.
 ///
-/// Neither `Debug` nor `Display` shows it.
+/// `Debug` and `Display` hide it.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Key of these bytes.
+    /// Creates a key from raw bytes.
     pub fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// Key derived from the daemons' shared secret, of any length.
+    /// Derives the key from the daemons' shared secret, which may have any length.
     pub fn derive(secret: &[u8]) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, secret))
     }
@@ -49,7 +49,7 @@
     fn mac(&self, body: &str) -> String {
         let hash = blake3::keyed_hash(&self.0, body.as_bytes());
         let mut hex = hash.to_hex().to_string();
-        hex.truncate(MAC_DIGITS);
+        hex.truncate(MAC_HEX_DIGITS);
         hex
     }
 }
@@ -66,27 +66,27 @@
     }
 }
 
-/// Right to one filing at one incarnation of one entry.
+/// Permission for one filing at one incarnation of one entry.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Ticket {
-    /// Class of the work.
+    /// Class of the request.
     pub class: ClassId,
-    /// Entry that may run it.
+    /// Entry that may run the filing.
     pub instance: InstanceId,
-    /// Life of that entry.
+    /// Incarnation of that entry.
     pub incarnation: Incarnation,
-    /// What makes the ticket unique.
+    /// Unique random number.
     pub nonce: Nonce,
-    /// End of its life: wall time in milliseconds since the Unix epoch.
+    /// Expiry: wall time in milliseconds since the Unix epoch.
     pub expires_at_ms: u64,
 }
 
-/// Why a text is no ticket.
+/// Why a text was rejected as a ticket.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum TicketError {
-    /// The text hasn't the form of a ticket.
+    /// The text doesn't have the format of a ticket.
     Malformed,
-    /// The keyed hash isn't that of the daemons' key.
+    /// The keyed hash was not made with the daemons' key.
     Forged,
 }
 
@@ -102,7 +102,8 @@
 impl std::error::Error for TicketError {}
 
 impl Ticket {
-    /// Text for the `Jasmine-Ticket` header: ASCII, fields separated by dots, the hash last.
+    /// Encodes the ticket for the `Jasmine-Ticket` header: ASCII, fields separated by dots, the keyed
+    /// hash last.
     pub fn mint(&self, key: &Key) -> String {
         let mut text = self.body();
         let mac = key.mac(&text);
@@ -111,11 +112,11 @@
         text
     }
 
-    /// Ticket of a header's text; says nothing about expiry, which the [`Ledger`] judges.
+    /// Parses and authenticates the text of a header. Expiry is checked by the [`Ledger`], not here.
     ///
     /// # Errors
     ///
-    /// [`TicketError::Malformed`] for another form, [`TicketError::Forged`] for a wrong hash.
+    /// [`TicketError::Malformed`] for a wrong format, [`TicketError::Forged`] for a wrong hash.
     ///
     /// [`Ledger`]: crate::Ledger
     pub fn verify(text: &str, key: &Key) -> Result<Self, TicketError> {
@@ -123,13 +124,14 @@
             return Err(TicketError::Malformed);
         }
         let (body, mac) = text.rsplit_once('.').ok_or(TicketError::Malformed)?;
-        if mac.len() != MAC_DIGITS {
+        if mac.len() != MAC_HEX_DIGITS {
             return Err(TicketError::Malformed);
         }
         let ticket = Self::parse(body).ok_or(TicketError::Malformed)?;
-        // An early end of the comparison tells a forger, by its time, how many digits are right.
-        let genuine = key.mac(body).as_bytes().ct_eq(mac.as_bytes());
-        if bool::from(genuine) {
+        // Constant time: a comparison that stops at the first difference would reveal by its duration
+        // how many digits of a forged hash are right.
+        let hash_matches = key.mac(body).as_bytes().ct_eq(mac.as_bytes());
+        if bool::from(hash_matches) {
             Ok(ticket)
         } else {
             Err(TicketError::Forged)
@@ -155,8 +157,8 @@
             return None;
         }
         let ticket = Self {
-            class: id(fields.next()?)?,
-            instance: id(fields.next()?)?,
+            class: parse_id(fields.next()?)?,
+            instance: parse_id(fields.next()?)?,
             incarnation: u64::from_str_radix(fields.next()?, 16).ok()?,
             nonce: u128::from_str_radix(fields.next()?, 16).ok()?,
             expires_at_ms: u64::from_str_radix(fields.next()?, 16).ok()?,
@@ -165,7 +167,7 @@
     }
 }
 
-/// Shows no hash: what is printed can't be used.
+/// Omits the hash, so that printed text can't be used as a ticket.
 impl fmt::Display for Ticket {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
@@ -176,7 +178,7 @@
     }
 }
 
-fn id(text: &str) -> Option<ByteString> {
+fn parse_id(text: &str) -> Option<ByteString> {
     let bytes = unescape(text)?;
     String::from_utf8(bytes).ok().map(ByteString::from)
 }
--- a/crates/filing/tests/batch.rs
+++ b/crates/filing/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Batched claims against a table in memory.
+//! Tests of batched claims against an in-memory table.
 
 use bytestring::ByteString;
 use filing::{
@@ -49,10 +49,10 @@
     }
 }
 
-/// Symptom: one caller's repeated key fails the orders of all others in its batch. The table fails
-/// a transaction as a whole.
+/// Guards against one caller's repeated key failing the writes of all others in its batch, since the
+/// table fails a transaction as a whole.
 #[test]
-fn each_key_goes_to_one_caller_and_nobody_elses_conflict_fails_another() {
+fn each_key_has_one_holder_and_a_conflict_fails_no_other_write() {
     bolero::check!()
         .with_type::<(Vec<u8>, u8)>()
         .with_iterations(1_000)
@@ -62,46 +62,49 @@
             for (caller, key) in (0_u64..).zip(keys) {
                 batch.push(insert(caller, key % 16));
             }
-            let mut told = BTreeMap::new();
+            let mut events = BTreeMap::new();
             let mut commits = 0;
             while let Some(commit) = batch.commit() {
                 commits += 1;
-                assert!(batch.commit().is_none(), "one is under way at a time");
-                let answer = table.commit(&commit);
-                told.extend(batch.answer(answer));
+                assert!(
+                    batch.commit().is_none(),
+                    "at most one transaction is in flight"
+                );
+                let result = table.commit(&commit);
+                events.extend(batch.answer(result));
             }
             assert!(commits <= 2 * keys.len());
-            assert_eq!(told.len(), keys.len(), "each caller is told once");
-            for (caller, event) in told {
+            assert_eq!(events.len(), keys.len(), "each caller gets one event");
+            for (caller, event) in events {
                 let key = insert(caller, keys[caller as usize] % 16).key;
-                let holds = table.rows[&key].value.as_bytes() == caller.to_string().as_bytes();
-                let won = matches!(event, ClaimEvent::Committed { .. });
-                assert_eq!(won, holds, "caller {caller}: {event:?}");
+                let is_holder = table.rows[&key].value.as_bytes() == caller.to_string().as_bytes();
+                let committed = matches!(event, ClaimEvent::Committed { .. });
+                assert_eq!(committed, is_holder, "caller {caller}: {event:?}");
             }
         });
 }
 
-macro_rules! told_all {
+macro_rules! reported_to_all {
     ($($name:ident: $answer:expr, $event:expr;)*) => {
         $(#[test]
         fn $name() {
             let mut batch = Batch::new(8);
             batch.push(insert(1, 1));
             batch.push(insert(2, 2));
-            batch.commit().expect("two wait");
+            batch.commit().expect("two writes are queued");
             assert_eq!(batch.answer($answer), vec![(1, $event), (2, $event)]);
-            assert!(batch.commit().is_none(), "nothing is sent again by itself");
+            assert!(batch.commit().is_none(), "nothing is retried automatically");
         })*
     };
 }
 
-told_all! {
-    a_lost_answer_is_told_to_all: CommitAnswer::Lost, ClaimEvent::Lost;
-    an_outage_is_told_to_all: CommitAnswer::Down, ClaimEvent::Down;
+reported_to_all! {
+    a_lost_result_is_reported_to_all: CommitAnswer::Lost, ClaimEvent::Lost;
+    an_outage_is_reported_to_all: CommitAnswer::Down, ClaimEvent::Down;
 }
 
 #[test]
-fn a_caller_who_gave_up_is_left_out() {
+fn a_cancelled_write_is_not_committed() {
     let mut batch = Batch::new(8);
     batch.push(insert(1, 1));
     assert!(batch.cancel(1));
@@ -109,24 +112,28 @@
     assert!(batch.commit().is_none());
 }
 
-/// Symptom: after an outage repeats of answered orders are told `unknown` for ever. The outcome was
-/// written once, while the table was down, and nobody waited for the answer.
+/// Guards against repeats of completed filings getting `unknown` for good after an outage. It happens
+/// if an outcome is written only once, while the table is down, and nobody waits for the result.
 #[test]
-fn an_outcome_outlasts_an_outage() {
+fn an_outcome_is_retried_after_an_outage() {
     let mut table = Table::default();
     let mut batch = Batch::new(8);
     batch.push(insert(NO_CALLER, 1));
     batch.push(insert(2, 2));
-    batch.commit().expect("two wait");
-    let told = batch.answer(CommitAnswer::Down);
-    assert_eq!(told, vec![(2, ClaimEvent::Down)]);
-    assert!(batch.commit().is_none(), "not at once");
-    for answered in [false, true] {
+    batch.commit().expect("two writes are queued");
+    let events = batch.answer(CommitAnswer::Down);
+    assert_eq!(events, vec![(2, ClaimEvent::Down)]);
+    assert!(batch.commit().is_none(), "not retried immediately");
+    for result_received in [false, true] {
         batch.unpark();
-        let commit = batch.commit().expect("the outcome waits");
-        let answer = table.commit(&commit);
-        let answer = if answered { answer } else { CommitAnswer::Lost };
-        assert_eq!(batch.answer(answer), vec![]);
+        let commit = batch.commit().expect("the outcome is queued");
+        let result = table.commit(&commit);
+        let result = if result_received {
+            result
+        } else {
+            CommitAnswer::Lost
+        };
+        assert_eq!(batch.answer(result), vec![]);
     }
     batch.unpark();
     assert!(batch.commit().is_none());
--- a/crates/filing/tests/ledger.rs
+++ b/crates/filing/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's bounds and its hand-over, case by case; orders of events are searched in `model`.
+//! Tests of the ledger's limits and handover in single cases; crate `model` checks orders of events.
 
 use base::{
     Now,
@@ -6,7 +6,7 @@
 };
 use bytes::Bytes;
 use filing::{
-    AdoptError,
+    AcceptError,
     Begin,
     Bounds,
     Guards,
@@ -39,7 +39,7 @@
     Ledger::new(name.into(), incarnation, clock, bounds(), Guards::default())
 }
 
-/// Ticket of x#1 that ends 30 s after the start.
+/// Ticket of incarnation 1 of `x` that expires 30 s after the start.
 fn ticket(nonce: u128) -> Ticket {
     Ticket {
         class: "orders".into(),
@@ -68,25 +68,25 @@
             let mut ticket = ticket(1);
             let change: fn(&mut Ticket) = $change;
             change(&mut ticket);
-            let said = ledger("x", 1).begin(&ticket, at($seconds));
-            assert_eq!(said, Begin::Refuse($reason));
+            let decision = ledger("x", 1).begin(&ticket, at($seconds));
+            assert_eq!(decision, Begin::Refuse($reason));
             assert_eq!($reason.outcome(), RunOutcome::$outcome);
         })*
     };
 }
 
 refused! {
-    another_entrys: |t| t.instance = "y".into(), 0, RefuseReason::OtherInstance, Unknown;
-    an_earlier_lifes: |t| t.incarnation = 0, 0, RefuseReason::OtherIncarnation, Unknown;
-    one_that_ends_now: |_| (), 30, RefuseReason::ExpiredUnused, NotRun;
-    one_within_the_margin: |_| (), 39, RefuseReason::ExpiredUnused, NotRun;
-    one_past_the_margin: |_| (), 40, RefuseReason::Expired, Unknown;
-    one_of_a_fast_clock: |t| t.expires_at_ms += 31_000, 0, RefuseReason::TooFar, Unknown;
+    a_ticket_of_another_entry: |t| t.instance = "y".into(), 0, RefuseReason::OtherInstance, Unknown;
+    a_ticket_of_an_earlier_incarnation: |t| t.incarnation = 0, 0, RefuseReason::OtherIncarnation, Unknown;
+    a_ticket_that_expires_now: |_| (), 30, RefuseReason::ExpiredUnused, NotRun;
+    an_expired_ticket_within_the_margin: |_| (), 39, RefuseReason::ExpiredUnused, NotRun;
+    an_expired_ticket_past_the_margin: |_| (), 40, RefuseReason::Expired, Unknown;
+    a_ticket_issued_with_a_fast_clock: |t| t.expires_at_ms += 31_000, 0, RefuseReason::TooFar, Unknown;
 }
 
-/// Symptom: a caller whose answer was lost files again and is told something else.
+/// Guards against a caller that repeats its request after a lost response getting a different one.
 #[test]
-fn every_repeat_gets_the_first_answer() {
+fn every_repeat_gets_the_first_response() {
     let mut ledger = ledger("x", 1);
     assert_eq!(ledger.begin(&ticket(1), at(0)), Begin::Run);
     assert_eq!(ledger.begin(&ticket(1), at(1)), Begin::Wait);
@@ -94,21 +94,22 @@
     ledger.finish(1, Record::bare(RunOutcome::Unknown, 504));
     for seconds in [1, 29, 31, 39] {
         ledger.expire(at(seconds));
-        let said = ledger.begin(&ticket(1), at(seconds));
-        assert_eq!(said, Begin::Replay(done(b"order 7")), "at {seconds} s");
+        let decision = ledger.begin(&ticket(1), at(seconds));
+        assert_eq!(decision, Begin::Replay(done(b"order 7")), "at {seconds} s");
     }
     assert_eq!(ledger.expire(at(40)), 1);
     assert_eq!(ledger.used_bytes(), 0);
 }
 
-/// Symptom: a binder cut short is passed as whole. The answer was too long to be kept.
+/// Guards against a truncated response being replayed as complete, when the response is too large to
+/// be stored.
 #[test]
-fn an_answer_too_long_to_keep_is_unknown() {
+fn a_response_too_large_to_store_is_unknown() {
     let mut ledger = ledger("x", 1);
     ledger.begin(&ticket(1), at(0));
     ledger.finish(1, done(&[7; 101]));
     let Begin::Replay(record) = ledger.begin(&ticket(1), at(1)) else {
-        panic!("it is remembered");
+        panic!("the outcome is stored");
     };
     assert_eq!(
         (record.outcome, record.body.len()),
@@ -116,10 +117,10 @@
     );
 }
 
-/// Symptom: under a flood an order is forgotten before its ticket ends, and a copy runs. Instead
-/// new tickets are refused, for good, until old ones end.
+/// Guards against a filing being forgotten under overload before its ticket expires, after which a copy
+/// would run. Instead, new tickets are refused and stay invalid, until old ones expire.
 #[test]
-fn a_full_memory_refuses_and_forgets_nothing() {
+fn a_full_ledger_refuses_new_tickets_and_keeps_old_ones() {
     let mut ledger = ledger("x", 1);
     for nonce in 1..=4 {
         assert_eq!(ledger.begin(&ticket(nonce), at(0)), Begin::Run);
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn bytes_are_bounded_too() {
+fn used_bytes_are_bounded() {
     let mut ledger = ledger("x", 1);
     let mut running = 0;
     while ledger.begin(&ticket(running), at(0)) == Begin::Run {
@@ -150,24 +151,27 @@
 }
 
 #[test]
-fn outcomes_wait_for_the_table_until_written() {
+fn outcomes_are_unwritten_until_marked_written() {
     let mut ledger = ledger("x", 1);
     ledger.begin(&ticket(1), at(0));
     assert_eq!(ledger.unwritten(9), vec![]);
     ledger.finish(1, done(b"a"));
-    assert_eq!(ledger.refuse(&ticket(2), at(0)), Begin::Replay(burned()));
+    assert_eq!(
+        ledger.refuse(&ticket(2), at(0)),
+        Begin::Replay(invalidated())
+    );
     assert_eq!(ledger.unwritten(9), vec![(1, done(b"a"))]);
     ledger.written(&[1]);
     assert_eq!(ledger.unwritten(9), vec![]);
 }
 
-fn burned() -> Record {
+fn invalidated() -> Record {
     Record::bare(RunOutcome::NotRun, 503)
 }
 
-/// Symptom: a planned stop is noticed by a caller whose order was answered just before.
+/// Guards against a planned stop being visible to a caller whose filing ended just before it.
 #[test]
-fn a_successor_replays_and_runs_what_is_unused() {
+fn a_successor_replays_records_and_runs_unused_tickets() {
     let mut x = ledger("x", 1);
     x.begin(&ticket(1), at(0));
     x.finish(1, done(b"a"));
@@ -184,10 +188,12 @@
     assert_eq!(y.begin(&ticket(1), at(3)), Begin::Replay(done(b"a")));
     let unknown = Record::bare(RunOutcome::Unknown, 504);
     assert_eq!(y.begin(&ticket(2), at(3)), Begin::Replay(unknown));
-    assert_eq!(y.begin(&ticket(3), at(3)), Begin::Replay(burned()));
+    assert_eq!(y.begin(&ticket(3), at(3)), Begin::Replay(invalidated()));
     assert_eq!(y.begin(&ticket(4), at(3)), Begin::Run);
 
-    let handed_over = offered.acknowledged(&accepted).expect("it is y's");
+    let handed_over = offered
+        .acknowledged(&accepted)
+        .expect("the acknowledgement is from y");
     assert_eq!(*handed_over.successor(), "y");
 }
 
@@ -200,16 +206,16 @@
             let offered = x.stop().offer("y".into(), 5, at(0));
             let mut successor: Ledger = $successor;
             let before = successor.clone();
-            assert_eq!(successor.adopt(offered.offer()), Err(AdoptError::$error));
+            assert_eq!(successor.adopt(offered.offer()), Err(AcceptError::$error));
             assert_eq!(successor, before);
         })*
     };
 }
 
 not_adopted! {
-    by_another_instance: ledger("z", 5), NotForMe;
-    by_another_life: ledger("y", 6), NotForMe;
-    by_one_without_room: full_ledger(), TooMany;
+    by_another_instance: ledger("z", 5), WrongRecipient;
+    by_another_incarnation: ledger("y", 6), WrongRecipient;
+    by_a_full_ledger: full_ledger(), TooMany;
 }
 
 fn full_ledger() -> Ledger {
@@ -223,7 +229,8 @@
     full
 }
 
-/// Symptom: at a planned stop of a busy entry an order runs twice. Its record didn't fit the offer.
+/// Guards against a filing running twice at a planned stop of a busy entry, when its record doesn't fit
+/// into the offer.
 #[test]
 fn a_ticket_whose_record_does_not_fit_the_offer_never_runs() {
     let mut x = ledger("x", 1);
@@ -238,8 +245,8 @@
     let offered = x.stop().offer("y".into(), 5, at(1));
     let mut y = ledger("y", 5);
     y.adopt(offered.offer()).expect("y has room");
-    let said = [1, 2, 4, 5].map(|nonce| y.begin(&ticket(nonce), at(1)));
+    let decisions = [1, 2, 4, 5].map(|nonce| y.begin(&ticket(nonce), at(1)));
     let lost = Begin::Refuse(RefuseReason::Expired);
     let kept = Begin::Replay(done(&[7; 100]));
-    assert_eq!(said, [lost, kept.clone(), kept, Begin::Run]);
+    assert_eq!(decisions, [lost, kept.clone(), kept, Begin::Run]);
 }
--- a/crates/filing/tests/ticket.rs
+++ b/crates/filing/tests/ticket.rs
@@ -1,4 +1,5 @@
-//! Tickets, records and claims as texts: what is written is read, what is changed is refused.
+//! Tests of the text formats of tickets, records and claims: encoded text is parsed, and changed text
+//! is refused.
 
 use bytes::Bytes;
 use filing::{
@@ -24,7 +25,7 @@
     Key::derive(b"secret")
 }
 
-/// What any bytes become once they are ids.
+/// Makes an id of arbitrary bytes.
 fn id(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
@@ -61,8 +62,8 @@
         });
 }
 
-/// Symptom: an outsider files without a look-up, under names of his own. The fields are well
-/// formed and only the key is missing.
+/// Guards against an outsider that files without a lookup, with a ticket that is well-formed but not
+/// made with the daemons' key.
 #[test]
 fn a_ticket_of_another_key_is_forged() {
     let text = ticket("orders", "x", (1, 2, 3)).mint(&Key::derive(b"other"));
@@ -83,20 +84,20 @@
     a_text_without_fields: "ticket";
     another_format: "t2.a.b.1.2.3.00000000000000000000000000000000";
     a_missing_field: "t1.a.b.1.2.00000000000000000000000000000000";
-    a_field_too_many: "t1.a.b.1.2.3.4.00000000000000000000000000000000";
+    an_extra_field: "t1.a.b.1.2.3.4.00000000000000000000000000000000";
     a_short_hash: "t1.a.b.1.2.3.00";
     a_long_text: &"t".repeat(5_000);
-    an_odd_escape: "t1.%a.b.1.2.3.00000000000000000000000000000000";
+    an_invalid_escape: "t1.%a.b.1.2.3.00000000000000000000000000000000";
 }
 
 #[test]
-fn a_key_is_never_shown() {
+fn a_key_is_hidden_in_debug_and_display() {
     let shown = format!("{:?} {}", key(), key());
     assert_eq!(shown, "Key(hidden) (hidden)");
 }
 
 #[test]
-fn records_and_claims_read_as_written() {
+fn records_and_claims_round_trip() {
     bolero::check!()
         .with_type::<(Vec<(Vec<u8>, Vec<u8>)>, Vec<u8>, u16, u128)>()
         .with_iterations(2_000)
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn any_text_is_read_or_refused() {
+fn arbitrary_text_is_refused_without_panicking() {
     bolero::check!()
         .with_type::<Vec<u8>>()
         .with_iterations(5_000)
