--- a/crates/filing/src/batch.rs
+++ b/crates/filing/src/batch.rs
@@ -1,8 +1,8 @@
 //! Combines conditional writes of many callers into one transaction of the table.
 //!
-//! The table takes several hundred writes per second, and peak load brings more filings than that. A
-//! transaction fails as a whole, so one caller's conflict would fail the writes of the others. The
-//! batch therefore drops the writes whose rows differ and commits the others again.
+//! The table takes several hundred writes per second, and peak load brings more filings than that.
+//! A transaction fails as a whole, so one caller's conflict would fail the writes of the others.
+//! The batch therefore drops the writes whose rows differ and commits the others again.
 
 use crate::ClaimEvent;
 use bytestring::ByteString;
@@ -107,8 +107,8 @@
 
     /// Queues the deferred writes again.
     ///
-    /// This is a separate call, because immediate retries would run in a tight loop while the table is
-    /// down. Call it periodically, once the table responds.
+    /// This is a separate call, because immediate retries would run in a tight loop while the table
+    /// is down. Call it periodically, once the table responds.
     pub fn unpark(&mut self) {
         self.queued.append(&mut self.deferred);
     }
@@ -120,7 +120,8 @@
 
     /// Returns the next transaction; `None` while one is in flight or if nothing is queued.
     ///
-    /// A transaction has at most one write for each row, since a second one would overwrite the first.
+    /// A transaction has at most one write for each row, since a second one would overwrite the
+    /// first.
     pub fn commit(&mut self) -> Option<Commit> {
         if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
@@ -174,7 +175,8 @@
         }
     }
 
-    /// Returns conflicts for the writes whose rows differ, and puts the others at the head of the queue.
+    /// Returns conflicts for the writes whose rows differ, and puts the others at the head of the
+    /// queue.
     fn retry_unconflicted(
         &mut self,
         inserts: Vec<Insert>,
--- a/crates/filing/src/bounds.rs
+++ b/crates/filing/src/bounds.rs
@@ -11,7 +11,8 @@
     pub record_bytes_max: usize,
     /// Total size of all records and of the space reserved for running filings, in bytes.
     pub total_bytes_max: usize,
-    /// Total size of the records in an offer to a successor, which is sent as one message, in bytes.
+    /// Total size of the records in an offer to a successor, which is sent as one message, in
+    /// bytes.
     pub offer_bytes_max: usize,
     /// Longest lifetime of a ticket. One that expires later was issued with a wrong clock.
     pub life_max: Duration,
--- a/crates/filing/src/claimer.rs
+++ b/crates/filing/src/claimer.rs
@@ -1,10 +1,10 @@
 //! State machine of one request that carries an idempotency key of its caller.
 //!
-//! It inserts its claim on the condition that the key is free. The request may be sent only once the
-//! claim is known to be in the table. If the result of the insert is lost, the row is read back, and
-//! the claim is recognised by its token. If the request ends `not-run` while its insert may have taken
-//! effect or may still do so, a [`Releaser`] takes over and writes the row, so that the insert can't
-//! block the key for good.
+//! It inserts its claim on the condition that the key is free. The request may be sent only once
+//! the claim is known to be in the table. If the result of the insert is lost, the row is read
+//! back, and the claim is recognised by its token. If the request ends `not-run` while its insert
+//! may have taken effect or may still do so, a [`Releaser`] takes over and writes the row, so that
+//! the insert can't block the key for good.
 //!
 //! [`Releaser`]: crate::Releaser
 
@@ -30,8 +30,9 @@
 
 /// Whether the holder of a lease that is valid until `lease_until` may send at `now`.
 ///
-/// Call it immediately before the first byte is sent. A holder that was paused resumes with outdated
-/// state, and would otherwise send after others have reported the filing's outcome to callers.
+/// Call it immediately before the first byte is sent. A holder that was paused resumes with
+/// outdated state, and would otherwise send after others have reported the filing's outcome to
+/// callers.
 pub fn may_send(now: Now, lease_until: Now) -> bool {
     now < lease_until
 }
@@ -113,8 +114,8 @@
     NotRun(Option<Releaser>),
     /// The filing has ended before: replay the recorded response.
     Replay(Record),
-    /// Another request holds the claim, and no outcome is recorded: `unknown` unless the holder can tell
-    /// the outcome.
+    /// Another request holds the claim, and no outcome is recorded: `unknown` unless the holder can
+    /// tell the outcome.
     InProgress {
         /// Holder of the claim.
         owner: InstanceId,
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Last check, immediately before the first byte is sent. Returns [`ClaimStep::Send`], or, if the
-    /// lease has expired, the response to give instead.
+    /// Last check, immediately before the first byte is sent. Returns [`ClaimStep::Send`], or, if
+    /// the lease has expired, the response to give instead.
     pub fn send(&mut self, now: Now, lease_until: Now) -> ClaimStep {
         let State::Claimed { version } = self.state else {
             return ClaimStep::Nothing;
--- a/crates/filing/src/guards.rs
+++ b/crates/filing/src/guards.rs
@@ -21,15 +21,15 @@
     pub bind_successor: bool,
     /// A successor refuses tickets whose outcomes its predecessor may have forgotten.
     pub carry_closed: bool,
-    /// After a lost commit result the row is read back; nothing is sent before the claim is known to
-    /// be in the table.
+    /// After a lost commit result the row is read back; nothing is sent before the claim is known
+    /// to be in the table.
     pub read_back: bool,
     /// A claim that is read back counts as the reader's own only if its token matches.
     pub own_token: bool,
     /// The holder's lease is checked immediately before sending.
     pub lease_before_send: bool,
-    /// To release a claim whose row is absent, a `released` row is written, so that an insert still in
-    /// flight fails and can't block the key.
+    /// To release a claim whose row is absent, a `released` row is written, so that an insert still
+    /// in flight fails and can't block the key.
     pub seal: bool,
 }
 
--- a/crates/filing/src/handover.rs
+++ b/crates/filing/src/handover.rs
@@ -1,9 +1,10 @@
-//! Handover at a planned stop: transfers records and the right to run unused tickets to a successor.
+//! Handover at a planned stop: transfers records and the right to run unused tickets to a
+//! successor.
 //!
-//! The predecessor closes first and never reopens. It then makes one offer, to one incarnation of one
-//! successor, and may only repeat that offer. So whichever message is lost, at most one ledger runs a
-//! ticket: the predecessor's before the offer, the successor's after it. If the acknowledgement is
-//! lost, the predecessor names no successor and reports `unknown`.
+//! The predecessor closes first and never reopens. It then makes one offer, to one incarnation of
+//! one successor, and may only repeat that offer. So whichever message is lost, at most one ledger
+//! runs a ticket: the predecessor's before the offer, the successor's after it. If the
+//! acknowledgement is lost, the predecessor names no successor and reports `unknown`.
 
 use crate::{
     ledger::Phase,
@@ -64,13 +65,13 @@
     pub from_incarnation: Incarnation,
     /// Successor.
     pub to: InstanceId,
-    /// Incarnation of the successor. A later one must not accept the offer, since it doesn't know what
-    /// the earlier one ran.
+    /// Incarnation of the successor. A later one must not accept the offer, since it doesn't know
+    /// what the earlier one ran.
     pub to_incarnation: Incarnation,
     /// Incarnations whose unused tickets the successor may run.
     pub origins: Vec<(InstanceId, Incarnation, TicketWatermarks)>,
-    /// Records of the predecessor. Tickets whose records didn't fit are covered by the watermarks in
-    /// `origins`.
+    /// Records of the predecessor. Tickets whose records didn't fit are covered by the watermarks
+    /// in `origins`.
     pub records: Vec<HandoverRecord>,
 }
 
@@ -192,7 +193,8 @@
         }
     }
 
-    /// Watermarks advanced past all tickets that have expired by this clock and all dropped records.
+    /// Watermarks advanced past all tickets that have expired by this clock and all dropped
+    /// records.
     ///
     /// The successor's clock may be behind. It would then run a ticket whose outcome was forgotten
     /// here, or whose caller was told that it expired unused.
@@ -215,8 +217,8 @@
             .collect()
     }
 
-    /// Records that fit into an offer, latest expiry first, and the latest expiry of a dropped one, in
-    /// milliseconds; 0 if all fit.
+    /// Records that fit into an offer, latest expiry first, and the latest expiry of a dropped one,
+    /// in milliseconds; 0 if all fit.
     fn records_within_limit(&self) -> (Vec<HandoverRecord>, u64) {
         let mut records = Vec::new();
         let mut bytes = 0;
--- a/crates/filing/src/ledger.rs
+++ b/crates/filing/src/ledger.rs
@@ -32,8 +32,8 @@
 /// What to do with a request that carries a ticket.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Begin {
-    /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::unsent`] frees the
-    /// nonce again.
+    /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::unsent`] frees
+    /// the nonce again.
     Run,
     /// A copy is running: wait until it ends, then call `begin` again.
     Wait,
@@ -52,8 +52,8 @@
 
 /// State of each ticket that this process may run.
 ///
-/// Invariant: a nonce is removed from `tickets` only by [`Ledger::unsent`], when nothing was sent, or
-/// once its ticket has expired by `clock` and the retention time [`Bounds::margin`] has passed.
+/// Invariant: a nonce is removed from `tickets` only by [`Ledger::unsent`], when nothing was sent,
+/// or once its ticket has expired by `clock` and the retention time [`Bounds::margin`] has passed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ledger {
     pub(crate) instance: InstanceId,
@@ -103,10 +103,10 @@
 
     /// Decides how to respond to a request that the entry won't run for reasons of its own.
     ///
-    /// Refusing a filing without this call would leave its ticket valid: the caller, told `not-run`,
-    /// files again with a new ticket, and a late copy of the first one runs as well. Never returns
-    /// [`Begin::Run`]; returns [`Begin::Replay`] with a `not-run` record if the ticket was
-    /// invalidated.
+    /// Refusing a filing without this call would leave its ticket valid: the caller, told
+    /// `not-run`, files again with a new ticket, and a late copy of the first one runs as well.
+    /// Never returns [`Begin::Run`]; returns [`Begin::Replay`] with a `not-run` record if the
+    /// ticket was invalidated.
     pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
         if let Some(decision) = self.fixed_decision(ticket, now) {
             return decision;
@@ -118,8 +118,8 @@
     /// Stores the outcome of a running filing; every repeat gets it.
     ///
     /// The outcome `not-run` invalidates the ticket, since the caller files again with a new one. A
-    /// record over the size limit is stored as `unknown` without headers and body, since a truncated
-    /// response must never pass as complete.
+    /// record over the size limit is stored as `unknown` without headers and body, since a
+    /// truncated response must never pass as complete.
     pub fn finish(&mut self, nonce: Nonce, record: Record) {
         if !self.tickets.is_running(nonce) {
             return;
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Decision that holds whether or not the entry is willing to run the filing; `None` if the ticket
-    /// may run.
+    /// Decision that holds whether or not the entry is willing to run the filing; `None` if the
+    /// ticket may run.
     fn fixed_decision(&self, ticket: &Ticket, now: Now) -> Option<Begin> {
         let Some(watermarks) = self.watermarks(ticket) else {
             let reason = if ticket.instance == self.instance {
@@ -211,8 +211,8 @@
             });
         }
         let refusal = match &self.phase {
-            // The successor may have run the ticket since the offer, so expiry here doesn't prove that
-            // it never ran.
+            // The successor may have run the ticket since the offer, so expiry here doesn't prove
+            // that it never ran.
             Phase::Closed { successor } if self.guards.stop_before_offer => {
                 let refusal = self.expiry_refusal(ticket, watermarks, now);
                 let refusal = refusal.filter(|_| !self.guards.unknown_once_offered);
@@ -296,7 +296,8 @@
         }
     }
 
-    /// Wall time in milliseconds; outcomes of tickets that expired by then may be forgotten at `now`.
+    /// Wall time in milliseconds; outcomes of tickets that expired by then may be forgotten at
+    /// `now`.
     pub(crate) fn forgotten_until_ms(&self, now: Now) -> u64 {
         let margin_ms = millis(self.bounds.margin);
         self.clock.wall_ms(now).saturating_sub(margin_ms)
--- a/crates/filing/src/lib.rs
+++ b/crates/filing/src/lib.rs
@@ -3,11 +3,11 @@
 //! A filing is one non-idempotent request. A caller submits it in one of two ways.
 //!
 //! With a [`Ticket`], issued by the entry that answered the lookup. It binds the filing to one
-//! incarnation of one entry. Only that entry's [`Ledger`] decides whether the filing may run, and it
-//! decides without calling the platform. The outcome is written to the platform's table afterwards,
-//! so that it can be read once this process is gone. At a planned stop, a [`Stopping`] ledger closes,
-//! then offers its records and the right to run its unused tickets to one incarnation of one
-//! successor.
+//! incarnation of one entry. Only that entry's [`Ledger`] decides whether the filing may run, and
+//! it decides without calling the platform. The outcome is written to the platform's table
+//! afterwards, so that it can be read once this process is gone. At a planned stop, a [`Stopping`]
+//! ledger closes, then offers its records and the right to run its unused tickets to one
+//! incarnation of one successor.
 //!
 //! With an idempotency key of the caller's, claimed by a conditional insert into the table before
 //! anything is sent: [`Claimer`] is the state machine of one request, [`Batch`] combines the writes
--- a/crates/filing/src/refuse.rs
+++ b/crates/filing/src/refuse.rs
@@ -8,7 +8,8 @@
 /// Why a ticket is refused.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefuseReason {
-    /// The ticket expired without being used, recently enough that an outcome would still be stored.
+    /// The ticket expired without being used, recently enough that an outcome would still be
+    /// stored.
     ExpiredUnused,
     /// The ticket expired so long ago that its outcome may have been forgotten.
     Expired,
--- a/crates/filing/src/releaser.rs
+++ b/crates/filing/src/releaser.rs
@@ -1,9 +1,9 @@
 //! Releases a claim whose request was not sent.
 //!
-//! It continues after the caller has got its `not-run`, and through outages of the platform. It writes
-//! the row even if it finds none: an insert whose result was lost may still be in flight, and would
-//! hold the key for a request that has ended. Once the row exists, the condition of that insert
-//! fails.
+//! It continues after the caller has got its `not-run`, and through outages of the platform. It
+//! writes the row even if it finds none: an insert whose result was lost may still be in flight,
+//! and would hold the key for a request that has ended. Once the row exists, the condition of that
+//! insert fails.
 
 use crate::{
     Claim,
--- a/crates/filing/src/ticket.rs
+++ b/crates/filing/src/ticket.rs
@@ -102,8 +102,8 @@
 impl std::error::Error for TicketError {}
 
 impl Ticket {
-    /// Encodes the ticket for the `Jasmine-Ticket` header: ASCII, fields separated by dots, the keyed
-    /// hash last.
+    /// Encodes the ticket for the `Jasmine-Ticket` header: ASCII, fields separated by dots, the
+    /// keyed hash last.
     pub fn mint(&self, key: &Key) -> String {
         let mut text = self.body();
         let mac = key.mac(&text);
@@ -112,7 +112,8 @@
         text
     }
 
-    /// Parses and authenticates the text of a header. Expiry is checked by the [`Ledger`], not here.
+    /// Parses and authenticates the text of a header. Expiry is checked by the [`Ledger`], not
+    /// here.
     ///
     /// # Errors
     ///
@@ -128,8 +129,8 @@
             return Err(TicketError::Malformed);
         }
         let ticket = Self::parse(body).ok_or(TicketError::Malformed)?;
-        // Constant time: a comparison that stops at the first difference would reveal by its duration
-        // how many digits of a forged hash are right.
+        // Constant time: a comparison that stops at the first difference would reveal by its
+        // duration how many digits of a forged hash are right.
         let hash_matches = key.mac(body).as_bytes().ct_eq(mac.as_bytes());
         if bool::from(hash_matches) {
             Ok(ticket)
--- a/crates/filing/src/ticket_store.rs
+++ b/crates/filing/src/ticket_store.rs
@@ -33,8 +33,8 @@
 
 /// Stored tickets, indexed by nonce and by expiry.
 ///
-/// Invariants: each ticket is in `by_expiry` exactly once; `used_bytes` is the sum over `tickets` of
-/// the bytes that each uses or reserves, and stays within the limit.
+/// Invariants: each ticket is in `by_expiry` exactly once; `used_bytes` is the sum over `tickets`
+/// of the bytes that each uses or reserves, and stays within the limit.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct TicketStore {
     tickets_max: usize,
--- a/crates/filing/tests/batch.rs
+++ b/crates/filing/tests/batch.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Guards against one caller's repeated key failing the writes of all others in its batch, since the
-/// table fails a transaction as a whole.
+/// Guards against one caller's repeated key failing the writes of all others in its batch, since
+/// the table fails a transaction as a whole.
 #[test]
 fn each_key_has_one_holder_and_a_conflict_fails_no_other_write() {
     bolero::check!()
@@ -112,8 +112,9 @@
     assert!(batch.commit().is_none());
 }
 
-/// Guards against repeats of completed filings getting `unknown` for good after an outage. It happens
-/// if an outcome is written only once, while the table is down, and nobody waits for the result.
+/// Guards against repeats of completed filings getting `unknown` for good after an outage. It
+/// happens if an outcome is written only once, while the table is down, and nobody waits for the
+/// result.
 #[test]
 fn an_outcome_is_retried_after_an_outage() {
     let mut table = Table::default();
--- a/crates/filing/tests/ledger.rs
+++ b/crates/filing/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Tests of the ledger's limits and handover in single cases; crate `model` checks orders of events.
+//! Tests of the ledger's limits and handover in single cases; crate `model` checks orders of
+//! events.
 
 use base::{
     Now,
@@ -76,12 +77,12 @@
 }
 
 refused! {
-    a_ticket_of_another_entry: |t| t.instance = "y".into(), 0, RefuseReason::OtherInstance, Unknown;
-    a_ticket_of_an_earlier_incarnation: |t| t.incarnation = 0, 0, RefuseReason::OtherIncarnation, Unknown;
-    a_ticket_that_expires_now: |_| (), 30, RefuseReason::ExpiredUnused, NotRun;
-    an_expired_ticket_within_the_margin: |_| (), 39, RefuseReason::ExpiredUnused, NotRun;
-    an_expired_ticket_past_the_margin: |_| (), 40, RefuseReason::Expired, Unknown;
-    a_ticket_issued_with_a_fast_clock: |t| t.expires_at_ms += 31_000, 0, RefuseReason::TooFar, Unknown;
+    another_entry: |t| t.instance = "y".into(), 0, RefuseReason::OtherInstance, Unknown;
+    an_earlier_incarnation: |t| t.incarnation = 0, 0, RefuseReason::OtherIncarnation, Unknown;
+    expiring_now: |_| (), 30, RefuseReason::ExpiredUnused, NotRun;
+    expired_within_the_margin: |_| (), 39, RefuseReason::ExpiredUnused, NotRun;
+    expired_past_the_margin: |_| (), 40, RefuseReason::Expired, Unknown;
+    a_fast_issuer_clock: |t| t.expires_at_ms += 31_000, 0, RefuseReason::TooFar, Unknown;
 }
 
 /// Guards against a caller that repeats its request after a lost response getting a different one.
@@ -101,8 +102,8 @@
     assert_eq!(ledger.used_bytes(), 0);
 }
 
-/// Guards against a truncated response being replayed as complete, when the response is too large to
-/// be stored.
+/// Guards against a truncated response being replayed as complete, when the response is too large
+/// to be stored.
 #[test]
 fn a_response_too_large_to_store_is_unknown() {
     let mut ledger = ledger("x", 1);
@@ -117,8 +118,8 @@
     );
 }
 
-/// Guards against a filing being forgotten under overload before its ticket expires, after which a copy
-/// would run. Instead, new tickets are refused and stay invalid, until old ones expire.
+/// Guards against a filing being forgotten under overload before its ticket expires, after which a
+/// copy would run. Instead, new tickets are refused and stay invalid, until old ones expire.
 #[test]
 fn a_full_ledger_refuses_new_tickets_and_keeps_old_ones() {
     let mut ledger = ledger("x", 1);
@@ -229,8 +230,8 @@
     full
 }
 
-/// Guards against a filing running twice at a planned stop of a busy entry, when its record doesn't fit
-/// into the offer.
+/// Guards against a filing running twice at a planned stop of a busy entry, when its record doesn't
+/// fit into the offer.
 #[test]
 fn a_ticket_whose_record_does_not_fit_the_offer_never_runs() {
     let mut x = ledger("x", 1);
--- a/crates/filing/tests/ticket.rs
+++ b/crates/filing/tests/ticket.rs
@@ -1,5 +1,5 @@
-//! Tests of the text formats of tickets, records and claims: encoded text is parsed, and changed text
-//! is refused.
+//! Tests of the text formats of tickets, records and claims: encoded text is parsed, and changed
+//! text is refused.
 
 use bytes::Bytes;
 use filing::{
@@ -62,8 +62,8 @@
         });
 }
 
-/// Guards against an outsider that files without a lookup, with a ticket that is well-formed but not
-/// made with the daemons' key.
+/// Guards against an outsider that files without a lookup, with a ticket that is well-formed but
+/// not made with the daemons' key.
 #[test]
 fn a_ticket_of_another_key_is_forged() {
     let text = ticket("orders", "x", (1, 2, 3)).mint(&Key::derive(b"other"));
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -1,17 +1,13 @@
-//! One caller's connection: requests in, possibly several ahead of their answers, and answers out in
+//! One caller's connection: reads requests, which may be pipelined, and writes their responses in
 //! the same order.
 //!
-//! Two halves run side by side. The reading half decodes requests, starts each in a task of its own
-//! and always keeps a read pending, so that it sees the caller leave; the writing half (`answers`)
-//! waits for the answers in order. When either ends, the connection does, and with it the tasks of
-//! requests that have no answer yet: dropping them closes their connections to upstreams.
+//! Two halves run concurrently. The read half decodes requests, starts each in its own task and
+//! always keeps a read pending, so that it notices when the caller closes the connection. The write
+//! half (`response_writer`) awaits the responses in order. When either half ends, so does the
+//! connection, and with it the tasks of requests that have no response yet: dropping them closes
+//! their connections to upstreams.
 
 use crate::{
-    answers::{
-        write_answers,
-        Task,
-        Waiting, //
-    },
     message::{
         Answer,
         BodyPart,
@@ -19,6 +15,11 @@
         RequestBody, //
     },
     pool::read_some,
+    response_writer::{
+        write_responses,
+        QueuedResponse,
+        ResponseTask, //
+    },
 };
 use actix_codec::Decoder;
 use actix_http::{
@@ -69,141 +70,142 @@
     },
 };
 
-/// Requests of one connection that are under way at once; callers that send ahead wait beyond it.
-const OVERLAP_MAX: usize = 16;
-/// Bytes read ahead of what can be started.
+/// Requests of one connection in flight at a time; further pipelined requests wait.
+const PIPELINED_MAX: usize = 16;
+/// Bytes read ahead while no further request can be started or body part forwarded.
 const READ_AHEAD_BYTES: usize = 64 << 10;
-/// Longest body that is held whole, so that it can be sent again.
-const WHOLE_BODY_BYTES: u64 = 64 << 10;
-/// Pieces of a long body between caller and upstream.
-const BODY_PARTS: usize = 4;
-/// Wait for a caller to close its end after the last answer, so that unread bytes don't reset the
-/// connection under an answer that it has not read yet.
-const LINGER: Duration = Duration::from_secs(1);
+/// Longest body that is kept in memory, so that it can be sent again.
+const BUFFERED_BODY_BYTES_MAX: u64 = 64 << 10;
+/// Parts of a streamed body buffered between caller and upstream.
+const BODY_CHANNEL_PARTS: usize = 4;
+/// Time for a caller to close its end after the last response. Closing with unread bytes resets the
+/// connection, and the caller could lose a response that it has not read yet.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a request was refused before it was read whole; none of it has reached an upstream.
+/// Why a request was refused before it was read completely; no part of it has reached an upstream.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Refusal {
-    /// It is no HTTP.
+    /// The request is not valid HTTP.
     Malformed,
-    /// Its head is too long.
+    /// The head is too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
-    /// It didn't come in time.
+    /// The request was not received in time.
     TooSlow,
-    /// What was to answer it failed.
+    /// The task that handles the request failed.
     Internal,
 }
 
-/// Answers requests.
+/// Handles callers' requests.
 pub trait Handler: 'static {
-    /// What callers may send just now.
+    /// Current limits on what callers may send.
     fn limits(&self) -> CallerLimits;
 
-    /// Whether the process is about to stop, so that connections end with the answer under way.
+    /// Whether the process is about to stop, so that connections close after the current response.
     fn is_stopping(&self) -> bool;
 
-    /// Whether a request may run beside those sent before it on its connection, which may turn out
-    /// not to be answered.
+    /// Whether a request may run concurrently with earlier ones on its connection, which may end up
+    /// without a response.
     fn may_overlap(&self, head: &Head) -> bool;
 
-    /// Answers one request. Dropping the future means that the caller has gone.
+    /// Handles one request. The future is dropped if the caller has closed the connection.
     fn answer(self: Rc<Self>, request: Request) -> impl Future<Output = Answer>;
 
-    /// Answers a request that was not read whole.
+    /// Returns the response to a request that was not read completely.
     fn refuse(&self, refusal: Refusal) -> Answer;
 }
 
-/// What both halves of a connection know of each other.
+/// State shared by both halves of a connection.
 #[derive(Debug, Default)]
-pub(crate) struct Shared {
-    /// Requests without a whole answer.
-    pub(crate) under_way: Cell<usize>,
-    /// An answer was written.
-    pub(crate) answered: Notify,
+pub(crate) struct ConnectionState {
+    /// Requests whose response has not been written completely.
+    pub(crate) in_flight: Cell<usize>,
+    /// Notified when a response has been written.
+    pub(crate) response_written: Notify,
 }
 
-/// Carries a caller's connection to its end.
+/// Serves a caller's connection until it ends.
 pub async fn serve<H: Handler>(stream: TcpStream, handler: Rc<H>) {
     if set_options(&stream).is_err() {
-        // The caller has gone already.
+        // The caller has already closed the connection.
         return;
     }
-    let (reading, writing) = stream.into_split();
-    let shared = Rc::new(Shared::default());
-    let (queue, waiting) = unbounded_channel();
-    let mut caller = Caller {
-        reading,
+    let (read_half, write_half) = stream.into_split();
+    let state = Rc::new(ConnectionState::default());
+    let (queue, receiver) = unbounded_channel();
+    let mut reader = RequestReader {
+        read_half,
         buf: BytesMut::new(),
         codec: Codec::default(),
         handler: handler.clone(),
-        shared: shared.clone(),
+        state: state.clone(),
         queue,
     };
-    let reading = caller.run();
+    let reading = reader.run();
     tokio::pin!(reading);
-    let answers = write_answers(writing, waiting, handler, shared);
+    let writing = write_responses(write_half, receiver, handler, state);
     tokio::select! {
         () = &mut reading => return,
-        // The write half was shut down; its drop closes nothing while the other half lives.
-        _writing = answers => {}
+        // The write half was shut down. Dropping it doesn't close the connection while the read
+        // half exists.
+        _write_half = writing => {}
     }
-    // Running out of time is an end, too.
-    let _ = timeout(LINGER, reading).await;
+    // A timeout ends the connection, too.
+    let _ = timeout(LINGER_TIMEOUT, reading).await;
 }
 
-/// Why the reading half ends.
-enum End {
-    /// The caller has gone, or was idle for too long.
-    Gone,
-    /// The last request is refused.
+/// Why the read half ends.
+enum ReadEnd {
+    /// The caller closed the connection or was idle for too long.
+    Closed,
+    /// The last request was refused.
     Refused(Refusal),
 }
 
-/// The reading half.
-struct Caller<H> {
-    reading: OwnedReadHalf,
+/// Read half of a caller's connection.
+struct RequestReader<H> {
+    read_half: OwnedReadHalf,
     buf: BytesMut,
     codec: Codec,
     handler: Rc<H>,
-    shared: Rc<Shared>,
-    queue: UnboundedSender<Waiting>,
+    state: Rc<ConnectionState>,
+    queue: UnboundedSender<QueuedResponse>,
 }
 
-impl<H: Handler> Caller<H> {
-    /// Reads until the caller has gone.
+impl<H: Handler> RequestReader<H> {
+    /// Reads requests until the caller closes the connection.
     async fn run(&mut self) {
         let end = loop {
-            match self.request().await {
+            match self.read_request().await {
                 Ok(true) => {}
-                Ok(false) => return self.watch().await,
+                Ok(false) => return self.drain_until_closed().await,
                 Err(end) => break end,
             }
         };
-        if let End::Refused(refusal) = end {
-            let answer = self.handler.refuse(refusal);
-            self.push(Waiting {
-                task: Task::Ready(Box::new(answer)),
+        if let ReadEnd::Refused(refusal) = end {
+            let response = self.handler.refuse(refusal);
+            self.enqueue(QueuedResponse {
+                task: ResponseTask::Ready(Box::new(response)),
                 head_only: false,
                 close: true,
                 body_read: Rc::default(),
             });
-            self.watch().await;
+            self.drain_until_closed().await;
         }
     }
 
-    /// Reads and starts one request; `false` if it is the connection's last.
-    async fn request(&mut self) -> Result<bool, End> {
-        let head = self.head().await?;
+    /// Reads and starts one request; returns `false` if it is the last of the connection.
+    async fn read_request(&mut self) -> Result<bool, ReadEnd> {
+        let head = self.read_head().await?;
         let received = Instant::now();
-        let overlaps = self.handler.may_overlap(&head);
-        if self.has_body() && head.head().expect() && self.shared.under_way.get() == 0 {
-            self.invite_body();
+        let concurrent = self.handler.may_overlap(&head);
+        if self.has_body() && head.head().expect() && self.state.in_flight.get() == 0 {
+            self.send_continue();
         }
-        let (body, rest) = self.body(&head).await?;
-        let most = if overlaps { OVERLAP_MAX } else { 1 };
-        self.until_under_way_below(most).await?;
+        let (body, remainder) = self.read_body(&head).await?;
+        let max_in_flight = if concurrent { PIPELINED_MAX } else { 1 };
+        self.wait_for_in_flight_below(max_in_flight).await?;
         let close = head.head().connection_type() != ConnectionType::KeepAlive;
         let head_only = head.method() == Method::HEAD;
         let request = Request {
@@ -213,31 +215,31 @@
             body,
             received,
         };
-        let task = Task::start(self.handler.clone().answer(request));
+        let task = ResponseTask::start(self.handler.clone().answer(request));
         let last = close || self.queue.is_closed();
-        let body_read = Rc::new(Cell::new(rest.is_none()));
-        self.push(Waiting {
+        let body_read = Rc::new(Cell::new(remainder.is_none()));
+        self.enqueue(QueuedResponse {
             task,
             head_only,
             close,
             body_read: body_read.clone(),
         });
-        if let Some(rest) = rest {
-            self.stream_body(rest).await?;
+        if let Some(remainder) = remainder {
+            self.forward_body(remainder).await?;
             body_read.set(true);
         }
         Ok(!last)
     }
 
-    fn push(&self, waiting: Waiting) {
-        self.shared.under_way.set(self.shared.under_way.get() + 1);
-        // The writing half may have ended the connection already.
-        let _ = self.queue.send(waiting);
+    fn enqueue(&self, response: QueuedResponse) {
+        self.state.in_flight.set(self.state.in_flight.get() + 1);
+        // Fails if the write half has already ended the connection.
+        let _ = self.queue.send(response);
     }
 
-    /// The head of the next request.
-    async fn head(&mut self) -> Result<Head, End> {
-        let mut begun = None;
+    /// Reads the head of the next request.
+    async fn read_head(&mut self) -> Result<Head, ReadEnd> {
+        let mut started = None;
         loop {
             let limits = self.handler.limits();
             let before = self.buf.len();
@@ -246,26 +248,26 @@
             match decoded {
                 Ok(Some(Message::Item(head))) if head_bytes <= limits.max_header_bytes => {
                     if self.codec.message_type() == MessageType::Stream {
-                        // A tunnel or another protocol is asked for; nothing of the kind is served.
-                        return Err(End::Refused(Refusal::Malformed));
+                        // Requests a tunnel or a protocol upgrade, neither of which is supported.
+                        return Err(ReadEnd::Refused(Refusal::Malformed));
                     }
                     return Ok(head);
                 }
-                Ok(Some(Message::Item(_))) => return Err(End::Refused(Refusal::HeadTooLong)),
-                Ok(Some(Message::Chunk(_))) => return Err(End::Refused(Refusal::Malformed)),
+                Ok(Some(Message::Item(_))) => return Err(ReadEnd::Refused(Refusal::HeadTooLong)),
+                Ok(Some(Message::Chunk(_))) => return Err(ReadEnd::Refused(Refusal::Malformed)),
                 Ok(None) => {}
-                Err(ParseError::TooLarge) => return Err(End::Refused(Refusal::HeadTooLong)),
-                Err(_) => return Err(End::Refused(Refusal::Malformed)),
+                Err(ParseError::TooLarge) => return Err(ReadEnd::Refused(Refusal::HeadTooLong)),
+                Err(_) => return Err(ReadEnd::Refused(Refusal::Malformed)),
             }
             if self.buf.len() > limits.max_header_bytes {
-                return Err(End::Refused(Refusal::HeadTooLong));
+                return Err(ReadEnd::Refused(Refusal::HeadTooLong));
             }
             if self.buf.is_empty() {
-                self.read_idle(limits.idle_timeout).await?;
+                self.read_when_idle(limits.idle_timeout).await?;
                 continue;
             }
-            let begun = *begun.get_or_insert_with(Instant::now);
-            self.read_until(begun + limits.header_timeout).await?;
+            let started = *started.get_or_insert_with(Instant::now);
+            self.read_until(started + limits.header_timeout).await?;
         }
     }
 
@@ -273,15 +275,20 @@
         self.codec.message_type() != MessageType::None
     }
 
-    /// Tells a caller who asked that its body is wanted.
-    fn invite_body(&mut self) {
-        // A caller that can't take these few bytes now sends its body after a wait of its own.
-        let stream: &TcpStream = self.reading.as_ref();
+    /// Sends `100 Continue` to a caller that expects it.
+    fn send_continue(&mut self) {
+        // If these few bytes can't be written now, the caller sends its body after a timeout of its
+        // own.
+        let stream: &TcpStream = self.read_half.as_ref();
         let _ = stream.try_write(b"HTTP/1.1 100 Continue\r\n\r\n");
     }
 
-    /// The body, or the beginning of a long one with the channel for its rest.
-    async fn body(&mut self, head: &Head) -> Result<(RequestBody, Option<Rest>), End> {
+    /// Reads the body, or the beginning of a long one; then also returns the channel for its
+    /// remainder.
+    async fn read_body(
+        &mut self,
+        head: &Head,
+    ) -> Result<(RequestBody, Option<BodyRemainder>), ReadEnd> {
         if !self.has_body() {
             return Ok((RequestBody::Whole(Bytes::new()), None));
         }
@@ -289,38 +296,38 @@
         let length = head.headers().get(CONTENT_LENGTH);
         let length_bytes = length.and_then(|value| value.to_str().ok()?.trim().parse::<u64>().ok());
         if length_bytes.is_some_and(|length| length > limits.max_body_bytes) {
-            return Err(End::Refused(Refusal::BodyTooLong));
+            return Err(ReadEnd::Refused(Refusal::BodyTooLong));
         }
-        let mut whole = BytesMut::new();
-        while whole.len() as u64 <= WHOLE_BODY_BYTES {
-            match self.body_part(limits.header_timeout).await? {
-                BodyPart::Data(data) => whole.extend_from_slice(&data),
-                BodyPart::End => return Ok((RequestBody::Whole(whole.freeze()), None)),
+        let mut buffered = BytesMut::new();
+        while buffered.len() as u64 <= BUFFERED_BODY_BYTES_MAX {
+            match self.read_body_part(limits.header_timeout).await? {
+                BodyPart::Data(data) => buffered.extend_from_slice(&data),
+                BodyPart::End => return Ok((RequestBody::Whole(buffered.freeze()), None)),
             }
         }
-        let (sender, parts) = channel(BODY_PARTS);
-        let begun_bytes = whole.len() as u64;
-        // The channel is new and has room.
-        let _ = sender.try_send(BodyPart::Data(whole.freeze()));
-        let rest = Rest {
+        let (sender, parts) = channel(BODY_CHANNEL_PARTS);
+        let received_bytes = buffered.len() as u64;
+        // The channel is new and has capacity.
+        let _ = sender.try_send(BodyPart::Data(buffered.freeze()));
+        let remainder = BodyRemainder {
             sender,
-            begun_bytes,
+            received_bytes,
         };
         let body = RequestBody::Stream {
             length_bytes,
             parts,
         };
-        Ok((body, Some(rest)))
+        Ok((body, Some(remainder)))
     }
 
-    /// The next piece of a body.
-    async fn body_part(&mut self, stall: Duration) -> Result<BodyPart, End> {
+    /// Reads the next part of a body.
+    async fn read_body_part(&mut self, stall: Duration) -> Result<BodyPart, ReadEnd> {
         loop {
             match self.codec.decode(&mut self.buf) {
                 Ok(Some(Message::Chunk(Some(data)))) => return Ok(BodyPart::Data(data)),
                 Ok(Some(Message::Chunk(None))) => return Ok(BodyPart::End),
                 Ok(Some(Message::Item(_))) | Err(_) => {
-                    return Err(End::Refused(Refusal::Malformed));
+                    return Err(ReadEnd::Refused(Refusal::Malformed));
                 }
                 Ok(None) => {}
             }
@@ -328,66 +335,72 @@
         }
     }
 
-    /// Hands a long body on. The request has been started: what goes wrong cuts its body, and its
-    /// answer tells.
-    async fn stream_body(&mut self, mut rest: Rest) -> Result<(), End> {
+    /// Forwards the remainder of a long body. The request has already been started, so an error
+    /// truncates its body and is reported by its response.
+    async fn forward_body(&mut self, mut remainder: BodyRemainder) -> Result<(), ReadEnd> {
         let limits = self.handler.limits();
         loop {
-            let part = match self.body_part(limits.header_timeout).await {
+            let part = match self.read_body_part(limits.header_timeout).await {
                 Ok(part) => part,
-                Err(End::Refused(_)) => {
-                    drop(rest);
-                    self.watch().await;
-                    return Err(End::Gone);
+                Err(ReadEnd::Refused(_)) => {
+                    drop(remainder);
+                    self.drain_until_closed().await;
+                    return Err(ReadEnd::Closed);
                 }
                 Err(end) => return Err(end),
             };
-            let ended = part == BodyPart::End;
+            let at_end = part == BodyPart::End;
             if let BodyPart::Data(data) = &part {
-                rest.begun_bytes += data.len() as u64;
+                remainder.received_bytes += data.len() as u64;
             }
-            let too_long = rest.begun_bytes > limits.max_body_bytes;
-            // Whoever took the body may have an answer already and want no more of it: the rest is
-            // read over.
-            let taken = !too_long && self.hand_on(&rest.sender, part).await?;
-            if !taken {
-                drop(rest);
-                self.watch().await;
-                return Err(End::Gone);
+            let too_long = remainder.received_bytes > limits.max_body_bytes;
+            // The receiver may already have a response and need no more of the body, whose
+            // remainder is then discarded.
+            let forwarded = !too_long && self.forward_part(&remainder.sender, part).await?;
+            if !forwarded {
+                drop(remainder);
+                self.drain_until_closed().await;
+                return Err(ReadEnd::Closed);
             }
-            if ended {
+            if at_end {
                 return Ok(());
             }
         }
     }
 
-    /// Hands one piece on, watching for the caller's end; `false` if nobody takes it.
-    async fn hand_on(&mut self, sender: &Sender<BodyPart>, part: BodyPart) -> Result<bool, End> {
+    /// Forwards one part, while checking that the caller is still connected; `false` if the
+    /// receiver is gone.
+    async fn forward_part(
+        &mut self,
+        sender: &Sender<BodyPart>,
+        part: BodyPart,
+    ) -> Result<bool, ReadEnd> {
         let sending = sender.send(part);
         tokio::pin!(sending);
         loop {
-            let room = self.buf.len() < READ_AHEAD_BYTES;
+            let has_room = self.buf.len() < READ_AHEAD_BYTES;
             tokio::select! {
                 biased;
                 sent = &mut sending => return Ok(sent.is_ok()),
-                read = read_some(&mut self.reading, &mut self.buf), if room => {
+                read = read_some(&mut self.read_half, &mut self.buf), if has_room => {
                     if !matches!(read, Ok(1..)) {
-                        return Err(End::Gone);
+                        return Err(ReadEnd::Closed);
                     }
                 }
             }
         }
     }
 
-    /// Waits until fewer than `most` requests are under way, watching for the caller's end.
-    async fn until_under_way_below(&mut self, most: usize) -> Result<(), End> {
-        while self.shared.under_way.get() >= most {
-            let room = self.buf.len() < READ_AHEAD_BYTES;
+    /// Waits until fewer than `max_in_flight` requests are in flight, while checking that the
+    /// caller is still connected.
+    async fn wait_for_in_flight_below(&mut self, max_in_flight: usize) -> Result<(), ReadEnd> {
+        while self.state.in_flight.get() >= max_in_flight {
+            let has_room = self.buf.len() < READ_AHEAD_BYTES;
             tokio::select! {
-                () = self.shared.answered.notified() => {}
-                read = read_some(&mut self.reading, &mut self.buf), if room => {
+                () = self.state.response_written.notified() => {}
+                read = read_some(&mut self.read_half, &mut self.buf), if has_room => {
                     if !matches!(read, Ok(1..)) {
-                        return Err(End::Gone);
+                        return Err(ReadEnd::Closed);
                     }
                 }
             }
@@ -395,40 +408,41 @@
         Ok(())
     }
 
-    /// Waits for the first bytes of a request. Time counts from the last answer on.
-    async fn read_idle(&mut self, idle: Duration) -> Result<(), End> {
+    /// Waits for the first bytes of a request. The idle timeout doesn't apply while responses are
+    /// pending.
+    async fn read_when_idle(&mut self, idle: Duration) -> Result<(), ReadEnd> {
         loop {
-            match timeout(idle, read_some(&mut self.reading, &mut self.buf)).await {
+            match timeout(idle, read_some(&mut self.read_half, &mut self.buf)).await {
                 Ok(Ok(1..)) => return Ok(()),
-                Ok(_) => return Err(End::Gone),
-                Err(_elapsed) if self.shared.under_way.get() > 0 => {}
-                Err(_elapsed) => return Err(End::Gone),
+                Ok(_) => return Err(ReadEnd::Closed),
+                Err(_elapsed) if self.state.in_flight.get() > 0 => {}
+                Err(_elapsed) => return Err(ReadEnd::Closed),
             }
         }
     }
 
-    async fn read_until(&mut self, deadline: Instant) -> Result<(), End> {
-        let read = read_some(&mut self.reading, &mut self.buf);
+    async fn read_until(&mut self, deadline: Instant) -> Result<(), ReadEnd> {
+        let read = read_some(&mut self.read_half, &mut self.buf);
         match timeout_at(deadline.into(), read).await {
             Ok(Ok(1..)) => Ok(()),
-            Ok(_) => Err(End::Gone),
-            Err(_elapsed) => Err(End::Refused(Refusal::TooSlow)),
+            Ok(_) => Err(ReadEnd::Closed),
+            Err(_elapsed) => Err(ReadEnd::Refused(Refusal::TooSlow)),
         }
     }
 
-    /// Reads without looking until the caller closes its end.
-    async fn watch(&mut self) {
+    /// Reads and discards bytes until the caller closes its end.
+    async fn drain_until_closed(&mut self) {
         loop {
             self.buf.clear();
-            if !matches!(read_some(&mut self.reading, &mut self.buf).await, Ok(1..)) {
+            if !matches!(read_some(&mut self.read_half, &mut self.buf).await, Ok(1..)) {
                 return;
             }
         }
     }
 }
 
-/// The rest of a long body.
-struct Rest {
+/// Remainder of a long body.
+struct BodyRemainder {
     sender: Sender<BodyPart>,
-    begun_bytes: u64,
+    received_bytes: u64,
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,26 +1,28 @@
 //! HTTP/1.1 between callers and upstreams.
 //!
-//! Start with [`serve`], which carries one caller's connection: it decodes requests, also those sent
-//! ahead of earlier answers, hands each to a [`Handler`] and writes the answers in order. Towards
-//! upstreams, [`Pool::exchange`] sends one request and gives the [`Response`]'s head as soon as it
-//! is there, also while the request's body is still being sent; its [`BodyReader`] then tells a
-//! whole body from a cut one.
+//! Start with [`serve`], which serves one caller's connection: it decodes requests, including
+//! pipelined ones, passes each to a [`Handler`] and writes the responses in order. Towards
+//! upstreams, [`Pool::exchange`] sends one request and returns the head of the [`Response`] as soon
+//! as it arrives, even while the request's body is still being sent. The [`BodyReader`] of the
+//! response tells a complete body from a truncated one.
 //!
-//! The decoders are actix-http's. Heads and chunks are written here: the library's encoder takes the
-//! connection's state from the request decoded last, which with pipelining is another one.
+//! The decoders are those of actix-http. Heads and chunks are encoded here, because the library's
+//! encoder takes the connection's state from the request decoded last, which with pipelining is a
+//! different request.
 //!
 //! Invariants:
-//! - [`Failure::NotSent`] is said only when no byte of the request was written.
-//! - A body ends well only by its own framing: a declared length reached, a final chunk, or, where
-//!   there is neither, an orderly end of the connection.
-//! - A connection is used again only if all it was to carry went out and came in, and nothing else.
-//! - Dropping an exchange closes its connection, which is what cancels the request at an upstream.
+//! - [`Failure::NotSent`] is returned only if no byte of the request was written.
+//! - A body is complete only by its own framing: its declared length, a final chunk, or, without
+//!   either, an orderly end of the connection.
+//! - A connection is reused only if the request was sent and the response read completely, and no
+//!   other byte was received on it.
+//! - Dropping an exchange closes its connection, which cancels the request at the upstream.
 
-mod answers;
 mod caller;
 mod message;
 mod pool;
 mod response;
+mod response_writer;
 mod wire;
 
 pub use caller::{
@@ -43,8 +45,8 @@
 };
 pub use response::{
     BodyReader,
-    Cut,
-    Response, //
+    Response,
+    TruncatedBody, //
 };
 pub use wire::{
     forwardable,
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as they cross this crate's border.
+//! Requests and responses of callers, as this crate passes them to and from a handler.
 
 use actix_http::{
     header::HeaderMap,
@@ -10,27 +10,27 @@
 use std::time::Instant;
 use tokio::sync::mpsc::Receiver;
 
-/// A piece of a body on its way.
+/// A part of a streamed body.
 ///
-/// A channel that closes without [`BodyPart::End`] means a body that was cut.
+/// If a channel closes without [`BodyPart::End`], the body was truncated.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyPart {
-    /// Some bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// End of a complete body.
     End,
 }
 
 /// Body of a caller's request.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// All of it; it can be sent again.
+    /// The complete body in memory; it can be sent again.
     Whole(Bytes),
-    /// A long one, as it comes; it can be sent once.
+    /// A long body, streamed while it arrives; it can be sent only once.
     Stream {
-        /// Length that the caller declared; without one it comes in chunks.
+        /// Length that the caller declared; `None` if the body is chunked.
         length_bytes: Option<u64>,
-        /// Its pieces.
+        /// Parts of the body.
         parts: Receiver<BodyPart>,
     },
 }
@@ -46,44 +46,44 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: RequestBody,
-    /// When its head was read.
+    /// When the head was read.
     pub received: Instant,
 }
 
-/// Body of an answer.
+/// Body of a response to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// None, but a length that the body would have; answers to HEAD.
+    /// No body, but possibly the length that it would have; for responses to HEAD.
     Omitted {
-        /// That length.
+        /// Length to declare.
         length_bytes: Option<u64>,
     },
-    /// A long one, as it comes.
+    /// A long body, streamed while it arrives.
     Stream {
-        /// Declared length; without one it goes out in chunks.
+        /// Length to declare; `None` to send the body in chunks.
         length_bytes: Option<u64>,
-        /// Its pieces.
+        /// Parts of the body.
         parts: Receiver<BodyPart>,
     },
 }
 
-/// Answer to a caller.
+/// Response to a caller.
 #[derive(Debug)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Headers, without those of the connection and of the body's framing.
+    /// Headers, without those of the connection and of message framing.
     pub headers: HeaderMap,
     /// Body.
     pub body: AnswerBody,
-    /// Whether the connection can't be used after it.
+    /// Whether to close the connection after the response.
     pub close: bool,
 }
 
 impl Answer {
-    /// An answer without a body.
+    /// Creates a response without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self {
             status,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// An answer of the entry's own, as text.
+    /// Creates a response of the entry itself, with a text body.
     pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Self {
         Self {
             body: AnswerBody::Whole(text.into()),
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, and sending one request over one of them.
+//! Pool of connections to upstreams, and exchange of one request over a connection.
 
 use crate::{
     message::{
@@ -6,10 +6,10 @@
         RequestBody, //
     },
     response::{
-        Reader,
+        HeadReader,
         Response, //
     },
-    wire::chunk, //
+    wire::encode_chunk, //
 };
 use base::{
     FastMap,
@@ -39,62 +39,63 @@
     time::timeout_at, //
 };
 
-/// Longest wait for a connection: two delays across the farthest regions and one lost packet's
-/// first repeat.
+/// Timeout for opening a connection: two delays between the farthest regions and the first
+/// retransmission of one lost packet.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Idle time after which a connection is not used again, where the upstream states no timeout.
-const KEEP_IDLE: Duration = Duration::from_secs(4);
-/// Part of a stated timeout that is used, in hundredths: the rest covers the way there, so that the
-/// upstream doesn't close under a request.
-const KEEP_IDLE_PCT: u32 = 60;
-/// Idle connections kept to one upstream; more than a burst of this entry's requests needs there.
-const IDLE_MAX: usize = 32;
+/// Idle time after which a connection is not reused, if the upstream states no timeout.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Percentage of a stated idle timeout that is used. The rest covers the network delay, so that the
+/// upstream doesn't close the connection while a request is on its way.
+const IDLE_TIMEOUT_USED_PCT: u32 = 60;
+/// Idle connections kept to one upstream; more than a burst of this entry's requests to it needs.
+const IDLE_CONNECTIONS_MAX: usize = 32;
 
-/// An upstream to send to.
+/// Upstream that a request is sent to.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Target {
-    /// Name. Connections belong to it and to its address: another upstream may get either.
+    /// Name of the upstream. Connections are pooled by both name and address, since another
+    /// upstream may later get either.
     pub id: UpstreamId,
-    /// Address.
+    /// Address of the upstream.
     pub addr: SocketAddr,
 }
 
-/// One request, ready to be sent.
+/// Encoded request to an upstream.
 #[derive(Debug)]
 pub struct Exchange {
-    /// Head as written by [`crate::request_head`].
+    /// Head, encoded by [`crate::request_head`].
     pub head: Bytes,
     /// Body.
     pub body: RequestBody,
-    /// Header in which the answer repeats the request's id, and the id.
+    /// Header in which the response repeats the request's id, and that id.
     pub echo: Option<(actix_http::header::HeaderName, Bytes)>,
-    /// Whether answers to it have no body.
+    /// Whether its response has no body, as for HEAD.
     pub head_only: bool,
-    /// When it is given up.
+    /// When the exchange is given up.
     pub deadline: Instant,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
     /// No byte of the request was written.
     NotSent(String),
-    /// No process listens at the address; no byte was written.
+    /// The connection was refused because no process listens on the address; no byte was written.
     Refused,
-    /// Its upstream may not have it any more, as was found when a connection stood; no byte was written.
+    /// Permission to send was withdrawn while the connection was established; no byte was written.
     Withdrawn,
-    /// The connection ended after some or all of it was written: it may have run.
+    /// The connection ended after some or all of the request was written: it may have run.
     Broken(String),
-    /// What came is no HTTP answer: it may have run.
+    /// The response is not valid HTTP, or it belongs to another request: the request may have run.
     Malformed(String),
-    /// The caller's own body broke off; an upstream may have begun on it.
+    /// The body received from the caller was truncated; the upstream may have started the request.
     BodyCut,
-    /// The deadline passed; it may have run.
+    /// The deadline passed; the request may have run.
     Timeout,
 }
 
 impl Failure {
-    /// Whether it is proved that the request didn't run.
+    /// Whether the request provably didn't run.
     pub fn not_run(&self) -> bool {
         matches!(self, Self::NotSent(_) | Self::Refused | Self::Withdrawn)
     }
@@ -104,39 +105,41 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::Refused => f.write_str("not sent: no process listens there"),
-            Self::Withdrawn => f.write_str("not sent: the upstream may not have it any more"),
+            Self::Refused => f.write_str("not sent: no process listens on the address"),
+            Self::Withdrawn => {
+                f.write_str("not sent: permission to send was withdrawn while connecting")
+            }
             Self::Broken(why) => write!(f, "connection broke after the request was sent: {why}"),
             Self::Malformed(why) => write!(f, "malformed answer: {why}"),
-            Self::BodyCut => f.write_str("the caller's body broke off"),
+            Self::BodyCut => f.write_str("the body received from the caller was truncated"),
             Self::Timeout => f.write_str("no answer before the deadline"),
         }
     }
 }
 
-/// A connection between two uses.
+/// An unused open connection.
 #[derive(Debug)]
-pub(crate) struct Idle {
+pub(crate) struct IdleConnection {
     pub(crate) stream: TcpStream,
     pub(crate) until: Instant,
 }
 
-/// Connections to upstreams of one thread.
+/// Idle connections of one thread to upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    idle: Rc<RefCell<FastMap<Target, Vec<Idle>>>>,
+    idle: Rc<RefCell<FastMap<Target, Vec<IdleConnection>>>>,
 }
 
 impl Pool {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
-    /// `may_send` is asked once a connection stands, right before the first byte, and nothing is sent if it says no. What
-    /// goes wrong without it: what was true at the choice of the upstream is taken for true a second later, when
-    /// a connection has come about.
+    /// `may_send` is called once a connection is established, right before the first byte; nothing
+    /// is sent if it returns `false`. Opening a connection can take a second, so a condition that
+    /// held when the upstream was chosen may no longer hold.
     ///
     /// # Errors
     ///
-    /// No answer came; [`Failure`] says whether the request may have run.
+    /// There is no response; [`Failure`] tells whether the request may have run.
     pub async fn exchange(
         &self,
         target: &Target,
@@ -144,23 +147,23 @@
         may_send: impl FnOnce() -> bool,
     ) -> Result<Response, Failure> {
         let deadline = request.deadline.into();
-        let stream = match self.take(target) {
+        let stream = match self.check_out(target) {
             Some(stream) => stream,
             None => connect(target.addr, request.deadline).await?,
         };
         if !may_send() {
-            self.put(target, stream, None);
+            self.check_in(target, stream, None);
             return Err(Failure::Withdrawn);
         }
-        let mut sender = Sender::default();
-        let exchange = self.send(stream, target, request, &mut sender);
+        let mut writer = RequestWriter::default();
+        let exchange = self.send(stream, target, request, &mut writer);
         match timeout_at(deadline, exchange).await {
             Ok(result) => result,
             Err(_elapsed) => {
-                // A path that went silent takes its other connections along; each would cost one
-                // more deadline.
-                self.retire(target);
-                Err(if sender.written_bytes == 0 {
+                // If the network path is dead, the other idle connections are dead, too, and each
+                // would cost another request its deadline.
+                self.close_idle(target);
+                Err(if writer.written_bytes == 0 {
                     Failure::NotSent("the deadline passed before the first byte".to_owned())
                 } else {
                     Failure::Timeout
@@ -173,20 +176,21 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Failure::Refused`] if no process listens on the address, or with the error that prevented the
-    /// connection.
+    /// Fails with [`Failure::Refused`] if no process listens on the address, or with the error that
+    /// prevented the connection.
     pub async fn open(&self, target: &Target, deadline: Instant) -> Result<(), Failure> {
         let stream = connect(target.addr, deadline).await?;
-        self.put(target, stream, None);
+        self.check_in(target, stream, None);
         Ok(())
     }
 
     /// Closes all idle connections to an upstream.
-    pub fn retire(&self, target: &Target) {
+    pub fn close_idle(&self, target: &Target) {
         self.idle.borrow_mut().remove(target);
     }
 
-    /// Closes idle connections to upstreams that `keep` doesn't name, and those too old to use.
+    /// Closes expired idle connections, and all idle connections to upstreams for which `keep`
+    /// returns `false`.
     pub fn sweep(&self, keep: impl Fn(&UpstreamId) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|target, connections| {
@@ -195,29 +199,36 @@
         });
     }
 
-    /// Puts a connection back; `stated` is the idle timeout that the upstream stated.
-    pub(crate) fn put(&self, target: &Target, stream: TcpStream, stated: Option<Duration>) {
-        let keep = stated.map_or(KEEP_IDLE, |stated| stated * KEEP_IDLE_PCT / 100);
-        let until = Instant::now() + keep;
+    /// Returns a connection to the pool; `stated_timeout` is the idle timeout stated by the
+    /// upstream.
+    pub(crate) fn check_in(
+        &self,
+        target: &Target,
+        stream: TcpStream,
+        stated_timeout: Option<Duration>,
+    ) {
+        let reuse_for =
+            stated_timeout.map_or(IDLE_TIMEOUT, |stated| stated * IDLE_TIMEOUT_USED_PCT / 100);
+        let until = Instant::now() + reuse_for;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(target.clone()).or_default();
-        if connections.len() < IDLE_MAX {
-            connections.push(Idle { stream, until });
+        if connections.len() < IDLE_CONNECTIONS_MAX {
+            connections.push(IdleConnection { stream, until });
         }
     }
 
-    /// The connection used last that is still open and has nothing to say.
-    fn take(&self, target: &Target) -> Option<TcpStream> {
+    /// Takes the most recently used connection that is open, not expired and without unread bytes.
+    fn check_out(&self, target: &Target) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
         let now = Instant::now();
         while let Some(connection) = connections.pop() {
-            // Bytes that no request asked for retire a connection, as its end does.
-            let silent = matches!(
+            // A connection with unsolicited bytes is discarded, as is one that has been closed.
+            let reusable = matches!(
                 connection.stream.try_read(&mut [0; 1]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock
             );
-            if silent && now < connection.until {
+            if reusable && now < connection.until {
                 return Some(connection.stream);
             }
         }
@@ -229,12 +240,12 @@
         mut stream: TcpStream,
         target: &Target,
         request: Exchange,
-        sender: &mut Sender,
+        writer: &mut RequestWriter,
     ) -> Result<Response, Failure> {
-        let mut reader = Reader::new(request.echo, request.head_only);
-        let (mut reading, mut writing) = stream.split();
+        let mut reader = HeadReader::new(request.echo, request.head_only);
+        let (mut read_half, mut write_half) = stream.split();
         let head = {
-            let sending = sender.send(&mut writing, request.head, request.body);
+            let sending = writer.write_request(&mut write_half, request.head, request.body);
             tokio::pin!(sending);
             let mut sent = None;
             loop {
@@ -242,20 +253,20 @@
                     biased;
                     result = &mut sending, if sent.is_none() => match result {
                         Ok(()) => sent = Some(true),
-                        Err(SendError::BodyCut) => return Err(Failure::BodyCut),
-                        // The answer may have come before the connection broke.
-                        Err(SendError::Broken) => sent = Some(false),
-                        Err(SendError::NothingWritten(error)) => {
+                        Err(WriteError::BodyCut) => return Err(Failure::BodyCut),
+                        // The response may have arrived before the connection broke.
+                        Err(WriteError::Broken) => sent = Some(false),
+                        Err(WriteError::NothingWritten(error)) => {
                             return Err(Failure::NotSent(error.to_string()));
                         }
                     },
-                    head = reader.head(&mut reading) => break head.map(|head| (head, sent)),
+                    head = reader.head(&mut read_half) => break head.map(|head| (head, sent)),
                 }
             }
         };
         let (head, sent) = head?;
-        // An answer that came before the body was sent ends the sending; what the upstream reads
-        // next on this connection would be taken for the rest of that body.
+        // A response that arrives before the request was sent completely ends the sending. The
+        // upstream would take a further request on this connection for the rest of the body.
         let reusable = sent == Some(true);
         Ok(reader.into_response(head, stream, self.clone(), target.clone(), reusable))
     }
@@ -270,57 +281,63 @@
             return Err(Failure::Refused);
         }
         Ok(Err(error)) => return Err(Failure::NotSent(error.to_string())),
-        Err(_elapsed) => return Err(Failure::NotSent("no connection in time".to_owned())),
+        Err(_elapsed) => {
+            return Err(Failure::NotSent(
+                "no connection before the timeout".to_owned(),
+            ))
+        }
     };
     set_options(&stream).map_err(|error| Failure::NotSent(error.to_string()))?;
     Ok(stream)
 }
 
-enum SendError {
+enum WriteError {
     NothingWritten(io::Error),
-    /// The read that follows tells more.
+    /// The subsequent read finds the cause.
     Broken,
     BodyCut,
 }
 
-/// Writes a request and counts what went out.
+/// Writes a request and counts the bytes written.
 #[derive(Default)]
-struct Sender {
+struct RequestWriter {
     written_bytes: u64,
 }
 
-impl Sender {
-    async fn send(
+impl RequestWriter {
+    async fn write_request(
         &mut self,
-        writing: &mut (impl AsyncWriteExt + Unpin),
+        write_half: &mut (impl AsyncWriteExt + Unpin),
         head: Bytes,
         body: RequestBody,
-    ) -> Result<(), SendError> {
+    ) -> Result<(), WriteError> {
         match body {
-            RequestBody::Whole(bytes) if bytes.is_empty() => self.write(writing, head).await,
+            RequestBody::Whole(bytes) if bytes.is_empty() => self.write(write_half, head).await,
             RequestBody::Whole(bytes) => {
-                let mut all = BytesMut::with_capacity(head.len() + bytes.len());
-                all.extend_from_slice(&head);
-                all.extend_from_slice(&bytes);
-                self.write(writing, all.freeze()).await
+                let mut message = BytesMut::with_capacity(head.len() + bytes.len());
+                message.extend_from_slice(&head);
+                message.extend_from_slice(&bytes);
+                self.write(write_half, message.freeze()).await
             }
             RequestBody::Stream {
                 length_bytes,
                 mut parts,
             } => {
-                self.write(writing, head).await?;
+                self.write(write_half, head).await?;
                 loop {
                     match parts.recv().await {
                         Some(BodyPart::Data(data)) if length_bytes.is_some() => {
-                            self.write(writing, data).await?;
+                            self.write(write_half, data).await?;
                         }
                         Some(BodyPart::Data(data)) if data.is_empty() => {}
                         Some(BodyPart::Data(data)) => {
-                            self.write(writing, chunk(&data)).await?;
+                            self.write(write_half, encode_chunk(&data)).await?;
                         }
                         Some(BodyPart::End) if length_bytes.is_some() => return Ok(()),
-                        Some(BodyPart::End) => return self.write(writing, chunk(&[])).await,
-                        None => return Err(SendError::BodyCut),
+                        Some(BodyPart::End) => {
+                            return self.write(write_half, encode_chunk(&[])).await
+                        }
+                        None => return Err(WriteError::BodyCut),
                     }
                 }
             }
@@ -329,36 +346,36 @@
 
     async fn write(
         &mut self,
-        writing: &mut (impl AsyncWriteExt + Unpin),
+        write_half: &mut (impl AsyncWriteExt + Unpin),
         mut bytes: Bytes,
-    ) -> Result<(), SendError> {
+    ) -> Result<(), WriteError> {
         while !bytes.is_empty() {
-            match writing.write_buf(&mut bytes).await {
-                Ok(0) => return Err(self.broken(io::ErrorKind::WriteZero.into())),
+            match write_half.write_buf(&mut bytes).await {
+                Ok(0) => return Err(self.write_error(io::ErrorKind::WriteZero.into())),
                 Ok(written) => self.written_bytes += written as u64,
-                Err(error) => return Err(self.broken(error)),
+                Err(error) => return Err(self.write_error(error)),
             }
         }
         Ok(())
     }
 
-    fn broken(&self, error: io::Error) -> SendError {
+    fn write_error(&self, error: io::Error) -> WriteError {
         if self.written_bytes == 0 {
-            SendError::NothingWritten(error)
+            WriteError::NothingWritten(error)
         } else {
-            SendError::Broken
+            WriteError::Broken
         }
     }
 }
 
-/// Reads some bytes; `Ok(0)` is the orderly end.
+/// Reads some bytes; `Ok(0)` means an orderly end of the connection.
 pub(crate) async fn read_some(
-    reading: &mut (impl AsyncReadExt + Unpin),
+    read_half: &mut (impl AsyncReadExt + Unpin),
     buf: &mut BytesMut,
 ) -> io::Result<usize> {
-    buf.reserve(READ_BYTES);
-    reading.read_buf(buf).await
+    buf.reserve(READ_BUFFER_BYTES);
+    read_half.read_buf(buf).await
 }
 
-/// Room for one read.
-const READ_BYTES: usize = 8 << 10;
+/// Buffer space reserved for one read, in bytes.
+const READ_BUFFER_BYTES: usize = 8 << 10;
--- a/crates/relay/src/response.rs
+++ b/crates/relay/src/response.rs
@@ -1,4 +1,4 @@
-//! An upstream's answer: its head, and a body that knows whether it is whole.
+//! Response of an upstream: its head, and a body reader that detects truncation.
 
 use crate::pool::{
     read_some,
@@ -40,30 +40,30 @@
     time::timeout_at, //
 };
 
-/// Header that states how long an idle connection is kept.
+/// Header that states how long the upstream keeps an idle connection open.
 const KEEP_ALIVE: &str = "keep-alive";
-/// Answers to other requests that are read over before a connection is given up.
-const STRAY_ANSWERS_MAX: u32 = 3;
+/// Responses to other requests that are skipped before a connection is given up.
+const MISMATCHED_RESPONSES_MAX: u32 = 3;
 
-/// Why a body ended before it was whole.
+/// A body ended before it was complete.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Cut(
-    /// What happened.
+pub struct TruncatedBody(
+    /// Cause.
     pub String,
 );
 
-impl fmt::Display for Cut {
+impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the answer broke off: {}", self.0)
     }
 }
 
-/// Head of an answer, and its body to be read.
+/// Head of an upstream's response, and a reader of its body.
 #[derive(Debug)]
 pub struct Response {
     /// Status.
     pub status: StatusCode,
-    /// All headers.
+    /// Headers, unfiltered.
     pub headers: HeaderMap,
     /// Declared length of the body.
     pub length_bytes: Option<u64>,
@@ -71,17 +71,17 @@
     pub body: BodyReader,
 }
 
-/// How the end of a body is recognised.
-enum End {
-    /// There is none.
+/// How the end of a response body is recognised.
+enum BodyDelimiter {
+    /// There is no body, or its end has been reached.
     Empty,
-    /// By its declared length or its chunks.
+    /// By its declared length or the final chunk.
     Framed(Box<ClientPayloadCodec>),
     /// By the end of the connection.
     Connection,
 }
 
-impl fmt::Debug for End {
+impl fmt::Debug for BodyDelimiter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Empty => "Empty",
@@ -91,45 +91,45 @@
     }
 }
 
-/// Reads the head of the answer to one request.
-pub(crate) struct Reader {
+/// Reads the head of the response to one request.
+pub(crate) struct HeadReader {
     buf: BytesMut,
     codec: Option<ClientCodec>,
     echo: Option<(HeaderName, Bytes)>,
     head_only: bool,
-    /// Answers to other requests that came first.
-    strays: u32,
-    /// Body of such an answer that is being read over.
-    stray_body: Option<Box<ClientPayloadCodec>>,
-    end: End,
+    /// Number of responses to other requests received first.
+    mismatched_responses: u32,
+    /// Body of such a response that is being skipped.
+    mismatched_body: Option<Box<ClientPayloadCodec>>,
+    delimiter: BodyDelimiter,
 }
 
-impl Reader {
+impl HeadReader {
     pub(crate) fn new(echo: Option<(HeaderName, Bytes)>, head_only: bool) -> Self {
         Self {
             buf: BytesMut::new(),
             codec: Some(ClientCodec::default()),
             echo,
             head_only,
-            strays: 0,
-            stray_body: None,
-            end: End::Empty,
+            mismatched_responses: 0,
+            mismatched_body: None,
+            delimiter: BodyDelimiter::Empty,
         }
     }
 
-    /// The head of the answer that belongs to the request. Safe to cancel.
+    /// Reads the head of the response to this request. Cancel-safe.
     ///
-    /// An answer that repeats another request's id is a late one to an earlier request; it is read
-    /// over, and ours is awaited behind it.
+    /// A response with another request's id is a late one to an earlier request. It is skipped, and
+    /// the response to this request is expected after it.
     pub(crate) async fn head(
         &mut self,
-        reading: &mut (impl AsyncReadExt + Unpin),
+        read_half: &mut (impl AsyncReadExt + Unpin),
     ) -> Result<ResponseHead, Failure> {
         loop {
             if let Some(head) = self.decode()? {
                 return Ok(head);
             }
-            match read_some(reading, &mut self.buf).await {
+            match read_some(read_half, &mut self.buf).await {
                 Ok(0) => return Err(Failure::Broken("it was closed".to_owned())),
                 Ok(_) => {}
                 Err(error) => return Err(Failure::Broken(error.to_string())),
@@ -139,7 +139,7 @@
 
     fn decode(&mut self) -> Result<Option<ResponseHead>, Failure> {
         loop {
-            if !self.skip_stray_body()? {
+            if !self.skip_mismatched_body()? {
                 return Ok(None);
             }
             let mut codec = self.codec.take().unwrap_or_default();
@@ -152,36 +152,38 @@
             if head.status.is_informational() {
                 continue;
             }
-            let end = end_of(&head, codec, self.head_only);
-            if self.belongs(&head) {
-                self.end = end;
+            let delimiter = body_delimiter(&head, codec, self.head_only);
+            if self.matches_request(&head) {
+                self.delimiter = delimiter;
                 return Ok(Some(head));
             }
-            self.strays += 1;
-            match end {
-                End::Empty if self.strays <= STRAY_ANSWERS_MAX => {}
-                End::Framed(body) if self.strays <= STRAY_ANSWERS_MAX => {
-                    self.stray_body = Some(body);
+            self.mismatched_responses += 1;
+            match delimiter {
+                BodyDelimiter::Empty if self.mismatched_responses <= MISMATCHED_RESPONSES_MAX => {}
+                BodyDelimiter::Framed(body)
+                    if self.mismatched_responses <= MISMATCHED_RESPONSES_MAX =>
+                {
+                    self.mismatched_body = Some(body);
                 }
                 _ => {
                     return Err(Failure::Malformed(
-                        "the answer belongs to another request".to_owned(),
+                        "the response belongs to another request".to_owned(),
                     ))
                 }
             }
         }
     }
 
-    /// Reads over the body of a stray answer; `false` if more has to come.
-    fn skip_stray_body(&mut self) -> Result<bool, Failure> {
-        let Some(body) = &mut self.stray_body else {
+    /// Skips the body of a response to another request; `false` if more bytes are needed.
+    fn skip_mismatched_body(&mut self) -> Result<bool, Failure> {
+        let Some(body) = &mut self.mismatched_body else {
             return Ok(true);
         };
         loop {
             match body.decode(&mut self.buf) {
                 Ok(Some(Some(_))) => {}
                 Ok(Some(None)) => {
-                    self.stray_body = None;
+                    self.mismatched_body = None;
                     return Ok(true);
                 }
                 Ok(None) => return Ok(false),
@@ -190,8 +192,9 @@
         }
     }
 
-    /// Whether the answer is not another request's. One that repeats no id can't be told apart.
-    fn belongs(&self, head: &ResponseHead) -> bool {
+    /// Whether the response may belong to this request. Without an id in the response, it is
+    /// assumed to.
+    fn matches_request(&self, head: &ResponseHead) -> bool {
         let Some((name, id)) = &self.echo else {
             return true;
         };
@@ -211,9 +214,12 @@
             ConnectionType::KeepAlive => head.version >= actix_http::Version::HTTP_11,
             _ => false,
         };
-        let by_length = !matches!(self.end, End::Connection);
-        let reusable = reusable && stays_open && by_length && self.strays == 0;
-        let keep_idle = head.headers.get(KEEP_ALIVE).and_then(stated_timeout);
+        let delimited = !matches!(self.delimiter, BodyDelimiter::Connection);
+        let reusable = reusable && stays_open && delimited && self.mismatched_responses == 0;
+        let stated_timeout = head
+            .headers
+            .get(KEEP_ALIVE)
+            .and_then(parse_keep_alive_timeout);
         let length = head.headers.get(CONTENT_LENGTH);
         let length_bytes = length.and_then(|value| value.to_str().ok()?.trim().parse().ok());
         Response {
@@ -223,18 +229,18 @@
             body: BodyReader {
                 stream: Some(stream),
                 buf: self.buf,
-                end: self.end,
+                delimiter: self.delimiter,
                 pool,
                 upstream,
                 reusable,
-                keep_idle,
+                stated_timeout,
             },
         }
     }
 }
 
-/// The timeout in a `Keep-Alive` header.
-fn stated_timeout(value: &actix_http::header::HeaderValue) -> Option<Duration> {
+/// Parses the timeout of a `Keep-Alive` header.
+fn parse_keep_alive_timeout(value: &actix_http::header::HeaderValue) -> Option<Duration> {
     let text = value.to_str().ok()?;
     let timeout = text
         .split(',')
@@ -242,95 +248,98 @@
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// How the body of an answer ends.
+/// How the body of a response ends.
 ///
-/// The library takes an HTTP/1.1 answer without a length and without chunks for one without a body.
-/// It has a body that ends with the connection.
-fn end_of(head: &ResponseHead, codec: ClientCodec, head_only: bool) -> End {
+/// actix-http takes an HTTP/1.1 response without a length and without chunks for one without a
+/// body, whereas its body ends with the connection.
+fn body_delimiter(head: &ResponseHead, codec: ClientCodec, head_only: bool) -> BodyDelimiter {
     let status = head.status;
-    let bodiless = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
-    if head_only || bodiless {
-        return End::Empty;
+    let never_has_body = status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED;
+    if head_only || never_has_body {
+        return BodyDelimiter::Empty;
     }
     match codec.message_type() {
-        MessageType::Payload => End::Framed(Box::new(codec.into_payload_codec())),
+        MessageType::Payload => BodyDelimiter::Framed(Box::new(codec.into_payload_codec())),
         _ if head.headers.contains_key(CONTENT_LENGTH)
             || head.headers.contains_key(TRANSFER_ENCODING) =>
         {
-            End::Empty
+            BodyDelimiter::Empty
         }
-        _ => End::Connection,
+        _ => BodyDelimiter::Connection,
     }
 }
 
-/// The body of an answer, still on its connection.
+/// Reads the body of a response from its connection.
 #[derive(Debug)]
 pub struct BodyReader {
     stream: Option<TcpStream>,
     buf: BytesMut,
-    end: End,
+    delimiter: BodyDelimiter,
     pool: Pool,
     upstream: Target,
     reusable: bool,
-    keep_idle: Option<Duration>,
+    stated_timeout: Option<Duration>,
 }
 
 impl BodyReader {
-    /// The next piece; `None` once the body is whole. Safe to cancel.
+    /// Reads the next part; `None` once the body is complete. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// The body broke off, or the deadline passed.
-    pub async fn next(&mut self, deadline: Instant) -> Result<Option<Bytes>, Cut> {
+    /// The body was truncated, or the deadline passed.
+    pub async fn next(&mut self, deadline: Instant) -> Result<Option<Bytes>, TruncatedBody> {
         match timeout_at(deadline.into(), self.read_next()).await {
             Ok(result) => result,
             Err(_elapsed) => {
                 self.stream = None;
-                Err(Cut("the deadline passed".to_owned()))
+                Err(TruncatedBody("the deadline passed".to_owned()))
             }
         }
     }
 
-    async fn read_next(&mut self) -> Result<Option<Bytes>, Cut> {
+    async fn read_next(&mut self) -> Result<Option<Bytes>, TruncatedBody> {
         loop {
-            match &mut self.end {
-                End::Empty => {
-                    self.finish();
+            match &mut self.delimiter {
+                BodyDelimiter::Empty => {
+                    self.release_connection();
                     return Ok(None);
                 }
-                End::Framed(codec) => match codec.decode(&mut self.buf) {
+                BodyDelimiter::Framed(codec) => match codec.decode(&mut self.buf) {
                     Ok(Some(Some(data))) => return Ok(Some(data)),
                     Ok(Some(None)) => {
-                        self.end = End::Empty;
+                        self.delimiter = BodyDelimiter::Empty;
                         continue;
                     }
                     Ok(None) => {}
-                    Err(error) => return Err(Cut(error.to_string())),
+                    Err(error) => return Err(TruncatedBody(error.to_string())),
                 },
-                End::Connection if !self.buf.is_empty() => {
+                BodyDelimiter::Connection if !self.buf.is_empty() => {
                     return Ok(Some(self.buf.split().freeze()));
                 }
-                End::Connection => {}
+                BodyDelimiter::Connection => {}
             }
             let Some(stream) = &mut self.stream else {
-                return Err(Cut("the connection is gone".to_owned()));
+                return Err(TruncatedBody("the connection is already closed".to_owned()));
             };
             match read_some(stream, &mut self.buf).await {
-                Ok(0) if matches!(self.end, End::Connection) => self.end = End::Empty,
-                Ok(0) => return Err(Cut("the connection was closed".to_owned())),
+                Ok(0) if matches!(self.delimiter, BodyDelimiter::Connection) => {
+                    self.delimiter = BodyDelimiter::Empty
+                }
+                Ok(0) => return Err(TruncatedBody("the connection was closed".to_owned())),
                 Ok(_) => {}
-                Err(error) => return Err(Cut(error.to_string())),
+                Err(error) => return Err(TruncatedBody(error.to_string())),
             }
         }
     }
 
-    /// Gives the connection back, if nothing is left on it.
-    fn finish(&mut self) {
+    /// Returns the connection to the pool if it can be reused and no unread bytes are left.
+    fn release_connection(&mut self) {
         let Some(stream) = self.stream.take() else {
             return;
         };
         if self.reusable && self.buf.is_empty() {
-            self.pool.put(&self.upstream, stream, self.keep_idle);
+            self.pool
+                .check_in(&self.upstream, stream, self.stated_timeout);
         }
     }
 }
--- /dev/null
+++ b/crates/relay/src/response_writer.rs
@@ -0,0 +1,194 @@
+//! Write half of a caller's connection.
+
+use crate::{
+    caller::{
+        ConnectionState,
+        Handler,
+        Refusal, //
+    },
+    message::{
+        Answer,
+        AnswerBody,
+        BodyPart, //
+    },
+    wire::{
+        encode_chunk,
+        put_response_head,
+        Framing, //
+    },
+};
+use actix_http::StatusCode;
+use bytes::BytesMut;
+use std::{
+    cell::Cell,
+    future::Future,
+    io,
+    rc::Rc,
+    time::Duration, //
+};
+use tokio::{
+    io::AsyncWriteExt,
+    net::tcp::OwnedWriteHalf,
+    sync::mpsc::{
+        Receiver,
+        UnboundedReceiver, //
+    },
+    task::JoinHandle,
+    time::timeout,
+};
+
+/// Longest time for which a write of a response may make no progress.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Response to a request, available or still being produced; dropping it cancels the request.
+pub(crate) enum ResponseTask {
+    Ready(Box<Answer>),
+    Running(AbortOnDrop),
+}
+
+/// Task that produces the response to one request, aborted on drop.
+pub(crate) struct AbortOnDrop(JoinHandle<Answer>);
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
+
+impl ResponseTask {
+    pub(crate) fn start(response: impl Future<Output = Answer> + 'static) -> Self {
+        Self::Running(AbortOnDrop(actix_rt::spawn(response)))
+    }
+}
+
+/// A response in the order in which the responses of a connection are written.
+pub(crate) struct QueuedResponse {
+    pub(crate) task: ResponseTask,
+    pub(crate) head_only: bool,
+    pub(crate) close: bool,
+    /// Set once the request's body has been read completely.
+    pub(crate) body_read: Rc<Cell<bool>>,
+}
+
+/// Writes the responses in order until one closes the connection, which is then shut down for
+/// writing.
+pub(crate) async fn write_responses<H: Handler>(
+    mut write_half: OwnedWriteHalf,
+    mut queue: UnboundedReceiver<QueuedResponse>,
+    handler: Rc<H>,
+    state: Rc<ConnectionState>,
+) -> OwnedWriteHalf {
+    while let Some(queued) = queue.recv().await {
+        let response = match queued.task {
+            ResponseTask::Ready(response) => *response,
+            ResponseTask::Running(mut running) => match (&mut running.0).await {
+                Ok(response) => response,
+                Err(_panicked) => handler.refuse(Refusal::Internal),
+            },
+        };
+        // Callers take requests behind a response that closes the connection as not processed, so
+        // the connection stays open while other responses are queued.
+        let stopping = handler.is_stopping() && queue.is_empty();
+        // The unread rest of a request's body would be parsed as the next request.
+        let close = queued.close || response.close || stopping || !queued.body_read.get();
+        let written = write_response(&mut write_half, response, queued.head_only, close).await;
+        state.in_flight.set(state.in_flight.get() - 1);
+        state.response_written.notify_one();
+        match written {
+            Ok(()) if !close => {}
+            Ok(()) => break,
+            // A truncated response must not look complete: the connection is reset, not shut down.
+            Err(_incomplete) => {
+                reset_on_close(&write_half);
+                return write_half;
+            }
+        }
+    }
+    // Fails if the caller closed the connection first.
+    let _ = write_half.shutdown().await;
+    write_half
+}
+
+/// Makes closing the connection send a reset.
+///
+/// A body with a length or in chunks looks truncated after an orderly close, too. A reset is
+/// reported to the caller at once, even if it doesn't check the framing.
+fn reset_on_close(write_half: &OwnedWriteHalf) {
+    let stream: &tokio::net::TcpStream = write_half.as_ref();
+    // Fails if the connection has already ended, which needs no reset.
+    let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
+}
+
+async fn write_response(
+    write_half: &mut OwnedWriteHalf,
+    response: Answer,
+    head_only: bool,
+    close: bool,
+) -> io::Result<()> {
+    let mut out = BytesMut::with_capacity(512);
+    let (status, headers) = (response.status, response.headers);
+    match response.body {
+        AnswerBody::Whole(body) => {
+            let framing = response_framing(status, Some(body.len() as u64));
+            put_response_head(&mut out, status, &headers, framing, close);
+            if !head_only && framing != Framing::None {
+                out.extend_from_slice(&body);
+            }
+            write(write_half, &out).await
+        }
+        AnswerBody::Omitted { length_bytes } => {
+            let framing = length_bytes.map_or(Framing::None, Framing::Length);
+            put_response_head(&mut out, status, &headers, framing, close);
+            write(write_half, &out).await
+        }
+        AnswerBody::Stream {
+            length_bytes,
+            parts,
+        } => {
+            let framing = response_framing(status, length_bytes);
+            put_response_head(&mut out, status, &headers, framing, close);
+            write(write_half, &out).await?;
+            write_body(write_half, parts, framing).await
+        }
+    }
+}
+
+fn response_framing(status: StatusCode, length_bytes: Option<u64>) -> Framing {
+    match length_bytes {
+        _ if status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED => {
+            Framing::None
+        }
+        Some(length) => Framing::Length(length),
+        None => Framing::Chunked,
+    }
+}
+
+async fn write_body(
+    write_half: &mut OwnedWriteHalf,
+    mut parts: Receiver<BodyPart>,
+    framing: Framing,
+) -> io::Result<()> {
+    let chunked = framing == Framing::Chunked;
+    loop {
+        match parts.recv().await {
+            Some(BodyPart::Data(data)) if chunked => {
+                write(write_half, &encode_chunk(&data)).await?
+            }
+            Some(BodyPart::Data(data)) => write(write_half, &data).await?,
+            Some(BodyPart::End) if chunked => return write(write_half, &encode_chunk(&[])).await,
+            Some(BodyPart::End) => return Ok(()),
+            None => return Err(io::ErrorKind::UnexpectedEof.into()),
+        }
+    }
+}
+
+async fn write(write_half: &mut OwnedWriteHalf, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        let written = timeout(WRITE_STALL_TIMEOUT, write_half.write(bytes)).await??;
+        if written == 0 {
+            return Err(io::ErrorKind::WriteZero.into());
+        }
+        bytes = &bytes[written..];
+    }
+    Ok(())
+}
--- a/crates/relay/src/wire.rs
+++ b/crates/relay/src/wire.rs
@@ -1,4 +1,4 @@
-//! Writing heads and chunks.
+//! Encoding of message heads and chunks.
 
 use actix_http::{
     header::{
@@ -23,8 +23,8 @@
 };
 use std::fmt::Write as _;
 
-/// Headers that concern one connection only, or the framing, which is written anew.
-const OF_CONNECTION: [HeaderName; 8] = [
+/// Hop-by-hop headers and those of message framing, which is encoded anew.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
     PROXY_AUTHENTICATE,
@@ -34,44 +34,46 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// The one of these that the library has no constant for.
+/// A hop-by-hop header for which actix-http has no constant.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Most bytes around a chunk's data: its length in hexadecimal and two line ends.
+/// Upper bound on the bytes around a chunk's data: its length in hexadecimal and two line ends.
 const CHUNK_FRAME_BYTES: usize = 20;
 
-/// How a body's end is told.
+/// How the end of a body is indicated to the recipient.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// There is no body, and its absence goes without saying.
+    /// There is no body, and no header is needed to say so.
     None,
-    /// By its length.
+    /// By a declared length.
     Length(u64),
     /// By a final chunk.
     Chunked,
 }
 
-/// The headers that are passed on: all but those of the connection, also those that it names.
+/// Headers to forward: all but the hop-by-hop ones, including those named by `Connection`.
 pub fn forwardable(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+    let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut end_to_end = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let of_connection = OF_CONNECTION.contains(name)
+        let hop_by_hop = HOP_BY_HOP.contains(name)
             || name.as_str() == KEEP_ALIVE
-            || named.iter().any(|dropped| dropped == name.as_str());
-        if !of_connection {
-            kept.append(name.clone(), value.clone());
+            || connection_options
+                .iter()
+                .any(|option| option == name.as_str());
+        if !hop_by_hop {
+            end_to_end.append(name.clone(), value.clone());
         }
     }
-    kept
+    end_to_end
 }
 
-/// Head of a request to an upstream.
+/// Encodes the head of a request to an upstream.
 pub fn request_head(
     method: &Method,
     path: &str,
@@ -88,8 +90,8 @@
     out
 }
 
-/// Head of an answer to a caller.
-pub(crate) fn answer_head(
+/// Appends the head of a response to a caller.
+pub(crate) fn put_response_head(
     out: &mut BytesMut,
     status: StatusCode,
     headers: &HeaderMap,
@@ -97,7 +99,7 @@
     close: bool,
 ) {
     let reason = status.canonical_reason().unwrap_or("Other");
-    // Writing into a buffer in memory can't fail.
+    // Writing to an in-memory buffer can't fail.
     let _ = write!(out, "HTTP/1.1 {} {reason}\r\n", status.as_u16());
     put_headers(out, headers, framing);
     if close {
@@ -106,10 +108,10 @@
     out.put_slice(b"\r\n");
 }
 
-/// One chunk, or the last one if `data` is empty.
-pub(crate) fn chunk(data: &[u8]) -> Bytes {
+/// Encodes one chunk, or the final one if `data` is empty.
+pub(crate) fn encode_chunk(data: &[u8]) -> Bytes {
     let mut out = BytesMut::with_capacity(data.len() + CHUNK_FRAME_BYTES);
-    // Writing into a buffer in memory can't fail.
+    // Writing to an in-memory buffer can't fail.
     let _ = write!(out, "{:x}\r\n", data.len());
     out.put_slice(data);
     out.put_slice(b"\r\n");
@@ -126,7 +128,7 @@
     match framing {
         Framing::None => {}
         Framing::Length(length) => {
-            // Writing into a buffer in memory can't fail.
+            // Writing to an in-memory buffer can't fail.
             let _ = write!(out, "content-length: {length}\r\n");
         }
         Framing::Chunked => out.put_slice(b"transfer-encoding: chunked\r\n"),
