--- a/crates/balance/examples/choice_time.rs
+++ b/crates/balance/examples/choice_time.rs
@@ -1,13 +1,13 @@
 //! Measures the time of one choice among many upstreams: `cargo run --release -p balance --example choice_time`.
 
 use balance::{
-    affinity,
+    affinity_hash,
     choose,
     Choice,
     Location,
     Query,
+    ServiceTimes, //
     Upstream,
-    Work, //
 };
 use std::time::{
     Duration,
@@ -44,21 +44,21 @@
         let mut sent = 0;
         for number in 0..CHOICES {
             let now = Duration::from_millis(1000 + number);
-            let key = affinity(&(number % KEYS).to_le_bytes());
+            let key = affinity_hash(&(number % KEYS).to_le_bytes());
             let query = Query {
                 key,
-                keyed: true,
+                has_affinity_key: true,
                 explores: number % 12 == 0,
                 target_left: Duration::from_millis(1500),
                 deadline_left: Duration::from_millis(8000),
-                homes: &[],
+                home_regions: &[],
                 tried: &[],
-                full_regions: &[],
+                shift_limited_regions: &[],
                 cold_per_s: f64::MAX,
-                work: Work::default(),
+                service_times: ServiceTimes::default(),
             };
-            if let Choice::Send { place, .. } = choose(&mut upstreams, &query, &here, now) {
-                upstreams[place].warm.note(key, now);
+            if let Choice::Send { index: place, .. } = choose(&mut upstreams, &query, &here, now) {
+                upstreams[place].warm_keys.note(key, now);
                 sent += 1;
             }
         }
--- a/crates/balance/src/choose.rs
+++ b/crates/balance/src/choose.rs
@@ -16,8 +16,8 @@
 //! requests after it.
 
 use crate::{
-    rendezvous::rank,
-    service_times::Work,
+    rendezvous::rendezvous_score,
+    service_times::ServiceTimes,
     upstream::Upstream, //
 };
 use base::{
@@ -91,7 +91,7 @@
     /// Hash of its affinity key, or of its id if it has none.
     pub key: u64,
     /// Whether it has an affinity key and its route is sticky, so that a warm upstream is faster.
-    pub keyed: bool,
+    pub has_affinity_key: bool,
     /// Whether to use the highest-ranked upstream of this failure domain instead of a warm one outside it.
     pub explores: bool,
     /// Time left until the latency target is missed.
@@ -99,15 +99,15 @@
     /// Time left until the caller's deadline.
     pub deadline_left: Duration,
     /// Regions that may serve it; empty means all.
-    pub homes: &'a [RegionId],
+    pub home_regions: &'a [RegionId],
     /// Indices of the upstreams that it was already sent to.
     pub tried: &'a [usize],
     /// Regions that may get no more requests for now because of the limit on shifts.
-    pub full_regions: &'a [RegionId],
+    pub shift_limited_regions: &'a [RegionId],
     /// Requests per second that a cold upstream accepts.
     pub cold_per_s: f64,
     /// Estimated service times.
-    pub work: Work,
+    pub service_times: ServiceTimes,
 }
 
 /// Estimated times of a request at one upstream.
@@ -116,7 +116,7 @@
     /// Wait for a slot.
     pub wait: Duration,
     /// Response time: network round trip, wait and service time.
-    pub answer: Duration,
+    pub response_time: Duration,
 }
 
 /// Decision on a request.
@@ -125,7 +125,7 @@
     /// Send it to this upstream.
     Send {
         /// Index of the upstream.
-        place: usize,
+        index: usize,
         /// Whether the upstream is known to have served the request's key recently.
         warm: bool,
         /// Whether the upstream should have a free slot.
@@ -189,7 +189,7 @@
     let mut candidates = candidates(upstreams, query, here, now);
     let is_open = |candidate: &Candidate| {
         let region = &upstreams[candidate.index].region;
-        !query.full_regions.contains(region)
+        !query.shift_limited_regions.contains(region)
     };
     // The limit on shifts is ignored if only the limited regions have an upstream for the request.
     if candidates.iter().any(is_open) {
@@ -208,11 +208,11 @@
             retry_after: RETRY_AFTER_NO_UPSTREAM,
         };
     };
-    let is_in_deadline = best.expectation.answer <= query.deadline_left.mul_f64(TIME_USED);
-    let late_wait_max = query.work.warm().mul_f64(LATE_WAIT_MAX);
+    let is_in_deadline = best.expectation.response_time <= query.deadline_left.mul_f64(TIME_USED);
+    let late_wait_max = query.service_times.warm().mul_f64(LATE_WAIT_MAX);
     if is_in_target(best, query) || (is_in_deadline && best.expectation.wait <= late_wait_max) {
         return Choice::Send {
-            place: best.index,
+            index: best.index,
             warm: best.known_warm,
             idle: best.expectation.wait.is_zero(),
             expected: best.expectation,
@@ -251,7 +251,7 @@
         Crossing::None | Crossing::Domain => KEY_UPSTREAMS_OWN_REGION,
         Crossing::Region => KEY_UPSTREAMS_OTHER_REGION,
     };
-    !query.keyed
+    !query.has_affinity_key
         || candidate.known_warm
         || candidate.is_first_in_domain
         || candidate.rank_in_region < limit
@@ -276,8 +276,8 @@
 /// Before any answer has been observed, this is false for upstreams that may have to be warmed first. All entries then
 /// use the upstream that the key ranks highest, rather than a different one in each failure domain.
 fn is_in_target(estimate: &Estimate, query: &Query<'_>) -> bool {
-    let known = query.work.is_known() || !query.keyed || estimate.known_warm;
-    known && estimate.expectation.answer <= query.target_left.mul_f64(TIME_USED)
+    let known = query.service_times.is_known() || !query.has_affinity_key || estimate.known_warm;
+    known && estimate.expectation.response_time <= query.target_left.mul_f64(TIME_USED)
 }
 
 /// Returns the best upstream for the request.
@@ -293,11 +293,12 @@
             Crossing::None => 0.0,
             // Requests without a key are spread over the region, since an upstream without requests is not known to
             // work.
-            Crossing::Domain if !query.keyed => 0.0,
+            Crossing::Domain if !query.has_affinity_key => 0.0,
             Crossing::Domain => DOMAIN_CROSSING_COST,
             Crossing::Region => REGION_CROSSING_COST,
         };
-        one.expectation.answer + target.mul_f64(crossing + REGION_LOAD_COST * one.region_load)
+        one.expectation.response_time
+            + target.mul_f64(crossing + REGION_LOAD_COST * one.region_load)
     };
     let Some(best) = in_target.min_by_key(cost) else {
         let idle = estimates
@@ -307,10 +308,14 @@
             (
                 one.crossing == Crossing::Region,
                 one.rank_in_region,
-                one.expectation.answer,
+                one.expectation.response_time,
             )
         });
-        return nearest.or_else(|| estimates.iter().min_by_key(|one| one.expectation.answer));
+        return nearest.or_else(|| {
+            estimates
+                .iter()
+                .min_by_key(|one| one.expectation.response_time)
+        });
     };
     if query.explores && best.crossing > Crossing::None {
         // The key's first upstream in this failure domain, if it is not known to be warm.
@@ -331,17 +336,17 @@
     now: Now,
 ) -> Estimate {
     let upstream = &upstreams[candidate.index];
-    let service_time = if query.keyed && candidate.known_warm {
-        query.work.warm()
-    } else if query.keyed && candidate.rank_in_region == 0 {
-        query.work.assumed_warm()
+    let service_time = if query.has_affinity_key && candidate.known_warm {
+        query.service_times.warm()
+    } else if query.has_affinity_key && candidate.rank_in_region == 0 {
+        query.service_times.assumed_warm()
     } else {
-        query.work.cold()
+        query.service_times.cold()
     };
     let slowdown = slowdown(upstream, query);
     let slots = f64::from(upstream.slots);
     let ahead = (upstream.load(now) - slots + 1.0).max(0.0);
-    let wait = query.work.warm().mul_f64(slowdown * ahead / slots);
+    let wait = query.service_times.warm().mul_f64(slowdown * ahead / slots);
     let round_trip = here.round_trip(&upstream.region);
     Estimate {
         index: candidate.index,
@@ -355,7 +360,7 @@
             .unwrap_or_default(),
         expectation: Expectation {
             wait,
-            answer: round_trip + wait + service_time.mul_f64(slowdown),
+            response_time: round_trip + wait + service_time.mul_f64(slowdown),
         },
     }
 }
@@ -365,7 +370,7 @@
     let Some(latency) = upstream.health.latency() else {
         return 1.0;
     };
-    let usual = query.work.cold().as_secs_f64();
+    let usual = query.service_times.cold().as_secs_f64();
     let ratio = latency.as_secs_f64() / usual.max(0.001);
     if ratio > SLOWDOWN_MIN {
         ratio
@@ -389,7 +394,8 @@
     let mut failing = Vec::new();
     for (index, upstream) in upstreams.iter_mut().enumerate() {
         let is_local = upstream.region == here.region;
-        let is_home = query.homes.is_empty() || query.homes.contains(&upstream.region);
+        let is_home =
+            query.home_regions.is_empty() || query.home_regions.contains(&upstream.region);
         if upstream.is_closed() || !is_home || query.tried.contains(&index) {
             continue;
         }
@@ -403,9 +409,9 @@
         };
         let candidate = Candidate {
             index,
-            score: rank(query.key, upstream.hash),
+            score: rendezvous_score(query.key, upstream.hash),
             crossing,
-            known_warm: query.keyed && upstream.warm.is_warm(query.key, now),
+            known_warm: query.has_affinity_key && upstream.warm_keys.is_warm(query.key, now),
             rank_in_region: 0,
             is_first_in_domain: false,
         };
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -80,7 +80,7 @@
 
     /// Records that the upstream's process has ended, and ejects it for at least `ejection`. Returns that duration if
     /// an ejection begins.
-    pub fn note_ended(&mut self, ejection: Duration, now: Now) -> Option<Duration> {
+    pub fn note_exit(&mut self, ejection: Duration, now: Now) -> Option<Duration> {
         let begins = !self.is_ejected(now);
         self.failure_rate = self.failure_rate.max(EJECTION_THRESHOLD);
         self.unreachable = true;
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -36,20 +36,20 @@
     Query, //
 };
 pub use cold_start_limiter::ColdStartLimiter;
-pub use entry_share::part;
+pub use entry_share::entry_share;
 pub use health::Health;
 pub use rate_limiter::RateLimiter;
 pub use rendezvous::{
-    affinity,
-    rank, //
+    affinity_hash,
+    rendezvous_score, //
 };
 pub use retry_budget::RetryBudget;
-pub use service_times::Work;
-pub use shift::ShiftBound;
+pub use service_times::ServiceTimes;
+pub use shift::ShiftLimiter;
 pub use upstream::{
-    Reported,
+    LoadReport,
     Upstream, //
 };
-pub use upstream_counts::Census;
+pub use upstream_counts::UpstreamCounts;
 pub use warm_keys::WarmKeys;
 pub use window::Window;
--- a/crates/balance/src/rendezvous.rs
+++ b/crates/balance/src/rendezvous.rs
@@ -10,14 +10,14 @@
 };
 
 /// Hashes an affinity key or a name; the result is the same in every process.
-pub fn affinity(bytes: &[u8]) -> u64 {
+pub fn affinity_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FixedState::default().build_hasher();
     hasher.write(bytes);
     hasher.finish()
 }
 
 /// Returns the score of an upstream for a key, both given as hashes by [`affinity`]. The highest score is preferred.
-pub fn rank(key: u64, upstream: u64) -> u64 {
+pub fn rendezvous_score(key: u64, upstream: u64) -> u64 {
     let mut hasher = FixedState::default().build_hasher();
     hasher.write_u64(key);
     hasher.write_u64(upstream);
--- a/crates/balance/src/retry_budget.rs
+++ b/crates/balance/src/retry_budget.rs
@@ -36,14 +36,14 @@
     }
 
     /// Counts a request from a caller.
-    pub fn offer(&mut self, now: Now) {
+    pub fn note_request(&mut self, now: Now) {
         self.requests.add(1, now);
     }
 
     /// Takes one retry from the budget. Returns whether the budget allowed it. `slack` is this entry's share of the
     /// constant, and `now` is the time since the start of the process.
     #[must_use]
-    pub fn take(&mut self, slack: f64, now: Now) -> bool {
+    pub fn try_take(&mut self, slack: f64, now: Now) -> bool {
         let slack = if now < self.window { 0.0 } else { slack };
         let requests = self.requests.count_lower_bound(now) as f64;
         let allowed = (requests * self.ratio + slack) * USED_PCT / 100.0;
--- a/crates/balance/src/service_times.rs
+++ b/crates/balance/src/service_times.rs
@@ -24,14 +24,14 @@
 
 /// Estimated service times, without the network round trip.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
+pub struct ServiceTimes {
     warm_s: Option<f64>,
     cold_s: Option<f64>,
     /// Rate at which upstreams not known to be warm turned out to be warm.
     assumed_warm_rate: f64,
 }
 
-impl Work {
+impl ServiceTimes {
     /// Records the service time of an answer that did not wait for a slot. `known_warm` is whether the upstream was
     /// known to have served the key recently.
     pub fn note(&mut self, known_warm: bool, service_time: Duration) {
--- a/crates/balance/src/shift.rs
+++ b/crates/balance/src/shift.rs
@@ -1,8 +1,8 @@
 //! Limit on how fast the distribution of requests over regions may change.
 
 use crate::rendezvous::{
-    affinity,
-    rank, //
+    affinity_hash,
+    rendezvous_score, //
 };
 use base::{
     FastMap,
@@ -33,7 +33,7 @@
 /// the middle of a window that is not limited, and the next window's limit would be based on a fraction of their first
 /// seconds.
 #[derive(Clone, Debug)]
-pub struct ShiftBound {
+pub struct ShiftLimiter {
     window: Duration,
     /// Differs between entries.
     seed: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-impl ShiftBound {
+impl ShiftLimiter {
     /// Returns a limiter over windows of this length; `seed` must differ between entries.
     pub fn new(window: Duration, seed: u64) -> Self {
         Self {
@@ -83,7 +83,7 @@
 
     /// Returns whether one more request may run in `region` if all regions together may gain the fraction `growth` of
     /// the requests per window.
-    pub fn fits(&mut self, region: &str, growth: f64, now: Now) -> bool {
+    pub fn allows(&mut self, region: &str, growth: f64, now: Now) -> bool {
         self.advance(now);
         let previous = &self.previous;
         if previous.total < REQUESTS_MIN {
@@ -105,9 +105,9 @@
 
     /// Returns a pseudorandom number from 0 to 1 for this entry, window and region.
     fn rounding_offset(&self, region: &str) -> f64 {
-        let number = rank(
+        let number = rendezvous_score(
             self.seed ^ self.window_index as u64,
-            affinity(region.as_bytes()),
+            affinity_hash(region.as_bytes()),
         );
         (number >> 11) as f64 / (1_u64 << 53) as f64
     }
--- a/crates/balance/src/upstream.rs
+++ b/crates/balance/src/upstream.rs
@@ -4,7 +4,7 @@
     cold_start_limiter::ColdStartLimiter,
     health::Health,
     rate_limiter::RateLimiter,
-    rendezvous::affinity,
+    rendezvous::affinity_hash,
     warm_keys::WarmKeys, //
 };
 use base::{
@@ -25,7 +25,7 @@
 
 /// Load that an upstream states in an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Reported {
+pub struct LoadReport {
     /// Requests being processed.
     pub running: u32,
     /// Requests that wait for a slot at the upstream.
@@ -72,9 +72,9 @@
     /// Time of the last report.
     reported_at: Now,
     /// Requests that other entries have in flight there, according to those entries.
-    pub told: Option<u32>,
+    pub peers_in_flight: Option<u32>,
     /// Affinity keys that it served recently.
-    pub warm: WarmKeys,
+    pub warm_keys: WarmKeys,
     /// Failures and latency.
     pub health: Health,
 }
@@ -83,7 +83,7 @@
     /// Returns an upstream without any observations.
     pub fn new(id: UpstreamId, region: RegionId, failure_domain: DomainId, slots: u32) -> Self {
         Self {
-            hash: affinity(id.as_bytes()),
+            hash: affinity_hash(id.as_bytes()),
             id,
             started_ms: 0,
             region,
@@ -99,8 +99,8 @@
             in_flight: 0,
             reported_others: 0.0,
             reported_at: Now::ZERO,
-            told: None,
-            warm: WarmKeys::default(),
+            peers_in_flight: None,
+            warm_keys: WarmKeys::default(),
             health: Health::default(),
         }
     }
@@ -109,7 +109,7 @@
     /// [`Self::in_flight`].
     ///
     /// The report includes this entry's own requests; the remainder is attributed to other entries.
-    pub fn report(&mut self, reported: Reported, now: Now) {
+    pub fn note_report(&mut self, reported: LoadReport, now: Now) {
         if reported.slots > 0 {
             self.slots = reported.slots;
         }
@@ -124,7 +124,7 @@
     /// report with a weight that decreases with its age.
     pub fn load(&self, now: Now) -> f64 {
         let age = now.saturating_sub(self.reported_at);
-        let others = match self.told {
+        let others = match self.peers_in_flight {
             Some(in_flight) if age > REPORT_EXACT => f64::from(in_flight),
             _ => self.reported_others * report_weight(age),
         };
@@ -171,7 +171,7 @@
     }
 
     /// Stops counting a request as waiting, because it is being sent or has been withdrawn.
-    pub fn note_waited(&mut self) {
+    pub fn note_wait_ended(&mut self) {
         self.cold_start_limiter.note_wait_ended();
         self.rate_limiter.note_wait_ended();
     }
--- a/crates/balance/src/upstream_counts.rs
+++ b/crates/balance/src/upstream_counts.rs
@@ -9,7 +9,7 @@
 
 /// Number of upstreams of one service by the first state that applies, so that each is counted once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Census {
+pub struct UpstreamCounts {
     /// Accept requests.
     pub open: u32,
     /// Leaving, gone or in an evacuated failure domain.
@@ -20,7 +20,7 @@
     pub failing: u32,
 }
 
-impl Census {
+impl UpstreamCounts {
     /// Counts upstreams by their state at `now`.
     pub fn of(upstreams: &[Upstream], now: Now) -> Self {
         let mut counts = Self::default();
--- a/crates/balance/tests/budgets.rs
+++ b/crates/balance/tests/budgets.rs
@@ -1,11 +1,11 @@
 //! Limits over all entries combined, enforced by each entry on its own share.
 
 use balance::{
-    affinity,
+    affinity_hash,
     ColdStartLimiter,
     RateLimiter,
     RetryBudget,
-    ShiftBound,
+    ShiftLimiter,
     Upstream,
     Window, //
 };
@@ -86,9 +86,9 @@
                 now += ms(u64::from(*wait) * 4);
                 let budget = &mut budgets[usize::from(*entry) % ENTRIES];
                 if !retry {
-                    budget.offer(now);
+                    budget.note_request(now);
                     events.push((now, false));
-                } else if budget.take(SLACK / ENTRIES as f64, now) {
+                } else if budget.try_take(SLACK / ENTRIES as f64, now) {
                     events.push((now, true));
                 }
             }
@@ -118,8 +118,9 @@
     const SLACK: f64 = 20.0;
     let share = SLACK / ENTRIES as f64;
     let length = Duration::from_secs(10);
-    let spend =
-        |budget: &mut RetryBudget, now: Now| (0..100).filter(|_| budget.take(share, now)).count();
+    let spend = |budget: &mut RetryBudget, now: Now| {
+        (0..100).filter(|_| budget.try_take(share, now)).count()
+    };
     let mut spent = 0;
     for _ in 0..ENTRIES {
         // The process has run for a minute, and is then killed three times within five seconds.
@@ -312,7 +313,7 @@
 /// Returns the fraction of requests that run away from home in each of some windows of two seconds. All requests go to
 /// the region that `wanted` returns for the window, as far as the limiter allows.
 fn fractions_away(windows: u64, wanted: impl Fn(u64) -> RegionId) -> Vec<f64> {
-    let mut limiter = ShiftBound::new(Duration::from_secs(2), 7);
+    let mut limiter = ShiftLimiter::new(Duration::from_secs(2), 7);
     let mut fractions = Vec::new();
     for window in 0..windows {
         let mut away = 0;
@@ -320,7 +321,7 @@
             let now = ms(window * 2000 + request * 10);
             let preferred = wanted(window);
             let fallback = if preferred == HOME { AWAY } else { HOME };
-            let region = if limiter.fits(&preferred, 0.1, now) {
+            let region = if limiter.allows(&preferred, 0.1, now) {
                 preferred
             } else {
                 fallback
@@ -369,9 +370,10 @@
         (200, 1, 0.02),
         (3, 30, 0.25),
     ] {
-        let new =
-            |entry: u64| ShiftBound::new(Duration::from_secs(2), affinity(&entry.to_le_bytes()));
-        let mut limiters: Vec<ShiftBound> = (0..entries).map(new).collect();
+        let new = |entry: u64| {
+            ShiftLimiter::new(Duration::from_secs(2), affinity_hash(&entry.to_le_bytes()))
+        };
+        let mut limiters: Vec<ShiftLimiter> = (0..entries).map(new).collect();
         let mut fractions = Vec::new();
         for window in 0..20_u64 {
             let mut away = 0;
@@ -380,7 +382,7 @@
                 for limiter in &mut limiters {
                     // From the twelfth window on, all requests prefer another region.
                     let wanted = if window < 12 { HOME } else { AWAY };
-                    let is_allowed = limiter.fits(&wanted, 0.075, now);
+                    let is_allowed = limiter.allows(&wanted, 0.075, now);
                     let region = if is_allowed { wanted } else { HOME };
                     limiter.note(&region, now);
                     away += u64::from(region == AWAY);
@@ -407,8 +409,9 @@
 fn simulate_overload(offset_ms: u64) -> Vec<(u64, bool)> {
     const ENTRIES: u64 = 28;
     const SLOTS: usize = 320;
-    let new = |entry: u64| ShiftBound::new(Duration::from_secs(2), affinity(&entry.to_le_bytes()));
-    let mut limiters: Vec<ShiftBound> = (0..ENTRIES).map(new).collect();
+    let new =
+        |entry: u64| ShiftLimiter::new(Duration::from_secs(2), affinity_hash(&entry.to_le_bytes()));
+    let mut limiters: Vec<ShiftLimiter> = (0..ENTRIES).map(new).collect();
     let mut runs: Vec<(u64, bool)> = Vec::new();
     // Time at which each busy slot becomes free.
     let mut busy: Vec<u64> = Vec::new();
@@ -418,9 +421,9 @@
         let now = ms(10_000 + offset_ms + at);
         busy.retain(|free_at| *free_at > at);
         let has_slot = busy.len() < SLOTS;
-        let entry = affinity(&request.to_le_bytes()) % ENTRIES;
+        let entry = affinity_hash(&request.to_le_bytes()) % ENTRIES;
         let limiter = &mut limiters[entry as usize];
-        let mut allows = |region: &RegionId| limiter.fits(region, SHIFT_LIMIT / 2.0, now);
+        let mut allows = |region: &RegionId| limiter.allows(region, SHIFT_LIMIT / 2.0, now);
         // Two other regions have free slots and are preferred in turn.
         let mut away = [AWAY, BEYOND];
         away.rotate_left((request / 7 % 2) as usize);
@@ -476,9 +479,9 @@
 /// A process's first window has no previous one to be compared with.
 #[test]
 fn first_window_is_not_limited() {
-    let mut limiter = ShiftBound::new(Duration::from_secs(2), 7);
+    let mut limiter = ShiftLimiter::new(Duration::from_secs(2), 7);
     for request in 0..100_u64 {
-        assert!(limiter.fits(&AWAY, 0.1, ms(request)));
+        assert!(limiter.allows(&AWAY, 0.1, ms(request)));
         limiter.note(&AWAY, ms(request));
     }
 }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -1,15 +1,15 @@
 //! Tests of the selection of an upstream, and of the estimates of service times.
 
 use balance::{
-    affinity,
+    affinity_hash,
     choose,
-    rank,
+    rendezvous_score,
     Choice,
+    LoadReport,
     Location,
     Query,
-    Reported,
+    ServiceTimes, //
     Upstream,
-    Work, //
 };
 use base::{
     Now,
@@ -44,8 +44,8 @@
 }
 
 /// Service times of 100 ms if warm and 300 ms if cold; all upstreams assumed to be warm were warm.
-fn reliable_times() -> Work {
-    let mut times = Work::default();
+fn reliable_times() -> ServiceTimes {
+    let mut times = ServiceTimes::default();
     times.note(false, ms(300));
     for _ in 0..100 {
         times.note(true, ms(100));
@@ -55,8 +55,8 @@
 }
 
 /// The same service times; no upstream assumed to be warm was warm.
-fn unreliable_times() -> Work {
-    let mut times = Work::default();
+fn unreliable_times() -> ServiceTimes {
+    let mut times = ServiceTimes::default();
     times.note(false, ms(300));
     for _ in 0..100 {
         times.note(true, ms(100));
@@ -67,21 +67,21 @@
 fn query(key: u64) -> Query<'static> {
     Query {
         key,
-        keyed: true,
+        has_affinity_key: true,
         explores: false,
         target_left: ms(400),
         deadline_left: ms(2000),
-        homes: &[],
+        home_regions: &[],
         tried: &[],
-        full_regions: &[],
+        shift_limited_regions: &[],
         cold_per_s: 10.0,
-        work: reliable_times(),
+        service_times: reliable_times(),
     }
 }
 
 fn sent_to(choice: Choice) -> usize {
     match choice {
-        Choice::Send { place, .. } => place,
+        Choice::Send { index: place, .. } => place,
         other => panic!("not sent: {other:?}"),
     }
 }
@@ -91,12 +91,12 @@
     let is_in_order = |key: &u64| {
         let scores: Vec<u64> = order
             .iter()
-            .map(|index| rank(*key, upstreams[*index].hash))
+            .map(|index| rendezvous_score(*key, upstreams[*index].hash))
             .collect();
         scores.windows(2).all(|pair| pair[0] > pair[1])
     };
     (0..100_000_u64)
-        .map(|number| affinity(&number.to_le_bytes()))
+        .map(|number| affinity_hash(&number.to_le_bytes()))
         .find(is_in_order)
         .expect("a key with this order")
 }
@@ -113,7 +113,7 @@
         .map(|number: u64| {
             sent_to(choose(
                 &mut all,
-                &query(affinity(&number.to_le_bytes())),
+                &query(affinity_hash(&number.to_le_bytes())),
                 &here(),
                 NOW,
             ))
@@ -127,7 +127,7 @@
     for (number, before) in (0..300_u64).zip(first) {
         let after = sent_to(choose(
             &mut all,
-            &query(affinity(&number.to_le_bytes())),
+            &query(affinity_hash(&number.to_le_bytes())),
             &here(),
             NOW,
         ));
@@ -177,27 +177,27 @@
     let key = key_for(&all, &[1, 2, 3, 0]);
     let query = |key| Query {
         target_left: ms(250),
-        work: unreliable_times(),
+        service_times: unreliable_times(),
         ..query(key)
     };
     // While no upstream is known to be warm, one in the caller's region is warmed.
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
-    all[1].warm.note(key, NOW);
+    all[1].warm_keys.note(key, NOW);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 1);
     // Once the upstream in this region is warm, it is used.
-    all[0].warm.note(key, NOW);
+    all[0].warm_keys.note(key, NOW);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
     // Regions excluded by the limit on shifts or by the route's home regions are not used.
     all[0] = upstream("h", "home");
     let full = [RegionId::from_static("near"), RegionId::from_static("far")];
     let shift_limited = Query {
-        full_regions: &full,
+        shift_limited_regions: &full,
         ..query(key)
     };
     assert_eq!(sent_to(choose(&mut all, &shift_limited, &here(), NOW)), 0);
     let homes = [RegionId::from_static("far")];
     let far_only = Query {
-        homes: &homes,
+        home_regions: &homes,
         ..query(key)
     };
     assert_eq!(sent_to(choose(&mut all, &far_only, &here(), NOW)), 3);
@@ -216,14 +216,14 @@
         upstream("f", "far"),
     ];
     for number in 0..100_u64 {
-        let key = affinity(&number.to_le_bytes());
+        let key = affinity_hash(&number.to_le_bytes());
         let first = Query {
             target_left: ms(250),
-            work: unreliable_times(),
+            service_times: unreliable_times(),
             ..query(key)
         };
         let index = sent_to(choose(&mut all, &first, &here(), NOW));
-        let highest = if rank(key, all[0].hash) > rank(key, all[1].hash) {
+        let highest = if rendezvous_score(key, all[0].hash) > rendezvous_score(key, all[1].hash) {
             0
         } else {
             1
@@ -242,7 +242,7 @@
     ];
     let key = key_for(&all, &[2, 1, 0]);
     for one in &mut all {
-        one.warm.note(key, NOW);
+        one.warm_keys.note(key, NOW);
     }
     // Half of the slots of each region are busy.
     all[2].in_flight = 2;
@@ -261,8 +261,8 @@
     let mut counts = [0, 0];
     for number in 0..100_u64 {
         let unkeyed = Query {
-            keyed: false,
-            ..query(affinity(&number.to_le_bytes()))
+            has_affinity_key: false,
+            ..query(affinity_hash(&number.to_le_bytes()))
         };
         counts[sent_to(choose(&mut all, &unkeyed, &here(), NOW))] += 1;
     }
@@ -276,7 +276,7 @@
 fn requests_leave_a_busy_region_before_it_is_full() {
     let mut all = vec![upstream("h", "home"), upstream("n", "near")];
     for one in &mut all {
-        one.warm.note(7, NOW);
+        one.warm_keys.note(7, NOW);
     }
     assert_eq!(sent_to(choose(&mut all, &query(7), &here(), NOW)), 0);
     all[0].in_flight = 3;
@@ -294,10 +294,10 @@
         upstream("n", "near"),
     ];
     let key = key_for(&all, &[1, 2, 0]);
-    all[1].warm.note(key, NOW);
+    all[1].warm_keys.note(key, NOW);
     let explores = Query {
         explores: true,
-        work: unreliable_times(),
+        service_times: unreliable_times(),
         target_left: ms(250),
         ..query(key)
     };
@@ -415,16 +415,16 @@
 fn load_from_other_entries_counts() {
     let mut one = upstream("a", "home");
     one.in_flight = 1;
-    let reported = Reported {
+    let reported = LoadReport {
         running: 4,
         waiting: 3,
         slots: 4,
     };
-    one.report(reported, NOW);
+    one.note_report(reported, NOW);
     assert_eq!(one.load(NOW), 8.0);
-    one.told = Some(2);
+    one.peers_in_flight = Some(2);
     assert_eq!(one.load(NOW + ms(500)), 3.0);
-    one.told = None;
+    one.peers_in_flight = None;
     assert_eq!(one.load(NOW + Duration::from_secs(3)), 1.0);
 }
 
@@ -453,7 +453,7 @@
         all[1].health.note_failure(false, NOW);
     }
     for number in 0..50_u64 {
-        let key = affinity(&number.to_le_bytes());
+        let key = affinity_hash(&number.to_le_bytes());
         assert_ne!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 1);
     }
 }
@@ -463,7 +463,7 @@
 /// entries.
 #[test]
 fn queueing_does_not_raise_the_service_time() {
-    let mut times = Work::default();
+    let mut times = ServiceTimes::default();
     for _ in 0..100 {
         times.note(true, ms(100));
     }
@@ -492,7 +492,7 @@
     ];
     let key = key_for(&all, &[1, 2, 0]);
     let first = Query {
-        work: Work::default(),
+        service_times: ServiceTimes::default(),
         ..query(key)
     };
     assert_eq!(sent_to(choose(&mut all, &first, &here(), NOW)), 0);
@@ -507,7 +507,7 @@
 /// Guards against answers of upstreams that other entries have warmed reducing the cold service time.
 #[test]
 fn warm_answers_of_unknown_upstreams_count_as_warm() {
-    let mut times = Work::default();
+    let mut times = ServiceTimes::default();
     times.note(false, ms(300));
     times.note(true, ms(100));
     for _ in 0..100 {
--- a/crates/balance/tests/restart_of_all.rs
+++ b/crates/balance/tests/restart_of_all.rs
@@ -4,13 +4,13 @@
 //! key, because the key is slow at each further upstream that it is sent to.
 
 use balance::{
-    affinity,
+    affinity_hash,
     choose,
     Choice,
     Location,
     Query,
+    ServiceTimes, //
     Upstream,
-    Work, //
 };
 use base::Now;
 use std::{
@@ -44,7 +44,7 @@
 }
 
 /// Sends one request per key from an entry of each failure domain. Returns the indices of the upstreams by key.
-fn sent(work: Work) -> BTreeMap<u64, BTreeSet<usize>> {
+fn sent(work: ServiceTimes) -> BTreeMap<u64, BTreeSet<usize>> {
     let mut sent: BTreeMap<u64, BTreeSet<usize>> = BTreeMap::new();
     for domain in DOMAINS {
         let here = Location {
@@ -55,19 +55,19 @@
         let mut upstreams = upstreams();
         for number in 0..KEYS {
             let query = Query {
-                key: affinity(&number.to_le_bytes()),
-                keyed: true,
+                key: affinity_hash(&number.to_le_bytes()),
+                has_affinity_key: true,
                 explores: false,
                 target_left: Duration::from_millis(1500),
                 deadline_left: Duration::from_millis(8000),
-                homes: &[],
+                home_regions: &[],
                 tried: &[],
-                full_regions: &[],
+                shift_limited_regions: &[],
                 cold_per_s: f64::MAX,
-                work,
+                service_times: work,
             };
             match choose(&mut upstreams, &query, &here, NOW) {
-                Choice::Send { place, .. } => sent.entry(number).or_default().insert(place),
+                Choice::Send { index: place, .. } => sent.entry(number).or_default().insert(place),
                 other => panic!("{other:?}"),
             };
         }
@@ -78,7 +78,7 @@
 /// Guards against each failure domain's entries warming a different upstream for the same key.
 #[test]
 fn a_key_is_warmed_once_before_any_answer() {
-    for (key, indices) in sent(Work::default()) {
+    for (key, indices) in sent(ServiceTimes::default()) {
         assert_eq!(indices.len(), 1, "key {key}");
     }
 }
@@ -86,7 +86,7 @@
 /// Guards against keys moving once the first answers show that cold requests miss the target.
 #[test]
 fn a_key_stays_where_it_was_warmed_first() {
-    let mut observed = Work::default();
+    let mut observed = ServiceTimes::default();
     observed.note(false, COLD);
-    assert_eq!(sent(Work::default()), sent(observed));
+    assert_eq!(sent(ServiceTimes::default()), sent(observed));
 }
--- a/crates/daemon/examples/beat_bytes.rs
+++ b/crates/daemon/examples/beat_bytes.rs
@@ -17,7 +17,7 @@
 };
 use share::{
     MemberId,
-    PoolBeat, //
+    PoolHeartbeat, //
 };
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
         instance: format!("arusha-a-{index:02}").into(),
         incarnation: 12,
     };
-    let beat = PoolBeat {
+    let beat = PoolHeartbeat {
         pool: "slots/menu/arusha".into(),
         from: member(0),
         epoch: 4_000,
--- a/crates/daemon/src/process/control/beats/hear.rs
+++ b/crates/daemon/src/process/control/beats/hear.rs
@@ -12,10 +12,10 @@
     Now, //
 };
 use member::{
-    BeatFacts,
     Freshness,
+    Heartbeat,
     Identity,
-    UpstreamMark, //
+    LeavingMark, //
 };
 use peer::{
     Beat,
@@ -47,14 +47,14 @@
             if known.incarnation != peer.incarnation {
                 continue;
             }
-            let facts = BeatFacts {
+            let facts = Heartbeat {
                 identity: known.identity.clone(),
                 incarnation: known.incarnation,
                 version: known.version,
                 state: known.state,
                 age: peer.rtt + TICK,
             };
-            self.picture.heard(&peer.instance, &facts, now);
+            self.picture.apply_heartbeat(&peer.instance, &facts, now);
         }
     }
 
@@ -69,7 +69,7 @@
         let Some(identity) = self.identity_of(from) else {
             return;
         };
-        let facts = BeatFacts {
+        let facts = Heartbeat {
             identity,
             incarnation,
             version: beat.version,
@@ -80,7 +80,7 @@
             let silent = self.picture.freshness(from, now) == Freshness::Silent;
             (facts.state, facts.incarnation, facts.version, silent)
         });
-        self.picture.heard(from, &facts, now);
+        self.picture.apply_heartbeat(from, &facts, now);
         for summary in &beat.instances {
             self.on_summary(summary, now);
         }
@@ -100,15 +100,15 @@
     fn on_summary(&mut self, told: &InstanceSummary, now: Now) {
         let summary = wire::from_summary(told);
         self.picture
-            .passed_on(&told.instance, &summary, TRANSIT, now);
+            .apply_summary(&told.instance, &summary, TRANSIT, now);
     }
 
     fn on_leaving_mark(&mut self, told: &LeavingUpstream, now: Now) {
-        let mark = UpstreamMark {
+        let mark = LeavingMark {
             upstream: told.upstream.clone(),
             age_ms: told.age_ms,
         };
-        if self.picture.upstream_marked(&mark, TRANSIT, now) {
+        if self.picture.apply_upstream_mark(&mark, TRANSIT, now) {
             self.mark_leaving(&told.upstream);
             self.beat_soon();
         }
--- a/crates/daemon/src/process/control/beats/mod.rs
+++ b/crates/daemon/src/process/control/beats/mod.rs
@@ -33,8 +33,8 @@
 use member::{
     partners,
     Identity,
+    InstanceLocation, //
     LeaseState,
-    Place, //
 };
 use peer::{
     Event,
@@ -86,12 +86,12 @@
             return;
         };
         let settings = &self.shared.settings;
-        let me = Place {
+        let me = InstanceLocation {
             instance: settings.instance.clone(),
             region: settings.region.clone(),
             failure_domain: settings.failure_domain.clone(),
         };
-        let known: Vec<(Place, SocketAddr)> = self
+        let known: Vec<(InstanceLocation, SocketAddr)> = self
             .picture
             .instances()
             .filter(|(_, facts)| facts.state != LeaseState::Left)
@@ -100,7 +100,7 @@
                 Some((place_of(&facts.identity), addr.parse().ok()?))
             })
             .collect();
-        let all: Vec<Place> = known.iter().map(|(place, _)| place.clone()).collect();
+        let all: Vec<InstanceLocation> = known.iter().map(|(place, _)| place.clone()).collect();
         let chosen = partners(&me, &all, PARTNERS_PER_REGION, PARTNERS_SEED);
         // Members of one pool have to hear each other, whatever their failure domain.
         let wanted = known
@@ -158,8 +158,8 @@
     }
 }
 
-fn place_of(identity: &Identity) -> Place {
-    Place {
+fn place_of(identity: &Identity) -> InstanceLocation {
+    InstanceLocation {
         instance: identity.instance.clone(),
         region: identity.region.clone(),
         failure_domain: identity.failure_domain.clone(),
--- a/crates/daemon/src/process/control/beats/wire.rs
+++ b/crates/daemon/src/process/control/beats/wire.rs
@@ -5,8 +5,8 @@
 use member::{
     Identity,
     LeaseState,
+    LeavingMark, //
     Summary,
-    UpstreamMark, //
 };
 use peer::{
     InstanceSummary,
@@ -77,7 +77,7 @@
     }
 }
 
-pub(super) fn to_leaving(mark: UpstreamMark) -> LeavingUpstream {
+pub(super) fn to_leaving(mark: LeavingMark) -> LeavingUpstream {
     LeavingUpstream {
         upstream: mark.upstream,
         age_ms: mark.age_ms,
--- a/crates/daemon/src/process/control/claims.rs
+++ b/crates/daemon/src/process/control/claims.rs
@@ -21,13 +21,13 @@
 use bytestring::ByteString;
 use filing::{
     Batch,
-    ClaimAnswer,
     ClaimEvent,
+    ClaimResult,
     ClaimStep,
     Claimer,
-    CommitAnswer,
+    CommitResult,
+    ConditionalWrite,
     Guards,
-    Insert,
     ReleaseStep,
     Releaser, //
 };
@@ -90,14 +90,14 @@
     }
 
     /// Writes what came of a claimed filing; until it is there repeats are told `unknown`.
-    pub(super) fn write_outcome(&mut self, insert: Insert, ctx: &mut Context<Self>) {
+    pub(super) fn write_outcome(&mut self, insert: ConditionalWrite, ctx: &mut Context<Self>) {
         self.claims.batch.push(insert);
         self.commit_claims(ctx);
     }
 
     /// Tries the writes again that failed and that nobody waits for.
     pub(super) fn unpark_claims(&mut self, ctx: &mut Context<Self>) {
-        self.claims.batch.unpark();
+        self.claims.batch.retry_deferred();
         self.commit_claims(ctx);
     }
 
@@ -108,7 +108,7 @@
                 let Some(pending) = self.claims.pending.get(&caller) else {
                     return;
                 };
-                self.claims.batch.push(Insert {
+                self.claims.batch.push(ConditionalWrite {
                     caller,
                     key: pending.claimer.key().clone(),
                     check,
@@ -125,8 +125,8 @@
                     }
                 }
             }
-            ClaimStep::Answer(answer) => {
-                if let ClaimAnswer::NotRun(Some(releaser)) = &answer {
+            ClaimStep::Respond(answer) => {
+                if let ClaimResult::NotRun(Some(releaser)) = &answer {
                     self.release(releaser.clone(), ctx);
                 }
                 if let Some(pending) = self.claims.pending.remove(&caller) {
@@ -139,7 +139,7 @@
 
     /// Gives up a claim whose caller is gone.
     fn give_up(&mut self, mut claimer: Claimer, ctx: &mut Context<Self>) {
-        if let ClaimStep::Answer(ClaimAnswer::NotRun(Some(releaser))) = claimer.unsent() {
+        if let ClaimStep::Respond(ClaimResult::NotRun(Some(releaser))) = claimer.release() {
             self.release(releaser, ctx);
         }
     }
@@ -159,7 +159,7 @@
     fn on_claim_event(&mut self, caller: u64, event: ClaimEvent, ctx: &mut Context<Self>) {
         // Writes of outcomes have no one waiting.
         if let Some(pending) = self.claims.pending.get_mut(&caller) {
-            let step = pending.claimer.on(event);
+            let step = pending.claimer.on_event(event);
             self.run_claim_step(caller, step, ctx);
         }
     }
@@ -169,11 +169,11 @@
             return;
         };
         let platform = Rc::clone(&self.platform);
-        let sent = async move { commit_rows(&platform, commit.inserts).await };
+        let sent = async move { commit_rows(&platform, commit.writes).await };
         ctx.spawn(sent.into_actor(self).map(|answer, control, ctx| {
-            let failed = matches!(answer, CommitAnswer::Lost | CommitAnswer::Down);
+            let failed = matches!(answer, CommitResult::Lost | CommitResult::Down);
             control.note_call("claims", !failed);
-            for (caller, event) in control.claims.batch.answer(answer) {
+            for (caller, event) in control.claims.batch.complete(answer) {
                 control.on_claim_event(caller, event, ctx);
             }
             control.commit_claims(ctx);
@@ -197,12 +197,12 @@
             ReleaseStep::Read => {
                 let read = async move { read_row(&platform, key).await };
                 ctx.spawn(read.into_actor(self).map(|event, control, ctx| {
-                    let step = releaser.on(event);
+                    let step = releaser.on_event(event);
                     control.run_release_step(releaser, step, ctx);
                 }));
             }
             ReleaseStep::Write { check, value } => {
-                let insert = Insert {
+                let insert = ConditionalWrite {
                     caller: 0,
                     key,
                     check,
@@ -210,7 +210,7 @@
                 };
                 let write = async move { commit_rows(&platform, vec![insert]).await };
                 ctx.spawn(write.into_actor(self).map(|answer, control, ctx| {
-                    let step = releaser.on(only_event(answer));
+                    let step = releaser.on_event(only_event(answer));
                     control.run_release_step(releaser, step, ctx);
                 }));
             }
@@ -221,20 +221,20 @@
 /// Tells control to give up a claim, from a traffic thread.
 pub(crate) fn release_later(
     notes: &tokio::sync::mpsc::UnboundedSender<Note>,
-    answer: &ClaimAnswer,
+    answer: &ClaimResult,
 ) {
-    if let ClaimAnswer::NotRun(Some(releaser)) = answer {
+    if let ClaimResult::NotRun(Some(releaser)) = answer {
         // A closed channel means that the process ends; its claims lapse with its lease.
         let _ = notes.send(Note::Release(releaser.clone()));
     }
 }
 
-fn only_event(answer: CommitAnswer) -> ClaimEvent {
+fn only_event(answer: CommitResult) -> ClaimEvent {
     match answer {
-        CommitAnswer::Committed { version } => ClaimEvent::Committed { version },
-        CommitAnswer::Conflict { rows } => ClaimEvent::Conflict(rows.into_iter().next().flatten()),
-        CommitAnswer::Lost => ClaimEvent::Lost,
-        CommitAnswer::Down => ClaimEvent::Down,
+        CommitResult::Committed { version } => ClaimEvent::Committed { version },
+        CommitResult::Conflict { rows } => ClaimEvent::Conflict(rows.into_iter().next().flatten()),
+        CommitResult::Lost => ClaimEvent::Lost,
+        CommitResult::Down => ClaimEvent::Down,
     }
 }
 
@@ -253,8 +253,8 @@
     }
 }
 
-async fn commit_rows(platform: &HttpPlatform, inserts: Vec<Insert>) -> CommitAnswer {
-    let check = |insert: &Insert| match insert.check {
+async fn commit_rows(platform: &HttpPlatform, inserts: Vec<ConditionalWrite>) -> CommitResult {
+    let check = |insert: &ConditionalWrite| match insert.check {
         Some(version) => Check::Version {
             key: insert.key.clone(),
             version,
@@ -272,11 +272,11 @@
         })
         .collect();
     match platform.commit(Txn { checks, writes }).await {
-        Outcome::Done(Commit::Committed { version }) => CommitAnswer::Committed { version },
-        Outcome::Done(Commit::Conflict { rows }) => CommitAnswer::Conflict {
+        Outcome::Done(Commit::Committed { version }) => CommitResult::Committed { version },
+        Outcome::Done(Commit::Conflict { rows }) => CommitResult::Conflict {
             rows: rows.into_iter().map(|row| row.map(to_row)).collect(),
         },
-        Outcome::NotDone(_) => CommitAnswer::Down,
-        Outcome::Unknown(_) => CommitAnswer::Lost,
+        Outcome::NotDone(_) => CommitResult::Down,
+        Outcome::Unknown(_) => CommitResult::Lost,
     }
 }
--- a/crates/daemon/src/process/control/config/confirm.rs
+++ b/crates/daemon/src/process/control/config/confirm.rs
@@ -26,9 +26,9 @@
     lease_key,
     Freshness,
     Guards,
-    InstanceFacts,
+    InstanceRecord,
+    LeaseObserver, //
     LeaseState,
-    Observer, //
 };
 use op::{
     Confirmation,
@@ -69,7 +69,7 @@
 }
 
 impl Control {
-    fn has_confirmed(facts: &InstanceFacts, version: Version) -> bool {
+    fn has_confirmed(facts: &InstanceRecord, version: Version) -> bool {
         facts.version >= version
     }
 
@@ -99,13 +99,13 @@
         let now = self.now();
         let terms = self.lease_terms();
         let observer = self.versions.leases.get_or_insert_with(|| {
-            Observer::new(terms, Guards::default()) //
+            LeaseObserver::new(terms, Guards::default()) //
         });
         let mut lapsed = Vec::new();
         for (instance, row) in silent.iter().zip(rows) {
             let lease = row.as_ref().and_then(parse_lease);
             if let Some(lease) = &lease {
-                observer.saw(lease, read_at, now);
+                observer.record_read(lease, read_at, now);
             }
             if lease.is_none() || observer.lapse(instance, now).is_some() {
                 lapsed.push(instance.clone());
@@ -132,7 +132,7 @@
                     instance: instance.clone(),
                     version: facts.version,
                     freshness: self.picture.freshness(instance, now),
-                    age_ms: self.age_ms(facts.true_at),
+                    age_ms: self.age_ms(facts.as_of),
                 });
             }
         }
--- a/crates/daemon/src/process/control/config/mod.rs
+++ b/crates/daemon/src/process/control/config/mod.rs
@@ -47,7 +47,7 @@
     Now,
     Version, //
 };
-use member::Observer;
+use member::LeaseObserver;
 use peer::ConfigAssembly;
 use spec::Adopt;
 use std::collections::BTreeMap;
@@ -75,5 +75,5 @@
     /// A snapshot is being written out for a peer.
     is_rebuilding: bool,
     /// Leases of silent instances, as accepts that wait for confirmations saw them.
-    leases: Option<Observer>,
+    leases: Option<LeaseObserver>,
 }
--- a/crates/daemon/src/process/control/lease.rs
+++ b/crates/daemon/src/process/control/lease.rs
@@ -19,11 +19,11 @@
 use member::{
     lease_key,
     Guards,
-    Holder,
     Identity,
-    Joined,
+    JoinProgress,
     Joining,
     LeaseEvent,
+    LeaseHolder,
     LeaseRow,
     LeaseStep,
     LeaseTerms,
@@ -63,7 +63,7 @@
 
 /// A lease that was taken.
 pub(super) struct Held {
-    pub(super) holder: Holder,
+    pub(super) holder: LeaseHolder,
     /// Renewal under way: sequence number, and when it was sent.
     sent: Option<(u64, Now)>,
 }
@@ -164,7 +164,7 @@
     }
 
     fn on_lease_event(&mut self, event: LeaseEvent, ctx: &mut Context<Self>) {
-        let failed = matches!(event, LeaseEvent::Lost | LeaseEvent::Down);
+        let failed = matches!(event, LeaseEvent::OutcomeUnknown | LeaseEvent::NotExecuted);
         self.note_call("lease", !failed);
         let now = self.now();
         match &mut self.lease {
@@ -172,11 +172,11 @@
                 let Some(joining) = joining.take() else {
                     return;
                 };
-                self.on_joined(joining.on(event, now), ctx);
+                self.on_joined(joining.on_event(event, now), ctx);
             }
             Lease::Held(held) => {
                 let before = held.holder.valid_until();
-                let step = held.holder.on(event, now);
+                let step = held.holder.on_event(event, now);
                 let renewed = held.holder.valid_until() > before;
                 let sent = held.sent.filter(|_| renewed);
                 if let Some((seq, sent_at)) = sent {
@@ -187,21 +187,21 @@
         }
     }
 
-    fn on_joined(&mut self, joined: Joined, ctx: &mut Context<Self>) {
+    fn on_joined(&mut self, joined: JoinProgress, ctx: &mut Context<Self>) {
         match joined {
-            Joined::Not(joining, LeaseStep::Idle) => {
+            JoinProgress::Pending(joining, LeaseStep::Idle) => {
                 let step = joining.read();
                 self.lease = Lease::Joining(Some(Box::new(joining)));
                 ctx.run_later(JOIN_RETRY, move |control, ctx| {
                     control.run_lease_step(step, ctx);
                 });
             }
-            Joined::Not(joining, step) => {
+            JoinProgress::Pending(joining, step) => {
                 self.lease = Lease::Joining(Some(Box::new(joining)));
                 self.join_sent_at = self.now();
                 self.run_lease_step(step, ctx);
             }
-            Joined::Holder(holder) => {
+            JoinProgress::Joined(holder) => {
                 let incarnation = holder.incarnation();
                 self.lease = Lease::Held(Box::new(Held { holder, sent: None }));
                 self.shared.claimed(incarnation);
@@ -231,7 +231,7 @@
             let row = rows.into_iter().next().flatten();
             LeaseEvent::Read(row.as_ref().and_then(parse_lease))
         }
-        Err(ReadError(_)) => LeaseEvent::Lost,
+        Err(ReadError(_)) => LeaseEvent::OutcomeUnknown,
     }
 }
 
@@ -258,7 +258,7 @@
             let row = rows.into_iter().next().flatten();
             LeaseEvent::Conflict(row.as_ref().and_then(parse_lease))
         }
-        Outcome::NotDone(_) => LeaseEvent::Down,
-        Outcome::Unknown(_) => LeaseEvent::Lost,
+        Outcome::NotDone(_) => LeaseEvent::NotExecuted,
+        Outcome::Unknown(_) => LeaseEvent::OutcomeUnknown,
     }
 }
--- a/crates/daemon/src/process/control/list.rs
+++ b/crates/daemon/src/process/control/list.rs
@@ -22,8 +22,8 @@
 };
 use member::{
     Identity,
-    ListFacts,
-    Picture, //
+    MembershipView, //
+    PlatformList,
 };
 use plat::{
     List,
@@ -61,12 +61,12 @@
 
     fn take_list(&mut self, list: List) {
         let now = self.now();
-        let facts = ListFacts {
+        let facts = PlatformList {
             age: self.list_age(list.as_of_ms),
             instances: list.instances.iter().map(instance_facts).collect(),
             upstreams: list.upstreams.iter().map(upstream_facts).collect(),
         };
-        self.picture.listed(&facts, now);
+        self.picture.apply_list(&facts, now);
         self.take_upstreams(&list.upstreams);
         self.join_pools();
         self.set_partners();
@@ -127,7 +127,7 @@
 }
 
 /// Keeps the upstreams that stay, with what was seen of them, and adds the new ones.
-fn update_pool(pool: &Pool, listed: &[&ListedUpstream], picture: &Picture) {
+fn update_pool(pool: &Pool, listed: &[&ListedUpstream], picture: &MembershipView) {
     let present = pool.upstreams();
     let mut next: BTreeMap<UpstreamId, Arc<Upstream>> = BTreeMap::new();
     for listed in listed {
--- a/crates/daemon/src/process/control/mod.rs
+++ b/crates/daemon/src/process/control/mod.rs
@@ -93,8 +93,8 @@
 use blocks::Table;
 use eyre::bail;
 use member::{
-    Picture,
-    PictureTerms, //
+    MembershipView,
+    ViewTimeouts, //
 };
 use peer::Mesh;
 use plat::HttpPlatform;
@@ -176,7 +176,7 @@
 
     peers_listener: Option<TcpListener>,
     mesh: Option<Mesh>,
-    picture: Picture,
+    picture: MembershipView,
     /// Those that sessions are kept to.
     partners: Vec<InstanceId>,
     beat_seq: u64,
@@ -213,10 +213,10 @@
         let terms = &settings.terms;
         let timeout = terms.platform_timeout;
         let platform = HttpPlatform::new(settings.platform_url.to_string(), timeout, timeout);
-        let picture_terms = PictureTerms {
+        let picture_terms = ViewTimeouts {
             fresh_for: terms.beat_silent.mul_f32(0.7),
             old_for: terms.beat_silent,
-            ..PictureTerms::default()
+            ..ViewTimeouts::default()
         };
         Self {
             platform: Rc::new(platform),
@@ -233,7 +233,7 @@
             ended: Some(ended),
             peers_listener: Some(peers_listener),
             mesh: None,
-            picture: Picture::new(settings.instance.clone(), picture_terms),
+            picture: MembershipView::new(settings.instance.clone(), picture_terms),
             partners: Vec::new(),
             beat_seq: 0,
             beat_news: true,
@@ -359,7 +359,7 @@
                 spdlog::info!("upstream leaves", kv: { upstream = upstream.to_string() });
                 let now = self.now();
                 self.picture
-                    .upstream_leaving(&upstream, Duration::ZERO, now);
+                    .mark_upstream_leaving(&upstream, Duration::ZERO, now);
                 self.beat_soon();
             }
             Note::Claim(wanted) => self.claim(wanted, ctx),
--- a/crates/daemon/src/process/control/publish.rs
+++ b/crates/daemon/src/process/control/publish.rs
@@ -41,7 +41,7 @@
     time::Duration, //
 };
 use steer::{
-    Admit,
+    AdmissionControl,
     ClassTarget,
     ShiftCap, //
 };
@@ -100,8 +100,8 @@
             let targets: Vec<ClassTarget> = of_service().map(admission_of).collect();
             let place = of_service().position(|other| other.id == class.id);
             let place = place.expect("a class is one of its service's");
-            let admit = Admit::new(targets, QUEUE_MAX);
-            let before = |other: &usize| admit.goes_before(*other, place);
+            let admit = AdmissionControl::new(targets, QUEUE_MAX);
+            let before = |other: &usize| admit.outranks(*other, place);
             let view = ClassView {
                 class: class.clone(),
                 pool: Arc::clone(pool),
--- a/crates/daemon/src/process/control/shares/message.rs
+++ b/crates/daemon/src/process/control/shares/message.rs
@@ -10,10 +10,10 @@
     Serialize, //
 };
 use share::{
-    Give,
-    PoolBeat,
+    PoolHeartbeat,
     PoolId,
     Row, //
+    Transfer,
 };
 use std::{
     sync::Arc,
@@ -28,9 +28,9 @@
 #[serde(rename_all = "kebab-case")]
 pub(super) enum ShareMessage {
     /// Heartbeat of a member.
-    Beat(PoolBeat),
+    Beat(PoolHeartbeat),
     /// Tokens handed over.
-    Give(Give),
+    Give(Transfer),
     /// A row that the receiver may not be able to read.
     Row(Arc<Row>),
 }
@@ -49,7 +49,7 @@
 
 impl Told {
     /// What `beat` tells at `at`.
-    pub(super) fn of(beat: &PoolBeat, at: Now) -> Self {
+    pub(super) fn of(beat: &PoolHeartbeat, at: Now) -> Self {
         Self {
             at,
             epoch: beat.epoch,
--- a/crates/daemon/src/process/control/shares/mod.rs
+++ b/crates/daemon/src/process/control/shares/mod.rs
@@ -210,7 +210,7 @@
 
     fn run_share_action(&mut self, id: &PoolId, action: Action, ctx: &mut Context<Self>) {
         match action {
-            Action::Give(give) => {
+            Action::Transfer(give) => {
                 let to = give.to.instance.clone();
                 self.send_share(&to, id, &ShareMessage::Give(give));
             }
@@ -320,9 +320,11 @@
         match message {
             ShareMessage::Beat(beat) if beat.from == sender => {
                 shared.heard_epoch = shared.heard_epoch.max(beat.epoch);
-                shared.member.on_beat(&beat, now);
+                shared.member.on_heartbeat(&beat, now);
+            }
+            ShareMessage::Give(give) if give.from == sender => {
+                shared.member.on_transfer(&give, now)
             }
-            ShareMessage::Give(give) if give.from == sender => shared.member.on_give(&give, now),
             ShareMessage::Row(row) => shared.member.on_row(&row, now),
             ShareMessage::Beat(_) | ShareMessage::Give(_) => {}
         }
@@ -340,7 +342,7 @@
         let sent = self.beats_sent.entry(to.clone()).or_default();
         let mut due = Vec::new();
         for (id, shared) in &mut self.shares {
-            let beat = shared.member.beat(now);
+            let beat = shared.member.heartbeat(now);
             let told = Told::of(&beat, now);
             if sent.get(id).is_some_and(|last| !told.is_news_after(last)) {
                 continue;
--- a/crates/daemon/src/process/control/status.rs
+++ b/crates/daemon/src/process/control/status.rs
@@ -26,7 +26,7 @@
 use member::{
     Freshness,
     Identity,
-    InstanceFacts,
+    InstanceRecord,
     LeaseState, //
 };
 use op::{
@@ -199,14 +199,14 @@
         all
     }
 
-    fn other_status(&self, facts: &InstanceFacts) -> InstanceStatus {
+    fn other_status(&self, facts: &InstanceRecord) -> InstanceStatus {
         let instance = &facts.identity.instance;
         InstanceStatus {
             incarnation: facts.incarnation,
             version: facts.version,
             state: facts.state,
             freshness: self.picture.freshness(instance, self.now()),
-            age_ms: self.age_ms(facts.true_at),
+            age_ms: self.age_ms(facts.as_of),
             ..located(&facts.identity)
         }
     }
--- a/crates/daemon/src/process/control/steering/flows.rs
+++ b/crates/daemon/src/process/control/steering/flows.rs
@@ -191,7 +191,7 @@
         let right = pool.lease.right(now);
         let upstreams = pool.upstreams();
         let views = upstreams.iter().map(|upstream| upstream.view(right, now));
-        let views: Vec<steer::View> = views.collect();
+        let views: Vec<steer::UpstreamView> = views.collect();
         self.capacity = Capacity::of(&views);
     }
 
--- a/crates/daemon/src/process/control/steering/mod.rs
+++ b/crates/daemon/src/process/control/steering/mod.rs
@@ -34,7 +34,7 @@
     collections::BTreeMap,
     sync::Arc, //
 };
-use steer::Relief;
+use steer::StarvationDetector;
 
 /// State machines of steering.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 struct Service {
     machines: Machines,
     flows: Flows,
-    relief: Relief,
+    relief: StarvationDetector,
 }
 
 impl Service {
@@ -57,7 +57,7 @@
         Self {
             machines: Machines::default(),
             flows: Flows::new(now),
-            relief: Relief::default(),
+            relief: StarvationDetector::default(),
         }
     }
 
--- a/crates/daemon/src/process/control/steering/regions.rs
+++ b/crates/daemon/src/process/control/steering/regions.rs
@@ -36,9 +36,9 @@
 use steer::{
     Allowance,
     Demand,
-    Estimate,
     Freshness,
     FreshnessLimits, //
+    RegionEstimate,
 };
 
 /// Age at which what one daemon of the own region said is not counted any more.
@@ -264,11 +264,11 @@
         now: Now,
     ) -> ClassOutlook {
         let own = self.shared.settings.region.clone();
-        let estimates: Vec<Estimate> = config
+        let estimates: Vec<RegionEstimate> = config
             .regions
             .iter()
             .zip(admitting)
-            .map(|(region, &admitting)| Estimate {
+            .map(|(region, &admitting)| RegionEstimate {
                 admitting,
                 drained: config.has_drain(&spec::DrainTarget::Region(region.id.clone())),
                 ..self.estimate(service, &region.id, now)
@@ -311,21 +311,21 @@
     }
 
     /// What is expected of `region`; whether it admits is filled in by the caller.
-    fn estimate(&self, service: &ServiceId, region: &RegionId, now: Now) -> Estimate {
+    fn estimate(&self, service: &ServiceId, region: &RegionId, now: Now) -> RegionEstimate {
         let regions = &self.steering.regions;
         let own = *region == self.shared.settings.region;
         let heard = regions.others.get(&(service.clone(), region.clone()));
-        let unknown = Estimate {
+        let unknown = RegionEstimate {
             wait: Duration::ZERO,
-            service: Duration::ZERO,
-            link: if own {
+            service_time: Duration::ZERO,
+            round_trip: if own {
                 Duration::ZERO
             } else {
                 regions.links.get(region).copied().unwrap_or(LINK_UNKNOWN)
             },
             headroom_left_pct: 100,
             admitting: true,
-            shift_open: false,
+            shift_allowed: false,
             freshness: if own {
                 Freshness::Fresh
             } else {
@@ -335,7 +335,7 @@
         };
         if let Some(state) = self.steering.services.get(service).filter(|_| own) {
             let here = self.own_region_sum(service, &state.flows, now);
-            return Estimate {
+            return RegionEstimate {
                 headroom_left_pct: here.carrying.headroom_left_pct(here.open),
                 ..unknown
             };
@@ -344,8 +344,8 @@
             return unknown;
         };
         let age = now.saturating_sub(heard.true_at);
-        Estimate {
-            service: heard.sum.service,
+        RegionEstimate {
+            service_time: heard.sum.service,
             headroom_left_pct: heard.sum.carrying.headroom_left_pct(heard.sum.open),
             freshness: Freshness::of_age(age, &FreshnessLimits::default()),
             ..unknown
@@ -359,7 +359,7 @@
         &mut self,
         config: &Config,
         service: &ServiceId,
-        estimates: &[Estimate],
+        estimates: &[RegionEstimate],
         headroom_away_pct: u32,
         now: Now,
     ) -> Vec<Spill> {
@@ -375,7 +375,7 @@
         let mut order: Vec<usize> = (0..estimates.len())
             .filter(|&index| config.regions[index].id != own)
             .collect();
-        order.sort_by_key(|&index| (estimates[index].expected(), index));
+        order.sort_by_key(|&index| (estimates[index].expected_latency(), index));
         let mut left = here
             .arriving
             .spill_permille(here.open, headroom_pct, &boundless());
@@ -439,7 +439,7 @@
         &mut self,
         service: &ServiceId,
         region: &RegionId,
-        estimate: &Estimate,
+        estimate: &RegionEstimate,
         here: &Sum,
         (headroom_pct, senders): (u32, u32),
         now: Now,
@@ -452,7 +452,7 @@
             .others
             .get(&(service.clone(), region.clone()));
         let known_at = heard.map_or(now, |heard| heard.true_at);
-        let known_at = known_at.saturating_sub(estimate.link + TICK);
+        let known_at = known_at.saturating_sub(estimate.round_trip + TICK);
         let there = heard.filter(|_| usable).map(|heard| heard.sum);
         let there = there.unwrap_or_default();
         let Some(state) = self.steering.services.get_mut(service) else {
--- a/crates/daemon/src/process/control/steering/upstreams.rs
+++ b/crates/daemon/src/process/control/steering/upstreams.rs
@@ -18,15 +18,15 @@
     time::Duration, //
 };
 use steer::{
+    FailureDetector,
+    FailureDetectorSettings,
     Freshness,
     FreshnessLimits,
-    Ramp,
-    RampCause,
-    RampPhase,
-    RampSettings,
-    Suspect,
-    SuspectSettings,
-    Suspicion, //
+    SlowStart,
+    SlowStartCause,
+    SlowStartPhase,
+    SlowStartSettings,
+    SuspicionChange, //
 };
 
 /// Silence after whose end an upstream starts slowly.
@@ -47,8 +47,8 @@
 #[derive(Debug)]
 struct Machine {
     upstream: Arc<Upstream>,
-    ramp: Ramp,
-    suspect: Suspect,
+    ramp: SlowStart,
+    suspect: FailureDetector,
     totals: Totals,
     was_open: bool,
     said_cold: bool,
@@ -64,8 +64,8 @@
     fn new(upstream: &Arc<Upstream>, now: Now) -> Self {
         Self {
             upstream: Arc::clone(upstream),
-            ramp: Ramp::warm(RampSettings::default()),
-            suspect: Suspect::trusted(SuspectSettings::default()),
+            ramp: SlowStart::warm(SlowStartSettings::default()),
+            suspect: FailureDetector::trusted(FailureDetectorSettings::default()),
             totals: upstream.seen.totals(),
             was_open: upstream.open(),
             said_cold: false,
@@ -77,23 +77,23 @@
 
     /// Whether it serves at full speed, as far as is known.
     fn is_warm(&self) -> bool {
-        let warm = self.ramp.phase() == RampPhase::Warm && !self.suspect.is_suspected();
+        let warm = self.ramp.phase() == SlowStartPhase::Warm && !self.suspect.is_suspected();
         warm && self.upstream.open() && self.was_open
     }
 
     /// Why it has to start slowly from now on, if it has to.
-    fn restart_cause(&mut self, now: Now) -> Option<RampCause> {
+    fn restart_cause(&mut self, now: Now) -> Option<SlowStartCause> {
         let returned = has_begun(&mut self.was_open, self.upstream.open());
         let turned_cold = has_begun(&mut self.said_cold, self.upstream.report.says_cold());
         let heard_at = self.upstream.report.heard_at().unwrap_or_default();
         let silent = heard_at > self.heard_at + LONG_SILENCE;
         self.heard_at = self.heard_at.max(heard_at).min(now);
         if returned {
-            Some(RampCause::RegionReturn)
-        } else if turned_cold && self.ramp.phase() == RampPhase::Warm {
-            Some(RampCause::ColdStart)
+            Some(SlowStartCause::RegionReturn)
+        } else if turned_cold && self.ramp.phase() == SlowStartPhase::Warm {
+            Some(SlowStartCause::ColdStart)
         } else {
-            silent.then_some(RampCause::Silence)
+            silent.then_some(SlowStartCause::Silence)
         }
     }
 
@@ -103,10 +103,10 @@
         let totals = self.upstream.seen.totals();
         let mut seen = totals.since(&self.totals);
         self.totals = totals;
-        if seen.answers > 0 {
+        if seen.responses > 0 {
             self.heard_at = now;
         }
-        if seen.answers > 0 || seen.failures() > 0 {
+        if seen.responses > 0 || seen.failures() > 0 {
             self.probing_since = None;
         }
         if self.probing_since.is_some_and(|at| now > at + PROBE_LOST) {
@@ -116,16 +116,16 @@
         let freshness = self.freshness(now);
         let phase = self.ramp.phase();
         self.ramp.observe(now, &seen, usable, freshness);
-        if phase != RampPhase::Warm && self.ramp.phase() == RampPhase::Opening {
+        if phase != SlowStartPhase::Warm && self.ramp.phase() == SlowStartPhase::Opening {
             self.forget_slowness(&seen);
         }
         let verdict = self.suspect.observe(now, &seen, others.typical, phase);
         match verdict {
-            Some(Suspicion::Raised) => self.log("upstream suspected"),
-            Some(Suspicion::Cleared) => {
+            Some(SuspicionChange::Raised) => self.log("upstream suspected"),
+            Some(SuspicionChange::Cleared) => {
                 self.log("upstream trusted again");
                 self.forget_slowness(&seen);
-                let cause = RampCause::Silence;
+                let cause = SlowStartCause::Silence;
                 self.ramp
                     .restart(now, cause, others.typical, others.will_do);
             }
@@ -138,7 +138,7 @@
     /// The moving average still holds the slow answers, and the choice of an upstream goes by it:
     /// little is sent to one that looks slow, so that the average hardly moves. One would notice an
     /// upstream that gets a request a second, for many seconds after it has proven itself.
-    fn forget_slowness(&self, probe: &steer::Seen) {
+    fn forget_slowness(&self, probe: &steer::WindowStats) {
         let average = self.upstream.seen.latency();
         match probe.mean_latency() {
             Some(latency) if latency < average => self.upstream.seen.reset_latency(latency),
@@ -164,7 +164,7 @@
     fn publish(&mut self, now: Now) {
         let upstream = &self.upstream;
         let limit = self.ramp.limit();
-        let cold = self.ramp.phase() == RampPhase::Trickle;
+        let cold = self.ramp.phase() == SlowStartPhase::Probing;
         let suspect = self.suspect.is_suspected();
         let silent = !self.freshness(now).allows_growth();
         let due = self.ramp.probe_due(now) && !suspect || self.suspect.probe_due(now);
@@ -219,14 +219,14 @@
             let usable = u32::from(machine.upstream.slots.get().full);
             machine.observe(now, usable, others);
             if relieve {
-                machine.ramp.relieve(now);
+                machine.ramp.force_step(now);
             }
         }
         if self.suspected() < cleared_before {
             // What brought them under suspicion together may have ended for all.
             self.by_id
                 .values_mut()
-                .for_each(|machine| machine.suspect.hasten(now));
+                .for_each(|machine| machine.suspect.make_probe_due(now));
         }
         for machine in self.by_id.values_mut() {
             machine.publish(now);
@@ -237,7 +237,7 @@
     pub(super) fn typical(&self) -> Option<Duration> {
         let warm = self.by_id.values().filter(|machine| machine.is_warm());
         let latencies = warm.map(|machine| machine.upstream.seen.latency());
-        Suspect::typical(&mut latencies.collect::<Vec<_>>())
+        FailureDetector::median_latency(&mut latencies.collect::<Vec<_>>())
     }
 
     fn suspected(&self) -> usize {
@@ -280,7 +280,7 @@
                 let mut others: Vec<Duration> = latencies.clone();
                 others.swap_remove(index);
                 Others {
-                    typical: Suspect::typical(&mut others),
+                    typical: FailureDetector::median_latency(&mut others),
                     will_do: (0..warm.len()).any(|other| other != index && warm[other]),
                 }
             })
--- a/crates/daemon/src/process/filings.rs
+++ b/crates/daemon/src/process/filings.rs
@@ -11,7 +11,6 @@
 };
 use filing::{
     Accepted,
-    Begin,
     Draining,
     HandedOver,
     Ledger,
@@ -21,6 +20,7 @@
     Record,
     Stopping,
     Ticket, //
+    TicketDecision,
 };
 
 /// Ledger with the stage it is in.
@@ -49,12 +49,12 @@
 
 impl Filings {
     /// Decides what to do with a request that brings `ticket`.
-    pub(crate) fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub(crate) fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         each!(self, ledger => ledger.begin(ticket, now))
     }
 
     /// Decides what to tell a request that the entry won't run, for reasons of its own.
-    pub(crate) fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub(crate) fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         each!(self, ledger => ledger.refuse(ticket, now))
     }
 
@@ -70,7 +70,7 @@
 
     /// Notes that these outcomes are in the table.
     pub(crate) fn written(&mut self, nonces: &[Nonce]) {
-        each!(self, ledger => ledger.written(nonces));
+        each!(self, ledger => ledger.mark_written(nonces));
     }
 
     /// Keeps what came of a running filing.
@@ -121,7 +121,7 @@
     /// Takes over what a stopping entry offers; `None` when it can't.
     pub(crate) fn adopt(&mut self, offer: &Offer) -> Option<Accepted> {
         match self {
-            Self::Open(ledger) => ledger.adopt(offer).ok(),
+            Self::Open(ledger) => ledger.accept_offer(offer).ok(),
             _ => None,
         }
     }
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -30,7 +30,7 @@
 use steer::{
     Freshness,
     ShiftCap,
-    ShiftLimit,
+    ShiftLimiter,
     ShiftRefusal, //
 };
 
@@ -62,7 +62,7 @@
     /// Requests in flight and the part of them that may be, in one word.
     requests: Slots,
     demand: AtomicU32,
-    meter: Mutex<ShiftLimit>,
+    meter: Mutex<ShiftLimiter>,
     passed_bytes: AtomicU64,
     /// Moving average of what one request passes, heads included.
     usual_bytes: AtomicU64,
@@ -104,7 +104,7 @@
             cap: Cap::default(),
             requests: Slots::default(),
             demand: AtomicU32::new(0),
-            meter: Mutex::new(ShiftLimit::new(now, ShiftCap::default())),
+            meter: Mutex::new(ShiftLimiter::new(now, ShiftCap::default())),
             passed_bytes: AtomicU64::new(0),
             usual_bytes: AtomicU64::new(BOOKED_MAX_BYTES),
         };
@@ -274,7 +274,7 @@
         if bytes == booked {
             return Duration::ZERO;
         }
-        lock(&self.link.meter).pass(self.now(), bytes - booked)
+        lock(&self.link.meter).book_bytes(self.now(), bytes - booked)
     }
 
     fn now(&self) -> Now {
@@ -287,8 +287,8 @@
         let now = self.now();
         let unused = self.booked_bytes.get().saturating_sub(HEADS_BYTES);
         let mut meter = lock(&self.link.meter);
-        meter.finish(now);
-        meter.give_back(now, unused);
+        meter.release(now);
+        meter.refund(now, unused);
         drop(meter);
         self.link.note_size(self.bytes.get());
         self.link.requests.give_back();
--- a/crates/daemon/src/process/pool/seen.rs
+++ b/crates/daemon/src/process/pool/seen.rs
@@ -126,10 +126,10 @@
 
 impl Totals {
     /// What was seen between `before` and these totals.
-    pub(crate) fn since(&self, before: &Self) -> steer::Seen {
+    pub(crate) fn since(&self, before: &Self) -> steer::WindowStats {
         let count = |now: u64, then: u64| u32::try_from(now - then).unwrap_or(u32::MAX);
-        steer::Seen {
-            answers: count(self.answered, before.answered),
+        steer::WindowStats {
+            responses: count(self.answered, before.answered),
             latency_sum: Duration::from_micros(self.latency_sum_us - before.latency_sum_us),
             timeouts: count(self.timed_out, before.timed_out),
             refused: count(self.not_sent, before.not_sent),
--- a/crates/daemon/src/process/pool/upstream.rs
+++ b/crates/daemon/src/process/pool/upstream.rs
@@ -26,8 +26,8 @@
     time::Duration, //
 };
 use steer::{
-    Reported,
-    View,
+    LoadReport,
+    UpstreamView,
     NO_LIMIT, //
 };
 
@@ -104,11 +104,11 @@
     }
 
     /// What a policy decides from, under `right`, for a request that is no probe.
-    pub(crate) fn view(&self, right: Right, now: Now) -> View {
+    pub(crate) fn view(&self, right: Right, now: Now) -> UpstreamView {
         let slots = self.slots.get();
-        View {
+        UpstreamView {
             usable: u32::from(slots.usable(right)),
-            ramp_limit: self.limit.load(Ordering::Relaxed),
+            slow_start_limit: self.limit.load(Ordering::Relaxed),
             in_flight: u32::from(slots.in_flight),
             latency: self.seen.latency(),
             errors: 0,
@@ -182,7 +182,7 @@
         (heard_us > 0).then(|| Duration::from_micros(heard_us))
     }
 
-    fn get(&self, now: Now) -> Option<Reported> {
+    fn get(&self, now: Now) -> Option<LoadReport> {
         let heard_at = self.heard_at()?;
         if now.saturating_sub(heard_at) > REPORT_LIFE {
             return None;
@@ -190,7 +190,7 @@
         let numbers = self.numbers.load(Ordering::Relaxed);
         let part = |shift: u32| u32::try_from(numbers >> shift & 0xffff).unwrap_or(0);
         let true_at = Duration::from_micros(self.true_at_us.load(Ordering::Relaxed));
-        Some(Reported {
+        Some(LoadReport {
             in_flight: part(16),
             queued: part(0),
             slots: part(32),
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -227,7 +227,7 @@
         operator_key,
         traffic_threads: traffic_threads.unwrap_or(2),
         dial: dial.into_iter().collect::<Option<_>>()?,
-        policy: policy.unwrap_or(Policy::Ours),
+        policy: policy.unwrap_or(Policy::LeastLoaded),
         terms: terms.unwrap_or_default(),
         log_level: log_level.unwrap_or(LogLevel::Info),
     })
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -23,11 +23,11 @@
 };
 use filing::{
     Bounds,
-    ClaimAnswer,
+    ClaimResult,
     Claimant,
     Claimer,
+    ConditionalWrite,
     Guards,
-    Insert,
     Key,
     Ledger,
     Nonce,
@@ -73,7 +73,7 @@
     /// A caller's key is to be claimed in the table.
     Claim(ClaimWanted),
     /// What came of a claimed filing is to be written into its claim.
-    Ended(Insert),
+    Ended(ConditionalWrite),
     /// A claim of which nothing was sent is to be given up.
     Release(Releaser),
     /// The outcome of a ticket is wanted from the table.
@@ -93,7 +93,7 @@
     /// It is held; the last check comes immediately before sending.
     Ready(Claimer),
     /// The request ends without being sent.
-    Over(ClaimAnswer),
+    Over(ClaimResult),
 }
 
 /// State of the process that every thread can reach.
@@ -179,7 +179,7 @@
 
     fn ledger_bounds(&self) -> Bounds {
         Bounds {
-            life_max: self.settings.terms.ticket + CLOCK_SKEW,
+            lifetime_max: self.settings.terms.ticket + CLOCK_SKEW,
             ..Bounds::default()
         }
     }
--- a/crates/daemon/src/request/acquire.rs
+++ b/crates/daemon/src/request/acquire.rs
@@ -34,7 +34,7 @@
     Capacity,
     Choose,
     Load,
-    View, //
+    UpstreamView, //
 };
 
 /// Requests of one service that wait at this entry at most.
@@ -46,7 +46,7 @@
 /// Upstreams that one request may go to, as they are now.
 struct Choice {
     upstreams: Arc<Vec<Arc<Upstream>>>,
-    views: Vec<View>,
+    views: Vec<UpstreamView>,
     now: Now,
 }
 
@@ -66,7 +66,7 @@
         let others = upstreams.iter().any(|it| it.open() && !is_tried(it));
         let views = upstreams.iter().map(|upstream| {
             let view = upstream.view(right, now);
-            View {
+            UpstreamView {
                 // One that was tried is as good as leaving to this request.
                 leaving: view.leaving || others && is_tried(upstream),
                 ..view
@@ -96,8 +96,8 @@
         in_flight: capacity.in_flight,
         queued_ahead,
         queued: pool.waiting(),
-        service: pool.service_time(),
-        completion_gap: pool.completion_gap(),
+        service_time: pool.service_time(),
+        completion_interval: pool.completion_gap(),
     }
 }
 
--- a/crates/daemon/src/request/filing/claim.rs
+++ b/crates/daemon/src/request/filing/claim.rs
@@ -32,7 +32,7 @@
 };
 use ::filing::{
     claim_key,
-    ClaimAnswer,
+    ClaimResult,
     ClaimStep,
     Claimant,
     Claimer,
@@ -98,7 +98,7 @@
             // hold the key for good. After the close control gives up what comes later.
             replied.close();
             if let Ok(ClaimReply::Ready(mut claimer)) = replied.try_recv() {
-                if let ClaimStep::Answer(answer) = claimer.unsent() {
+                if let ClaimStep::Respond(answer) = claimer.release() {
                     release_later(&work.traffic.shared.notes, &answer);
                 }
             }
@@ -114,7 +114,7 @@
         let step = claimer.send(shared.now(), shared.lease_until());
         if step != ClaimStep::Send {
             let ran = match step {
-                ClaimStep::Answer(over_answer) => {
+                ClaimStep::Respond(over_answer) => {
                     release_later(&shared.notes, &over_answer);
                     over(&work, over_answer)
                 }
@@ -133,30 +133,30 @@
 /// Writes what came of a claimed filing, or frees the key if nothing ran.
 fn conclude(shared: &Shared, claimer: &mut Claimer, record: Record) {
     if record.outcome == RunOutcome::NotRun {
-        if let ClaimStep::Answer(answer) = claimer.unsent() {
+        if let ClaimStep::Respond(answer) = claimer.release() {
             release_later(&shared.notes, &answer);
         }
         return;
     }
-    if let Some(insert) = claimer.ended(NO_CALLER, record) {
+    if let Some(insert) = claimer.outcome_write(NO_CALLER, record) {
         // A closed channel means that the process ends; repeats are told `unknown`.
         let _ = shared.notes.send(Note::Ended(insert));
     }
 }
 
-fn over(work: &Work, answer: ClaimAnswer) -> Ran {
+fn over(work: &Work, answer: ClaimResult) -> Ran {
     match answer {
-        ClaimAnswer::NotRun(_) => {
+        ClaimResult::NotRun(_) => {
             let answer = Answer::not_run(Reason::ClaimImpossible, "the key was not claimed");
             Err(answer.retry_after(TABLE_DOWN_RETRY))
         }
-        ClaimAnswer::Replay(record) => replay(work, record),
-        ClaimAnswer::InProgress { owner, .. } => Err(in_progress(work.entry_addr(&owner))),
-        ClaimAnswer::KeyReused => Err(Answer::not_run(
+        ClaimResult::Replay(record) => replay(work, record),
+        ClaimResult::InProgress { holder: owner, .. } => Err(in_progress(work.entry_addr(&owner))),
+        ClaimResult::KeyReused => Err(Answer::not_run(
             Reason::BadRequest,
             "the Idempotency-Key was used for another request",
         )),
-        ClaimAnswer::Unreadable => Err(Answer::unknown(
+        ClaimResult::Unreadable => Err(Answer::unknown(
             Reason::InProgress,
             "the key's claim can't be read",
         )),
--- a/crates/daemon/src/request/filing/mod.rs
+++ b/crates/daemon/src/request/filing/mod.rs
@@ -100,7 +100,7 @@
                 RunOutcome::NotRun => NOT_RUN_STATUS,
                 RunOutcome::Unknown | RunOutcome::Done => UNKNOWN_STATUS,
             };
-            (Record::bare(answer.outcome, status), Err(answer))
+            (Record::status_only(answer.outcome, status), Err(answer))
         }
     }
 }
@@ -108,7 +108,7 @@
 /// Record of a whole answer; one that streams is not kept, and its repeats are told `unknown`.
 fn record_of(carried: &Carried) -> Record {
     let AnswerBody::Whole(body) = &carried.body else {
-        return Record::bare(RunOutcome::Unknown, UNKNOWN_STATUS);
+        return Record::status_only(RunOutcome::Unknown, UNKNOWN_STATUS);
     };
     let content_type = carried.head.headers.get(CONTENT_TYPE);
     let headers = content_type.map(|value| {
--- a/crates/daemon/src/request/filing/ticket.rs
+++ b/crates/daemon/src/request/filing/ticket.rs
@@ -24,10 +24,10 @@
     },
 };
 use ::filing::{
-    Begin,
     Record,
     RefuseReason,
     Ticket, //
+    TicketDecision,
 };
 use actix_web::{
     web,
@@ -61,10 +61,10 @@
     let shared = &work.traffic.shared;
     let begun = shared.with_filings(|filings| filings.refuse(ticket, shared.now()));
     match begun {
-        Some(Begin::Replay(record)) if record.outcome == RunOutcome::NotRun => Err(answer),
-        Some(Begin::Replay(record)) => replay(work, record),
-        Some(Begin::Refuse(reason)) => refused(work, ticket, &reason).await,
-        Some(Begin::Wait | Begin::Run) => Err(in_progress(None)),
+        Some(TicketDecision::Replay(record)) if record.outcome == RunOutcome::NotRun => Err(answer),
+        Some(TicketDecision::Replay(record)) => replay(work, record),
+        Some(TicketDecision::Refuse(reason)) => refused(work, ticket, &reason).await,
+        Some(TicketDecision::Wait | TicketDecision::Run) => Err(in_progress(None)),
         None => Err(Answer::unknown(Reason::NotReady, "no incarnation yet")),
     }
 }
@@ -84,13 +84,13 @@
         let begun = shared.with_filings(|filings| filings.begin(&ticket, shared.now()));
         match begun {
             None => return Err(Answer::unknown(Reason::NotReady, "no incarnation yet")),
-            Some(Begin::Run) => {
+            Some(TicketDecision::Run) => {
                 let out = outgoing(request, &format!("{:032x}", ticket.nonce));
                 return run_ticket(work, out, body, ticket).await;
             }
-            Some(Begin::Replay(record)) => return replay(&work, record),
-            Some(Begin::Refuse(reason)) => return refused(&work, &ticket, &reason).await,
-            Some(Begin::Wait) => {
+            Some(TicketDecision::Replay(record)) => return replay(&work, record),
+            Some(TicketDecision::Refuse(reason)) => return refused(&work, &ticket, &reason).await,
+            Some(TicketDecision::Wait) => {
                 let ended = tokio::time::timeout_at(work.deadline.at(), filed).await;
                 if ended.is_err() {
                     return Err(in_progress(None));
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -114,7 +114,7 @@
 
     /// Whether a baseline of the measurements chooses upstreams: it owns no slots.
     pub(crate) fn is_baseline(&self) -> bool {
-        self.shared.settings.policy != Policy::Ours
+        self.shared.settings.policy != Policy::LeastLoaded
     }
 
     /// Uses the policy of one service.
--- a/crates/daemon/src/request/place.rs
+++ b/crates/daemon/src/request/place.rs
@@ -20,12 +20,12 @@
 use steer::{
     place,
     ClassTarget,
-    Estimate,
     Freshness,
     Occupancy,
-    PlaceSettings,
     Placement,
-    Question, //
+    PlacementQuery, //
+    PlacementSettings,
+    RegionEstimate,
 };
 
 impl Work {
@@ -38,7 +38,7 @@
         let spilled = class.spilled_to(self.traffic.seed());
         let mut placement = self.ask(class, spilled, spilled.is_some());
         if spilled.is_none() && !self.snapshot.own_region().drained && self.stays(placement) {
-            placement = Placement::Here;
+            placement = Placement::Local;
         }
         let previous = match placement {
             Placement::Shift(region) => Some(region),
@@ -92,7 +92,7 @@
     fn occupancy(&self) -> Occupancy {
         let pool = &self.class.pool;
         let (open, in_flight) = pool.use_now(self.traffic.shared.now());
-        Occupancy::here(in_flight, pool.waiting(), open)
+        Occupancy::local(in_flight, pool.waiting(), open)
     }
 
     /// Notes that the request goes to the region of this index.
@@ -113,7 +113,7 @@
     fn ask(&self, class: &ClassOutlook, only: Option<usize>, excess: bool) -> Placement {
         let own = self.snapshot.own;
         let now = self.traffic.shared.now();
-        let estimates: Vec<Estimate> = class
+        let estimates: Vec<RegionEstimate> = class
             .estimates
             .iter()
             .enumerate()
@@ -122,15 +122,15 @@
                     return self.estimate_here(estimate);
                 }
                 let wanted = only.is_none_or(|only| only == index);
-                Estimate {
-                    shift_open: wanted && self.is_link_open(index, now),
+                RegionEstimate {
+                    shift_allowed: wanted && self.is_link_open(index, now),
                     ..*estimate
                 }
             })
             .collect();
         let preference: Vec<usize> = (0..estimates.len()).collect();
-        let question = Question {
-            here: own,
+        let question = PlacementQuery {
+            local_region: own,
             preference: &preference,
             estimates: &estimates,
             target: &ClassTarget {
@@ -138,18 +138,18 @@
                 ..self.class.target
             },
             previous: self.traffic.previous(&self.class.class.id),
-            excess,
+            exceeds_headroom: excess,
             deadline_left: self.deadline.left(Instant::now()),
         };
-        place(&question, &PlaceSettings::default())
+        place(&question, &PlacementSettings::default())
     }
 
-    fn estimate_here(&self, estimate: &Estimate) -> Estimate {
-        Estimate {
+    fn estimate_here(&self, estimate: &RegionEstimate) -> RegionEstimate {
+        RegionEstimate {
             // The request is here, so an entry of the region has it, named in look-ups or not.
             admitting: true,
             wait: expected_wait(&self.class, self.traffic.shared.now()),
-            service: self.class.pool.expected(),
+            service_time: self.class.pool.expected(),
             ..*estimate
         }
     }
@@ -163,7 +163,7 @@
     /// Without an outlook: home, or anywhere else when it is drained.
     fn place_blindly(&self) -> Placement {
         if !self.snapshot.own_region().drained {
-            return Placement::Here;
+            return Placement::Local;
         }
         let mut others = self.snapshot.regions.iter().enumerate();
         let other = others.find(|(index, region)| {
@@ -172,7 +172,7 @@
         match other {
             Some((index, _)) => Placement::Shift(index),
             None => Placement::Refuse {
-                retry_after: PlaceSettings::default().retry_max,
+                retry_after: PlacementSettings::default().retry_max,
             },
         }
     }
--- a/crates/daemon/src/request/probe.rs
+++ b/crates/daemon/src/request/probe.rs
@@ -42,7 +42,7 @@
         if !is_due || !self.class.class.idempotent || self.traffic.is_baseline() {
             return;
         }
-        if !self.traffic.budget.borrow_mut().take_spare() {
+        if !self.traffic.budget.borrow_mut().take_for_probe() {
             return;
         }
         let Some(permit) = self.take_due_probe() else {
--- a/crates/daemon/src/request/work.rs
+++ b/crates/daemon/src/request/work.rs
@@ -194,7 +194,7 @@
         payload: web::Payload,
     ) -> Result<HttpResponse, Answer> {
         let read = self.read_headers(request);
-        self.traffic.budget.borrow_mut().offer();
+        self.traffic.budget.borrow_mut().record_request();
         if !self.class.class.idempotent && !self.is_forwarded() {
             // The ledger is the judge of filings, also of those that are refused.
             return filing::file(self, read, request, payload).await;
@@ -233,12 +233,12 @@
             return self.carry_here(out, body).await;
         };
         let placement = if self.traffic.is_baseline() && !drained {
-            Placement::Here
+            Placement::Local
         } else {
             self.place()
         };
         match placement {
-            Placement::Here => self.carry_here_first(out, bytes).await,
+            Placement::Local => self.carry_here_first(out, bytes).await,
             Placement::Shift(region) if drained => {
                 match self.shift_out(out, bytes.clone(), region).await {
                     Err(answer) if is_refusal(&answer) && self.class.pool.takes_work() => {
--- a/crates/daemon/src/version/outlook.rs
+++ b/crates/daemon/src/version/outlook.rs
@@ -23,8 +23,8 @@
     time::Duration, //
 };
 use steer::{
-    Estimate,
     Occupancy, //
+    RegionEstimate,
 };
 
 /// What traffic threads know of the regions; never changed once published.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) struct ClassOutlook {
     /// One for each region; what changes with each request is filled in by the traffic thread.
-    pub(crate) estimates: Vec<Estimate>,
+    pub(crate) estimates: Vec<RegionEstimate>,
     /// Percent of their slots that other regions keep free when work is shifted to them.
     pub(crate) headroom_away_pct: u32,
     /// Parts of the arriving work that exceed the headroom here, by where they may go.
@@ -106,7 +106,7 @@
         let senders = u32::try_from(self.siblings.len()).unwrap_or(u32::MAX);
         let others = self.siblings.iter().map(|it| {
             let handed = it.handed.0.load(Ordering::Relaxed);
-            Occupancy::beside(it.told_milli_slots, it.open, handed, senders)
+            Occupancy::peer(it.told_milli_slots, it.open, handed, senders)
         });
         let chosen = steer::least_occupied(here, others)?;
         self.siblings.get(chosen)
--- a/crates/daemon/src/version/snapshot.rs
+++ b/crates/daemon/src/version/snapshot.rs
@@ -23,7 +23,7 @@
     sync::Arc, //
 };
 use steer::{
-    Admit,
+    AdmissionControl,
     ClassTarget, //
 };
 
@@ -56,7 +56,7 @@
     /// The class's target, as decisions take it.
     pub(crate) target: ClassTarget,
     /// Admission of the classes that share the service.
-    pub(crate) admit: Arc<Admit>,
+    pub(crate) admit: Arc<AdmissionControl>,
     /// Index of this class in it.
     pub(crate) place: usize,
     /// Classes of the service that go before this one.
--- a/crates/entry/src/control/cold.rs
+++ b/crates/entry/src/control/cold.rs
@@ -15,8 +15,8 @@
     rows::RowReader,
 };
 use balance::{
-    affinity,
-    rank, //
+    affinity_hash,
+    rendezvous_score, //
 };
 use base::{
     InstanceId,
@@ -32,7 +32,7 @@
 use lease::{
     Claim,
     Leases,
-    Standing,
+    RowState,
     Terms,
     Wanted, //
 };
@@ -61,9 +61,9 @@
     // The second for which the bound is stated, and the way of what was sent last.
     gap: Duration::from_millis(1500),
     // A call to the store from the farthest region, and the others' hearing of it.
-    turn: Duration::from_millis(400),
+    claim_stagger: Duration::from_millis(400),
     // How long a call to the store is waited for.
-    retry: Duration::from_millis(1000),
+    retry_delay: Duration::from_millis(1000),
 };
 /// Claims of one transaction, which holds a hundred conditions and writes.
 const CLAIMS_MAX: usize = 40;
@@ -108,10 +108,10 @@
     fn due_claims(&self, now: Now) -> Vec<Claim> {
         let mut known = self.known.borrow_mut();
         let wanted = self.wanted_leases(&known, now);
-        known.cold_leases.want(wanted, now);
+        known.cold_leases.set_wanted(wanted, now);
         let held = known.cold_leases.held(now).count();
         metrics::gauge!(metric::COLD_LEASES).set(held as f64);
-        known.cold_leases.due(CLAIMS_MAX, now)
+        known.cold_leases.take_due(CLAIMS_MAX, now)
     }
 
     /// Returns the upstreams whose leases this entry claims, and how many entries each ranks before this one.
@@ -152,7 +152,7 @@
             let is_claimant =
                 |region: &RegionId| region == own_region || listed.region != *own_region;
             let before = |(other, region): &&(u64, &RegionId)| {
-                is_claimant(region) && rank(of, *other) > rank(of, own)
+                is_claimant(region) && rendezvous_score(of, *other) > rendezvous_score(of, own)
             };
             Wanted {
                 subject: listed.id.clone(),
@@ -222,7 +222,7 @@
         let value = ByteString::from(value);
         let checks = claims.iter().map(|claim| {
             let key = key_of(&claim.subject);
-            match claim.read {
+            match claim.expected_version {
                 Some(version) => Check::Version { key, version },
                 None => Check::Absent { key },
             }
@@ -240,7 +240,7 @@
     /// Another entry holds these.
     pub(super) fn on_cold_held(&self, from: &InstanceId, upstreams: Vec<UpstreamId>, now: Now) {
         let mut known = self.known.borrow_mut();
-        known.cold_leases.heard(&upstreams, now);
+        known.cold_leases.note_held_elsewhere(&upstreams, now);
         let is_hub = known.overlay.is_hub(now);
         drop(known);
         if is_hub {
@@ -301,7 +301,7 @@
 }
 
 fn hash(name: &InstanceId) -> u64 {
-    affinity(name.as_bytes())
+    affinity_hash(name.as_bytes())
 }
 
 fn key_of(upstream: &UpstreamId) -> ByteString {
@@ -309,9 +309,9 @@
 }
 
 /// How the rows of refused claims stand.
-fn standings(claims: &[Claim], rows: Vec<Option<Row>>) -> Vec<Standing> {
+fn standings(claims: &[Claim], rows: Vec<Option<Row>>) -> Vec<RowState> {
     let rows = claims.iter().zip(rows);
-    rows.map(|(claim, row)| Standing {
+    rows.map(|(claim, row)| RowState {
         subject: claim.subject.clone(),
         version: row.map(|row| row.version),
     })
--- a/crates/entry/src/control/feeds.rs
+++ b/crates/entry/src/control/feeds.rs
@@ -160,7 +160,7 @@
 
     fn take_whole(&self, table: Followed, whole: &Rows, after_outage: bool) {
         let mut known = self.known.borrow_mut();
-        known.followed(table).follow.take_whole(whole.position);
+        known.followed(table).follow.on_table_read(whole.position);
         drop(known);
         match table {
             Followed::Operator => self.take_operator_rows(&whole.rows, Some(whole.position)),
@@ -177,7 +177,10 @@
         after_outage: bool,
     ) {
         if table == Followed::Upstreams {
-            self.known.borrow_mut().picture.note_read(position);
+            self.known
+                .borrow_mut()
+                .picture
+                .advance_read_position(position);
         }
         if rows.is_empty() {
             return;
@@ -218,7 +221,7 @@
 
     /// Least time between two calls for changes: all entries may call, if their hubs are lost.
     fn gather(&self) -> Duration {
-        let entries = self.known.borrow().overlay.count().unwrap_or(1);
+        let entries = self.known.borrow().overlay.sender_count().unwrap_or(1);
         let entries = u32::try_from(entries).unwrap_or(u32::MAX);
         let gather = GATHER_PER_ENTRY.saturating_mul(entries);
         gather.clamp(GATHER_MIN, GATHER_MAX)
@@ -275,7 +278,7 @@
                     }
                     let mut known = self.known.borrow_mut();
                     let follow = &mut known.followed(calls.followed).follow;
-                    follow.take_read(rows.position);
+                    follow.on_changes_read(rows.position);
                     return Some((position, rows));
                 }
                 Ok(Changes::HistoryGone) => {
--- a/crates/entry/src/control/hubs.rs
+++ b/crates/entry/src/control/hubs.rs
@@ -28,8 +28,8 @@
     Event, //
 };
 use overlay::{
+    Continuity, //
     Roster,
-    Step, //
 };
 use peer::SendResult;
 use plat::{
@@ -116,12 +116,12 @@
 
     pub(super) fn on_roster(&self, from: &InstanceId, roster: Roster, now: Now) {
         let mut known = self.known.borrow_mut();
-        known.overlay.take_roster(from, roster, now);
+        known.overlay.update_roster(from, roster, now);
     }
 
     pub(super) fn on_roster_gone(&self, from: &InstanceId, hub: &InstanceId, now: Now) {
         let mut known = self.known.borrow_mut();
-        known.overlay.drop_roster(from, hub, now);
+        known.overlay.mark_roster_lost(from, hub, now);
     }
 
     /// Whether others forward a table to this entry, so that it need not call the store.
@@ -193,22 +193,22 @@
         } = forwarded;
         let mut known = self.known.borrow_mut();
         let follow = &mut known.followed(table).follow;
-        let step = follow.step(from, after, position, now);
+        let step = follow.on_forwarded(from, after, position, now);
         drop(known);
         let name = match step {
-            Step::Next => "taken",
-            Step::Known => "known",
-            Step::Gap => "gap",
+            Continuity::Next => "taken",
+            Continuity::Known => "known",
+            Continuity::Gap => "gap",
         };
         metrics::counter!(metric::FORWARDED_ROWS, "step" => name).increment(1);
         match step {
-            Step::Next => {
+            Continuity::Next => {
                 self.take_changes(table, &forwarded.rows, position, forwarded.after_outage);
                 self.tell_leaves(&Message::Rows(forwarded), Some(from));
                 self.known.borrow_mut().followed(table).told_at = now;
             }
-            Step::Known => self.send_keep_alive(table, now),
-            Step::Gap => {}
+            Continuity::Known => self.send_keep_alive(table, now),
+            Continuity::Gap => {}
         }
         self.feed_due.notify_waiters();
     }
@@ -231,12 +231,12 @@
     pub(super) fn on_position(&self, from: &InstanceId, table: Followed, position: u64, now: Now) {
         let mut known = self.known.borrow_mut();
         let follow = &mut known.followed(table).follow;
-        follow.take_position(from, position, now);
+        follow.on_hub_position(from, position, now);
     }
 
     pub(super) fn on_not_reading(&self, from: &InstanceId, table: Followed) {
         let mut known = self.known.borrow_mut();
-        known.followed(table).follow.stop(from);
+        known.followed(table).follow.remove_hub(from);
         drop(known);
         emit(&Event::HubNotReading {
             hub: from.clone(),
@@ -249,7 +249,7 @@
     pub(super) fn ask_for_picture(&self, now: Now) {
         let known = self.known.borrow();
         let has_none = known.operator.follow.position().is_none();
-        let primary = known.overlay.primary(now);
+        let primary = known.overlay.primary_hub(now);
         let Some(primary) = primary.filter(|_| has_none && known.is_new == Some(true)) else {
             return;
         };
@@ -294,12 +294,17 @@
             .picture
             .end_evacuations_without_row(&standing, whole.operator_position, now);
         known.picture.apply_upstream_updates(&whole.upstreams, now);
-        known.picture.note_read(whole.upstreams_position);
-        known.operator.follow.take_whole(whole.operator_position);
-        known.upstreams.follow.take_whole(whole.upstreams_position);
+        known
+            .picture
+            .advance_read_position(whole.upstreams_position);
+        known.operator.follow.on_table_read(whole.operator_position);
+        known
+            .upstreams
+            .follow
+            .on_table_read(whole.upstreams_position);
         for followed in [&mut known.operator, &mut known.upstreams] {
             let position = followed.follow.position().unwrap_or_default();
-            followed.follow.take_position(from, position, now);
+            followed.follow.on_hub_position(from, position, now);
         }
         emit(&Event::PictureTaken {
             from: from.clone(),
@@ -327,10 +332,10 @@
     let own_number = known.rosters.note_own(own.clone());
     let mut due = Vec::new();
     let overlay = &known.overlay;
-    for to in overlay.advertised_to(now).chain(overlay.leaves()) {
+    for to in overlay.roster_receivers(now).chain(overlay.leaves()) {
         let sent = known.rosters.sent.get(to);
         let had = |hub: &InstanceId| sent.and_then(|sent| sent.get(hub)).copied();
-        let others = overlay.forwarded(to, now);
+        let others = overlay.forwarded_rosters(to, now);
         let others = others.filter(|(_, roster)| roster.hub != *to);
         let wanted = std::iter::once((own_number, &own)).chain(others);
         let mut present = Vec::new();
--- a/crates/entry/src/control/limits.rs
+++ b/crates/entry/src/control/limits.rs
@@ -66,7 +66,7 @@
 
     fn send_limits(&self, reports: Vec<Report>, from: Option<&InstanceId>) {
         let known = self.known.borrow();
-        let to = known.overlay.up().filter(|to| Some(*to) != from);
+        let to = known.overlay.connected().filter(|to| Some(*to) != from);
         self.send_to(to, &Message::Limits(reports));
     }
 
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/listing.rs
@@ -166,7 +166,7 @@
             registered.push(own);
         }
         let mut known = self.known.borrow_mut();
-        known.overlay.take_registered(registered);
+        known.overlay.set_registered(registered);
         known.is_new.get_or_insert(is_new);
         drop(known);
         self.publish_entries();
--- a/crates/entry/src/control/loads.rs
+++ b/crates/entry/src/control/loads.rs
@@ -94,19 +94,19 @@
         let known = &mut *known;
         Forwarding::put(&mut known.warmed.for_hubs, &warmed);
         Forwarding::put(&mut known.warmed.for_leaves, &warmed);
-        let of_domain = known.sums.of_domain(&own, now);
+        let of_domain = known.sums.domain_sums(&own, now);
         let of_domain = Message::DomainLoads(PackedLoads::pack(&of_domain));
         let hubs = known.overlay.other_hubs();
         let hubs = hubs.filter(|hub| far || self.is_near(known, hub));
         self.send_to(hubs, &of_domain);
-        if known.sums.reporting(now).next().is_some() {
-            let of_fleet = known.sums.of_fleet(&own, now);
+        if known.sums.reporting_leaves(now).next().is_some() {
+            let of_fleet = known.sums.fleet_sums(&own, now);
             let of_fleet = Message::FleetLoads(PackedLoads::pack(&of_fleet));
-            self.send_to(known.sums.reporting(now), &of_fleet);
+            self.send_to(known.sums.reporting_leaves(now), &of_fleet);
         }
         self.channels
             .loads
-            .put_others(Some(known.sums.others_of_hub(now)));
+            .put_others(Some(known.sums.others_for_hub(now)));
         self.forward_warmed(known, now);
     }
 
@@ -121,16 +121,19 @@
             self.send_to(hubs, &Message::Warmed(for_hubs));
         }
         if !for_leaves.is_empty() {
-            self.send_to(known.sums.reporting(now), &Message::Warmed(for_leaves));
+            self.send_to(
+                known.sums.reporting_leaves(now),
+                &Message::Warmed(for_leaves),
+            );
         }
     }
 
     fn tell_as_leaf(&self, now: Now) {
         let own = self.channels.loads.own.load();
         let mut known = self.known.borrow_mut();
-        let primary = known.overlay.primary(now).cloned();
+        let primary = known.overlay.primary_hub(now).cloned();
         if let Some(primary) = primary {
-            known.sums.note_reported(&own);
+            known.sums.record_reported(&own);
             self.send(&primary, &Message::Loads(PackedLoads::pack(&own)));
             let warmed = self.channels.loads.warmed.take();
             if !warmed.is_empty() {
@@ -139,7 +142,7 @@
         }
         self.channels
             .loads
-            .put_others(known.sums.others_of_leaf(now));
+            .put_others(known.sums.others_for_leaf(now));
     }
 
     fn is_near(&self, known: &Known, instance: &InstanceId) -> bool {
@@ -193,7 +196,7 @@
         let mut known = self.known.borrow_mut();
         known
             .sums
-            .take_leaf(from, loads.unpack(), stale_after(1), now);
+            .record_leaf(from, loads.unpack(), stale_after(1), now);
     }
 
     pub(super) fn on_domain_loads(&self, from: &InstanceId, loads: &PackedLoads, now: Now) {
@@ -205,12 +208,12 @@
         };
         known
             .sums
-            .take_hub(from, loads.unpack(), stale_after(every), now);
+            .record_hub(from, loads.unpack(), stale_after(every), now);
     }
 
     pub(super) fn on_fleet_loads(&self, loads: &PackedLoads, now: Now) {
         let mut known = self.known.borrow_mut();
-        known.sums.take_fleet(loads.unpack(), stale_after(1), now);
+        known.sums.record_fleet(loads.unpack(), stale_after(1), now);
     }
 }
 
--- a/crates/entry/src/control/members.rs
+++ b/crates/entry/src/control/members.rs
@@ -22,7 +22,7 @@
     emit,
     Event as LogEvent, //
 };
-use overlay::Down;
+use overlay::SessionEnd;
 use peer::{
     DownReason,
     Event,
@@ -120,7 +120,7 @@
             if now.saturating_sub(begun) >= interval {
                 return;
             }
-            let has_hub = is_hub || known.overlay.primary(now).is_some();
+            let has_hub = is_hub || known.overlay.primary_hub(now).is_some();
             alone = if has_hub { 0 } else { alone + 1 };
         }
     }
@@ -153,7 +153,7 @@
         if !known.settled {
             return;
         }
-        let partners = known.overlay.partners(now).into_iter();
+        let partners = known.overlay.session_targets(now).into_iter();
         let partners: Vec<Partner> = partners
             .map(|member| Partner {
                 instance: member.instance,
@@ -180,7 +180,7 @@
                         incarnation: info.incarnation,
                     });
                     let mut known = self.known.borrow_mut();
-                    known.overlay.take_up(
+                    known.overlay.on_session_up(
                         &info.instance,
                         &info.region,
                         &info.failure_domain,
@@ -217,19 +217,19 @@
         });
         let now = self.now();
         let down = match why {
-            DownReason::Unwanted | DownReason::Dropped => Down::Unneeded,
+            DownReason::Unwanted | DownReason::Dropped => SessionEnd::Unneeded,
             DownReason::Stopping
             | DownReason::Silent
             | DownReason::Lost
-            | DownReason::Restarted => Down::Lost,
+            | DownReason::Restarted => SessionEnd::Lost,
         };
         let mut known = self.known.borrow_mut();
-        known.overlay.take_down(instance, down, now);
+        known.overlay.on_session_down(instance, down, now);
         known.states.remove(instance);
-        known.sums.forget(instance);
+        known.sums.forget_session(instance);
         known.rosters.forget(instance);
-        known.operator.follow.stop(instance);
-        known.upstreams.follow.stop(instance);
+        known.operator.follow.remove_hub(instance);
+        known.upstreams.follow.remove_hub(instance);
         drop(known);
         self.feed_due.notify_waiters();
         self.update_partners(now);
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -58,16 +58,16 @@
 };
 use lease::Leases;
 use overlay::{
-    Follow,
+    LoadSums, //
     Member,
     Overlay,
-    Sums, //
+    TableFollower,
 };
 use peer::{
     Mesh,
     Partner, //
 };
-use picture::Picture;
+use picture::RoutingView;
 use plat::{
     Feed,
     Table as StoreTable, //
@@ -94,7 +94,7 @@
 /// A table of the store that is followed.
 #[derive(Debug)]
 struct Table {
-    follow: Follow,
+    follow: TableFollower,
     /// Calls for it fail.
     lost: bool,
     /// When the leaves of this hub were last told of it.
@@ -104,7 +104,7 @@
 impl Table {
     fn new() -> Self {
         Self {
-            follow: Follow::new(),
+            follow: TableFollower::new(),
             lost: false,
             told_at: Now::ZERO,
         }
@@ -123,7 +123,7 @@
 /// Everything that control knows.
 #[derive(Debug)]
 struct Known {
-    picture: Picture,
+    picture: RoutingView,
     /// Leases of this entry on cold upstreams.
     cold_leases: Leases,
     /// Compiled routes of the picture.
@@ -138,7 +138,7 @@
     rosters: hubs::Rosters,
     /// Whom sessions are kept to.
     partners: Vec<Partner>,
-    sums: Sums,
+    sums: LoadSums,
     /// Keys that this hub forwards.
     warmed: loads::Forwarding,
     /// Whether the store had no row of this entry when it first looked: its deployment or its instance is new, and
@@ -169,7 +169,7 @@
 impl Known {
     fn new(own: Member, bounds: Bounds) -> Self {
         Self {
-            picture: Picture::default(),
+            picture: RoutingView::default(),
             cold_leases: cold::none_held(),
             routes: None,
             operator: Table::new(),
@@ -179,7 +179,7 @@
             states: BTreeMap::new(),
             rosters: hubs::Rosters::default(),
             partners: Vec::new(),
-            sums: Sums::default(),
+            sums: LoadSums::default(),
             warmed: loads::Forwarding::default(),
             is_new: None,
             settled: false,
--- a/crates/entry/src/control/publish.rs
+++ b/crates/entry/src/control/publish.rs
@@ -31,7 +31,7 @@
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
     pub(super) fn entries_changed(&self) -> bool {
         let known = self.known.borrow();
-        known.overlay.number() != known.overlay_published
+        known.overlay.version() != known.overlay_published
     }
 
     /// Publishes what is known, and tells the other entries.
@@ -59,10 +59,10 @@
             }
         }
         known.overlay.sweep(now);
-        known.overlay_published = known.overlay.number();
+        known.overlay_published = known.overlay.version();
         let entries = known.overlay.live().len() + 1;
         metrics::gauge!(metric::ENTRIES).set(entries as f64);
-        metrics::gauge!(metric::PEERS).set(known.overlay.up().count() as f64);
+        metrics::gauge!(metric::PEERS).set(known.overlay.connected().count() as f64);
         known.number += 1;
         let snapshot = self.snapshot(known, now);
         self.published.store(Arc::new(snapshot));
@@ -83,7 +83,7 @@
             table: known.routes.clone(),
             upstreams: known.views.clone(),
             entries: self.entries(known),
-            entries_known: known.overlay.count(),
+            entries_known: known.overlay.sender_count(),
             here,
             bounds: known.bounds.clone(),
             stopping: known.stopping,
--- a/crates/entry/src/control/relay.rs
+++ b/crates/entry/src/control/relay.rs
@@ -33,7 +33,7 @@
 };
 use picture::{
     Applied,
-    Reach, //
+    ViewVersions, //
 };
 use plat::{
     Feed,
@@ -59,7 +59,7 @@
             callers_addr: self.settings.callers_addr,
             ready: known.routes.is_some() && !known.stopping,
             is_hub: known.overlay.is_hub(self.now()),
-            reach: known.picture.reach(self.now()),
+            reach: known.picture.versions(self.now()),
             round_trips: known.overlay.round_trips().into_iter().collect(),
         }
     }
@@ -68,7 +68,9 @@
     /// [`Self::broadcast_periodically`].
     pub(super) fn broadcast_urgent(&self, known: &mut Known, now: Now) {
         let state = self.state(known);
-        known.overlay.set_own(state.callers_addr, state.ready);
+        known
+            .overlay
+            .set_own_callers(state.callers_addr, state.ready);
         let told = known.told.state.as_ref();
         if told.is_none_or(|told| told.is_urgent(&state)) {
             self.broadcast(known, state, now);
@@ -97,7 +99,7 @@
     }
 
     fn broadcast(&self, known: &mut Known, state: State, now: Now) {
-        self.send_to(known.overlay.up(), &Message::State(state.clone()));
+        self.send_to(known.overlay.connected(), &Message::State(state.clone()));
         let told = known.told.state.as_ref();
         known.told = Told {
             again: told.is_none_or(|told| told.differs(&state)),
@@ -217,12 +219,12 @@
 
     fn on_state(&self, from: &InstanceId, state: State) {
         let mut known = self.known.borrow_mut();
-        let own = known.picture.reach(self.now());
+        let own = known.picture.versions(self.now());
         let theirs = state.reach;
-        if state.member.instance != *from || !known.overlay.is_up(from) {
+        if state.member.instance != *from || !known.overlay.is_connected(from) {
             return;
         }
-        let changed = known.overlay.take_state(
+        let changed = known.overlay.update_state(
             state.member.clone(),
             state.callers_addr,
             state.ready,
@@ -232,7 +234,7 @@
         // The same reach told twice: the store's own word has had the time to come.
         let told_before = before.is_some_and(|before| reaches(&before.reach, &theirs));
         let store_lost = known.operator.lost || known.upstreams.lost;
-        let upstreams_after = known.picture.upstreams_read_to();
+        let upstreams_after = known.picture.upstreams_read_position();
         drop(known);
         if changed {
             self.publish_entries();
@@ -279,7 +281,7 @@
 }
 
 /// Whether `a` reaches as far as `b`.
-fn reaches(a: &Reach, b: &Reach) -> bool {
+fn reaches(a: &ViewVersions, b: &ViewVersions) -> bool {
     a.routes >= b.routes && a.operator >= b.operator && a.upstreams >= b.upstreams
 }
 
--- a/crates/entry/src/message.rs
+++ b/crates/entry/src/message.rs
@@ -19,8 +19,8 @@
 };
 use picture::{
     Evacuation,
-    Reach,
     UpstreamUpdate, //
+    ViewVersions,
 };
 use plat::FeedRow;
 use quarantine::Report;
@@ -217,7 +217,7 @@
     /// It is a hub.
     pub(crate) is_hub: bool,
     /// How far its picture reaches.
-    pub(crate) reach: Reach,
+    pub(crate) reach: ViewVersions,
     /// A hub's round trips to other regions, which its leaves have no sessions to.
     pub(crate) round_trips: Vec<(RegionId, Duration)>,
 }
--- a/crates/entry/src/traffic/attempt.rs
+++ b/crates/entry/src/traffic/attempt.rs
@@ -16,7 +16,7 @@
     header::HeaderMap,
     StatusCode, //
 };
-use balance::Reported;
+use balance::LoadReport;
 use base::UpstreamId;
 use bytes::{
     Bytes,
@@ -29,10 +29,10 @@
 use quarantine::Fingerprint;
 use relay::{
     BodyReader,
-    Exchange,
     Failure,
-    Response,
     Target, //
+    UpstreamRequest,
+    UpstreamResponse,
 };
 use std::{
     cell::Cell,
@@ -174,7 +174,7 @@
 pub(super) async fn send(
     traffic: &Rc<Traffic>,
     in_flight: InFlight,
-    exchange: Exchange,
+    exchange: UpstreamRequest,
 ) -> Outcome {
     let (at, target) = (in_flight.placement.at.clone(), in_flight.target.clone());
     let deadline = exchange.deadline;
@@ -208,7 +208,7 @@
         note_failure(traffic, &at, &failure);
         return Outcome::Failed(failure);
     }
-    let Response {
+    let UpstreamResponse {
         headers,
         length_bytes,
         mut body,
@@ -265,7 +265,7 @@
 }
 
 /// Takes what the head of an answer says of its upstream.
-fn note_head(traffic: &Traffic, at: &Incarnation, response: &Response) {
+fn note_head(traffic: &Traffic, at: &Incarnation, response: &UpstreamResponse) {
     let load = response.headers.get(&traffic.shared.dialect.load);
     if let Some(reported) = load.and_then(|value| parse_load(value.to_str().ok()?)) {
         let mut fleet = traffic.fleet.borrow_mut();
@@ -291,9 +291,9 @@
 }
 
 /// `running,waiting,slots`.
-fn parse_load(text: &str) -> Option<Reported> {
+fn parse_load(text: &str) -> Option<LoadReport> {
     let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
-    Some(Reported {
+    Some(LoadReport {
         running: numbers.next()??,
         waiting: numbers.next()??,
         slots: numbers.next()??,
@@ -304,7 +304,7 @@
     let now = traffic.now();
     let mut fleet = traffic.fleet.borrow_mut();
     match failure {
-        Failure::BodyCut | Failure::Withdrawn => {}
+        Failure::BodyTruncated | Failure::Withdrawn => {}
         Failure::Refused => fleet.note_ended(at, now),
         Failure::NotSent(_) => fleet.note_failure(at, true, now),
         _ => fleet.note_failure(at, false, now),
--- a/crates/entry/src/traffic/fleet.rs
+++ b/crates/entry/src/traffic/fleet.rs
@@ -30,14 +30,14 @@
     },
 };
 use balance::{
-    affinity,
+    affinity_hash,
     choose,
-    part,
-    Census,
+    entry_share,
     Choice,
     Query,
-    ShiftBound,
+    ShiftLimiter,
     Upstream, //
+    UpstreamCounts,
 };
 use base::{
     FastMap,
@@ -91,7 +91,7 @@
     bounds: Bounds,
     groups: FastMap<ServiceId, Group>,
     splits: FastMap<ByteString, Split>,
-    shift: ShiftBound,
+    shift: ShiftLimiter,
     here: balance::Location,
     entries_known: Option<usize>,
     starts: FastMap<ServiceId, ColdStart>,
@@ -111,7 +111,7 @@
             bounds: settings.bounds.clone(),
             groups: FastMap::default(),
             splits: FastMap::default(),
-            shift: ShiftBound::new(SHIFT_WINDOW, affinity(settings.instance.as_bytes())),
+            shift: ShiftLimiter::new(SHIFT_WINDOW, affinity_hash(settings.instance.as_bytes())),
             here: balance::Location::default(),
             entries_known: None,
             starts: FastMap::default(),
@@ -215,17 +215,17 @@
     /// Counts a caller's request for a service.
     pub(super) fn offer(&mut self, service: &ServiceId, now: Now) {
         if let Some(group) = self.groups.get_mut(service) {
-            group.budget.offer(now);
+            group.budget.note_request(now);
         }
     }
 
     /// Takes one send beyond a request's first from the budget.
     pub(super) fn take_retry(&mut self, service: &ServiceId, now: Now) -> bool {
-        let slack = part(self.bounds.retry_slack, self.entries_known);
+        let slack = entry_share(self.bounds.retry_slack, self.entries_known);
         let Some(group) = self.groups.get_mut(service) else {
             return false;
         };
-        let taken = group.budget.take(slack, now);
+        let taken = group.budget.try_take(slack, now);
         if !taken && group.spent_told.replace(now.as_secs()) != Some(now.as_secs()) {
             emit(&Event::RetriesSpent {
                 service: service.clone(),
@@ -245,19 +245,19 @@
         let tried: Vec<usize> = tried.collect();
         let query = Query {
             key: need.key,
-            keyed: need.keyed,
+            has_affinity_key: need.keyed,
             explores: need.nonce % EXPLORE_EVERY == 0,
             target_left: need.target_left,
             deadline_left: need.deadline_left,
-            homes: &need.route.homes,
+            home_regions: &need.route.homes,
             tried: &tried,
-            full_regions: &full_regions,
+            shift_limited_regions: &full_regions,
             cold_per_s,
-            work: group.work(&need.route.id),
+            service_times: group.work(&need.route.id),
         };
         match choose(&mut group.upstreams, &query, &self.here, now) {
             Choice::Send {
-                place,
+                index: place,
                 warm,
                 idle,
                 expected,
@@ -267,7 +267,7 @@
                 let report_age = upstream.report_age(now);
                 upstream.in_flight += 1;
                 if need.keyed {
-                    upstream.warm.note(need.key, now);
+                    upstream.warm_keys.note(need.key, now);
                     if !warm {
                         self.warmed.push(WarmKey(upstream.hash, need.key));
                     }
@@ -312,10 +312,10 @@
                 reason: Reason::NoSlotInTime,
                 retry_after,
                 expected: logged(expected),
-                census: Census::of(&group.upstreams, now),
+                census: UpstreamCounts::of(&group.upstreams, now),
             }),
             Choice::NoUpstream { retry_after } => Placed::Refuse(Refused {
-                census: Census::of(&group.upstreams, now),
+                census: UpstreamCounts::of(&group.upstreams, now),
                 ..Refused::new(Reason::NoUpstreamOpen, retry_after)
             }),
         }
@@ -332,7 +332,7 @@
             if open.contains(region) || full.contains(region) {
                 continue;
             }
-            let side = if self.shift.fits(region, growth, now) {
+            let side = if self.shift.allows(region, growth, now) {
                 &mut open
             } else {
                 &mut full
--- a/crates/entry/src/traffic/fleet/outcome.rs
+++ b/crates/entry/src/traffic/fleet/outcome.rs
@@ -8,7 +8,7 @@
         Placement, //
     },
 };
-use balance::Reported;
+use balance::LoadReport;
 use base::Now;
 use event::{
     emit,
@@ -37,7 +37,7 @@
             return false;
         };
         if waited {
-            upstream.note_waited();
+            upstream.note_wait_ended();
         }
         if upstream.is_closed() {
             return false;
@@ -57,15 +57,15 @@
         if let Some(upstream) = self.upstream(at) {
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
             if waited {
-                upstream.note_waited();
+                upstream.note_wait_ended();
             }
         }
     }
 
     /// An answer said how loaded its upstream is.
-    pub(in crate::traffic) fn report(&mut self, at: &Incarnation, reported: Reported, now: Now) {
+    pub(in crate::traffic) fn report(&mut self, at: &Incarnation, reported: LoadReport, now: Now) {
         if let Some(upstream) = self.upstream(at) {
-            upstream.report(reported, now);
+            upstream.note_report(reported, now);
         }
     }
 
@@ -113,7 +113,7 @@
             });
         }
         if let Some(key) = placement.key {
-            upstream.warm.note(key, now);
+            upstream.warm_keys.note(key, now);
         }
         if placement.idle && !upstream.is_cold(now) {
             let known = group.work.entry(placement.route.clone()).or_default();
@@ -137,7 +137,7 @@
     pub(in crate::traffic) fn note_ended(&mut self, at: &Incarnation, now: Now) {
         let away = START_HEARD + self.start_of(&at.service).lasts;
         let upstream = self.upstream(at);
-        let away = upstream.and_then(|upstream| upstream.health.note_ended(away, now));
+        let away = upstream.and_then(|upstream| upstream.health.note_exit(away, now));
         log_passed_over(at, away, true);
     }
 
--- a/crates/entry/src/traffic/fleet/told.rs
+++ b/crates/entry/src/traffic/fleet/told.rs
@@ -33,7 +33,7 @@
     pub(in crate::traffic) fn all_warm(&self) -> Vec<WarmKey> {
         let upstreams = self.groups.values().flat_map(|group| &group.upstreams);
         let keys = upstreams.flat_map(|upstream| {
-            let keys = upstream.warm.keys();
+            let keys = upstream.warm_keys.keys();
             keys.map(|key| WarmKey(upstream.hash, key))
         });
         keys.collect()
@@ -50,7 +50,7 @@
         let groups = self.groups.values_mut();
         for upstream in groups.flat_map(|group| &mut group.upstreams) {
             for key in by_upstream.get(&upstream.hash).into_iter().flatten() {
-                upstream.warm.note(*key, now);
+                upstream.warm_keys.note(*key, now);
             }
         }
     }
@@ -64,7 +64,7 @@
         let groups = self.groups.values_mut();
         for upstream in groups.flat_map(|group| &mut group.upstreams) {
             let told = |sums: &FastMap<_, _>| sums.get(&load_key(upstream.hash)).copied();
-            upstream.told = sums.as_ref().as_ref().map(|sums| told(sums).unwrap_or(0));
+            upstream.peers_in_flight = sums.as_ref().as_ref().map(|sums| told(sums).unwrap_or(0));
         }
     }
 }
--- a/crates/entry/src/traffic/group.rs
+++ b/crates/entry/src/traffic/group.rs
@@ -6,8 +6,8 @@
 };
 use balance::{
     RetryBudget,
+    ServiceTimes, //
     Upstream,
-    Work, //
 };
 use base::FastMap;
 use bytestring::ByteString;
@@ -22,7 +22,7 @@
     /// Second in which it was last said that the budget is spent.
     pub(super) spent_told: Option<u64>,
     /// Times of the work of each route: routes of one service may differ by far.
-    pub(super) work: FastMap<ByteString, Work>,
+    pub(super) work: FastMap<ByteString, ServiceTimes>,
 }
 
 impl Group {
@@ -38,7 +38,7 @@
     }
 
     /// Times of the work of a route; those of any other say nothing of it.
-    pub(super) fn work(&self, route: &str) -> Work {
+    pub(super) fn work(&self, route: &str) -> ServiceTimes {
         self.work.get(route).copied().unwrap_or_default()
     }
 
--- a/crates/entry/src/traffic/job.rs
+++ b/crates/entry/src/traffic/job.rs
@@ -45,11 +45,11 @@
 use quarantine::Fingerprint;
 use relay::{
     request_head,
-    Exchange,
     Failure,
     Framing,
     RequestBody,
     Target, //
+    UpstreamRequest,
 };
 use route::Route;
 use std::{
@@ -235,7 +235,7 @@
             progress.may_have_run = true;
             let timeout = *failure == Failure::Timeout;
             progress.last = Some(Last::Failed { timeout });
-            let whole = *failure != Failure::BodyCut;
+            let whole = *failure != Failure::BodyTruncated;
             whole && self.route.kind.is_idempotent() && self.may_resend(progress.sends)
         };
         if again {
@@ -254,7 +254,7 @@
             route: &self.route,
             key: self.key,
             keyed: self.keyed,
-            nonce: balance::affinity(self.id.as_bytes()),
+            nonce: balance::affinity_hash(self.id.as_bytes()),
             target_left: target_at.saturating_duration_since(now),
             deadline_left: self.deadline.saturating_duration_since(now),
             tried,
@@ -276,7 +276,7 @@
     }
 
     /// The request as it goes to one upstream.
-    fn exchange(&mut self, target: &Target) -> Option<Exchange> {
+    fn exchange(&mut self, target: &Target) -> Option<UpstreamRequest> {
         let body = self.body.next()?;
         let dialect = &self.traffic.shared.dialect;
         let left = self.deadline.saturating_duration_since(Instant::now());
@@ -296,7 +296,7 @@
             RequestBody::Stream { .. } => Framing::Chunked,
         };
         let head = request_head(&self.method, &self.path, &self.headers, framing);
-        Some(Exchange {
+        Some(UpstreamRequest {
             head: head.freeze(),
             body,
             echo: Some((
--- a/crates/entry/src/traffic/log.rs
+++ b/crates/entry/src/traffic/log.rs
@@ -37,7 +37,7 @@
     Sent, //
 };
 use relay::{
-    Answer,
+    CallerResponse,
     Target, //
 };
 use std::{
@@ -94,7 +94,7 @@
     pub(super) fn log_turned_away(
         &self,
         id: Option<&HeaderValue>,
-        answer: &Answer,
+        answer: &CallerResponse,
         outcome: Outcome,
         received: Instant,
     ) {
--- a/crates/entry/src/traffic/lookup.rs
+++ b/crates/entry/src/traffic/lookup.rs
@@ -17,7 +17,7 @@
     StatusCode, //
 };
 use relay::{
-    Answer,
+    CallerResponse,
     Handler,
     Refusal,
     Request, //
@@ -54,11 +54,11 @@
         false
     }
 
-    fn may_overlap(&self, _: &Head) -> bool {
+    fn may_run_concurrently(&self, _: &Head) -> bool {
         true
     }
 
-    async fn answer(self: Rc<Self>, request: Request) -> Answer {
+    async fn handle(self: Rc<Self>, request: Request) -> CallerResponse {
         let shared = &self.0.shared;
         let snapshot = shared.published.load();
         let path = request.uri.path();
@@ -67,24 +67,24 @@
         }
         if path == shared.dialect.ready_path {
             return if snapshot.ready() {
-                Answer::text(StatusCode::OK, "ready\n")
+                CallerResponse::text(StatusCode::OK, "ready\n")
             } else {
-                Answer::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+                CallerResponse::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
             };
         }
         if path == "/metrics" {
-            return Answer::text(StatusCode::OK, shared.metrics.render());
+            return CallerResponse::text(StatusCode::OK, shared.metrics.render());
         }
-        Answer::empty(StatusCode::NOT_FOUND)
+        CallerResponse::empty(StatusCode::NOT_FOUND)
     }
 
-    fn refuse(&self, _: Refusal) -> Answer {
-        Answer::empty(StatusCode::BAD_REQUEST)
+    fn refuse(&self, _: Refusal) -> CallerResponse {
+        CallerResponse::empty(StatusCode::BAD_REQUEST)
     }
 }
 
 impl Pages {
-    fn lookup(&self, snapshot: &Snapshot, query: &str) -> Answer {
+    fn lookup(&self, snapshot: &Snapshot, query: &str) -> CallerResponse {
         let field = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs
@@ -95,7 +95,7 @@
         };
         let addresses = entries_for(snapshot, field("region"));
         if addresses.is_empty() {
-            return Answer::empty(StatusCode::SERVICE_UNAVAILABLE);
+            return CallerResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         metrics::counter!(metric::LOOKUPS).increment(1);
         let shared = &self.0.shared;
@@ -105,7 +105,7 @@
             shared.dialect.addresses_field: addresses,
             shared.dialect.ttl_s_field: ttl.as_secs_f64(),
         });
-        let mut answer = Answer::text(StatusCode::OK, body.to_string());
+        let mut answer = CallerResponse::text(StatusCode::OK, body.to_string());
         let json = HeaderValue::from_static("application/json");
         answer.headers.insert(CONTENT_TYPE, json);
         answer
--- a/crates/entry/src/traffic/placement.rs
+++ b/crates/entry/src/traffic/placement.rs
@@ -13,9 +13,9 @@
 };
 use bytestring::ByteString;
 use event::{
-    Census,
     Expected,
     Reason, //
+    UpstreamCounts,
 };
 use relay::Target;
 use route::Route;
@@ -89,7 +89,7 @@
     /// What was expected of the upstream that would have answered first.
     pub(super) expected: Expected,
     /// How the service's upstreams stood.
-    pub(super) census: Census,
+    pub(super) census: UpstreamCounts,
 }
 
 impl Refused {
@@ -117,6 +117,6 @@
 pub(super) fn logged(expected: Expectation) -> Expected {
     Expected {
         wait_ms: millis(expected.wait),
-        answer_ms: millis(expected.answer),
+        answer_ms: millis(expected.response_time),
     }
 }
--- a/crates/entry/src/traffic/plan.rs
+++ b/crates/entry/src/traffic/plan.rs
@@ -31,8 +31,8 @@
 use event::Outcome;
 use quarantine::Fingerprint;
 use relay::{
-    forwardable,
-    Answer,
+    end_to_end_headers,
+    CallerResponse,
     Request,
     RequestBody, //
 };
@@ -70,10 +70,16 @@
     let host = text(&request.headers, &HOST);
     let path = request.uri.path();
     let Some(route) = host.and_then(|host| table.find(host, path)) else {
-        return Err((Answer::empty(StatusCode::NOT_FOUND), Outcome::NoSuchRoute));
+        return Err((
+            CallerResponse::empty(StatusCode::NOT_FOUND),
+            Outcome::NoSuchRoute,
+        ));
     };
     let Some(id) = request.headers.get(&dialect.request_id).cloned() else {
-        return Err((Answer::empty(StatusCode::BAD_REQUEST), Outcome::NoRequestId));
+        return Err((
+            CallerResponse::empty(StatusCode::BAD_REQUEST),
+            Outcome::NoRequestId,
+        ));
     };
     let asked_ms = text(&request.headers, &dialect.deadline_ms)
         .and_then(|value| value.trim().parse::<f64>().ok())
@@ -90,10 +96,10 @@
     drop(fleet);
     let key = affinity_key(dialect, &request.headers).filter(|_| route.sticky);
     let keyed = key.is_some();
-    let key = key.unwrap_or_else(|| balance::affinity(id.as_bytes()));
+    let key = key.unwrap_or_else(|| balance::affinity_hash(id.as_bytes()));
     let path_and_query = request.uri.path_and_query();
     let path = path_and_query.map_or("/", |path| path.as_str()).to_owned();
-    let mut headers = forwardable(&request.headers);
+    let mut headers = end_to_end_headers(&request.headers);
     headers.remove(EXPECT);
     let fingerprint = request_fingerprint(&request.method, &path, &headers, &request.body);
     let body = match request.body {
@@ -152,7 +158,7 @@
         let (name, value) = pair.trim().split_once('=')?;
         (name == dialect.affinity_cookie).then_some(value)
     })?;
-    Some(balance::affinity(value.as_bytes()))
+    Some(balance::affinity_hash(value.as_bytes()))
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
--- a/crates/entry/src/traffic/reply.rs
+++ b/crates/entry/src/traffic/reply.rs
@@ -23,14 +23,14 @@
 };
 use event::Outcome;
 use relay::{
-    forwardable,
-    Answer,
-    AnswerBody, //
+    end_to_end_headers,
+    CallerResponse,
+    ResponseBody, //
 };
 use std::time::Duration;
 
 /// Final answer and what the metrics call it.
-pub(super) type Final = (Answer, Outcome);
+pub(super) type Final = (CallerResponse, Outcome);
 
 /// What the last send that reached an upstream came to.
 pub(super) enum Last {
@@ -41,7 +41,7 @@
 
 /// Tells the caller that the request did not run, and when to come back.
 pub(super) fn come_back(after: Duration, outcome: Outcome) -> Final {
-    let mut answer = Answer::empty(StatusCode::SERVICE_UNAVAILABLE);
+    let mut answer = CallerResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", after.as_secs_f64());
     let value = HeaderValue::from_str(&seconds).expect("digits are a header's value");
     answer.headers.insert(RETRY_AFTER, value);
@@ -62,12 +62,12 @@
             refused: None,
             progress,
         });
-        let headers = forwardable(&answered.headers);
+        let headers = end_to_end_headers(&answered.headers);
         let body = match answered.body {
-            AnsweredBody::Whole(_) if self.method == Method::HEAD => AnswerBody::Omitted {
+            AnsweredBody::Whole(_) if self.method == Method::HEAD => ResponseBody::Omitted {
                 length_bytes: answered.length_bytes,
             },
-            AnsweredBody::Whole(bytes) => AnswerBody::Whole(bytes),
+            AnsweredBody::Whole(bytes) => ResponseBody::Whole(bytes),
             AnsweredBody::Long {
                 begun,
                 rest,
@@ -80,13 +80,13 @@
                     in_flight,
                 };
                 let parts = stream.pass_on(begun, rest);
-                AnswerBody::Stream {
+                ResponseBody::Stream {
                     length_bytes: answered.length_bytes,
                     parts,
                 }
             }
         };
-        let answer = Answer {
+        let answer = CallerResponse {
             status: answered.status,
             headers,
             body,
@@ -104,10 +104,13 @@
         }
         let (answer, outcome) = match last {
             Some(Last::Failed { timeout: true }) => (
-                Answer::empty(StatusCode::GATEWAY_TIMEOUT),
+                CallerResponse::empty(StatusCode::GATEWAY_TIMEOUT),
                 Outcome::TimedOut,
             ),
-            _ if progress.may_have_run => (Answer::empty(StatusCode::BAD_GATEWAY), Outcome::Failed),
+            _ if progress.may_have_run => (
+                CallerResponse::empty(StatusCode::BAD_GATEWAY),
+                Outcome::Failed,
+            ),
             _ => come_back(refused.retry_after, Outcome::Refused),
         };
         self.log_end(&End {
--- a/crates/entry/src/traffic/request.rs
+++ b/crates/entry/src/traffic/request.rs
@@ -18,7 +18,7 @@
     Event, //
 };
 use relay::{
-    Answer,
+    CallerResponse,
     Handler,
     Refusal,
     Request, //
@@ -40,7 +40,7 @@
         self.shared.published.load().stopping
     }
 
-    fn may_overlap(&self, head: &Head) -> bool {
+    fn may_run_concurrently(&self, head: &Head) -> bool {
         let snapshot = self.shared.published.load();
         let route = snapshot.table.as_ref().and_then(|table| {
             let host = head.headers().get(HOST)?.to_str().ok()?;
@@ -49,7 +49,7 @@
         route.is_some_and(|route| route.kind.is_idempotent())
     }
 
-    async fn answer(self: Rc<Self>, request: Request) -> Answer {
+    async fn handle(self: Rc<Self>, request: Request) -> CallerResponse {
         let _counted = Counted::new(&self);
         let received = request.received;
         let id = request
@@ -76,7 +76,7 @@
         answer
     }
 
-    fn refuse(&self, refusal: Refusal) -> Answer {
+    fn refuse(&self, refusal: Refusal) -> CallerResponse {
         let status = match refusal {
             Refusal::Malformed => StatusCode::BAD_REQUEST,
             Refusal::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -91,7 +91,7 @@
                 status: status.as_u16(),
             });
         }
-        Answer::empty(status)
+        CallerResponse::empty(status)
     }
 }
 
--- a/crates/entry/tests/system.rs
+++ b/crates/entry/tests/system.rs
@@ -369,8 +369,8 @@
     });
     // Keys that rank the upstream which is listed later higher.
     let ranks_second = |key: &String| {
-        let key = balance::affinity(key.as_bytes());
-        let rank_of = |name: &[u8]| balance::rank(key, balance::affinity(name));
+        let key = balance::affinity_hash(key.as_bytes());
+        let rank_of = |name: &[u8]| balance::rendezvous_score(key, balance::affinity_hash(name));
         rank_of(b"u-2") > rank_of(b"u-1")
     };
     let keys: Vec<String> = (0..)
--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -16,7 +16,7 @@
 mod request;
 mod writer;
 
-pub use balance::Census;
+pub use balance::UpstreamCounts;
 pub use event::{
     Event,
     Severity, //
--- a/crates/event/src/request.rs
+++ b/crates/event/src/request.rs
@@ -1,6 +1,6 @@
 //! Events about one request.
 
-use balance::Census;
+use balance::UpstreamCounts;
 use base::{
     DomainId,
     RegionId,
@@ -181,7 +181,7 @@
     pub sent: Option<Sent>,
     /// How the upstreams stood, if it was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub census: Option<Census>,
+    pub census: Option<UpstreamCounts>,
     /// What was expected of the best of them, if it was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<Expected>,
--- a/crates/event/tests/lines.rs
+++ b/crates/event/tests/lines.rs
@@ -1,7 +1,6 @@
 //! Every event is read back as it was written, with its line's own fields beside it.
 
 use event::{
-    Census,
     Event,
     Expected,
     Line,
@@ -12,6 +11,7 @@
     SendFailed,
     Sent,
     Severity, //
+    UpstreamCounts,
 };
 
 fn sent() -> Sent {
@@ -43,7 +43,7 @@
         may_have_run: false,
         fingerprint: Some("0a".into()),
         sent: None,
-        census: Some(Census {
+        census: Some(UpstreamCounts {
             open: 3,
             closed: 1,
             cold: 0,
--- a/crates/explain/tests/causes.rs
+++ b/crates/explain/tests/causes.rs
@@ -1,7 +1,6 @@
 //! Which cause is named for which lines; each case is a log of a few lines.
 
 use event::{
-    Census,
     Event,
     Expected,
     Line,
@@ -12,6 +11,7 @@
     SendFailed,
     Sent,
     Severity, //
+    UpstreamCounts,
 };
 use explain::{
     Fault,
@@ -60,7 +60,7 @@
     }
 }
 
-fn refused(reason: Reason, census: Census) -> RequestEnded {
+fn refused(reason: Reason, census: UpstreamCounts) -> RequestEnded {
     RequestEnded {
         status: Some(503),
         reason: Some(reason),
@@ -197,7 +197,7 @@
         ..ended(Outcome::Answered)
     }))] => FarAway, "u-1 in dar";
     refused_for_want_of_slots: [
-        (0, request(refused(Reason::NoSlotInTime, Census { open: 6, ..Census::default() }))),
+        (0, request(refused(Reason::NoSlotInTime, UpstreamCounts { open: 6, ..UpstreamCounts::default() }))),
     ] => Overload, "answer after 520 ms, 380 of them waiting";
     refused_during_an_evacuation: [
         (-3_000, Event::Evacuation {
@@ -205,7 +205,7 @@
             on: true,
             row_version: 4,
         }),
-        (0, request(refused(Reason::NoSlotInTime, Census { open: 3, closed: 3, ..Census::default() }))),
+        (0, request(refused(Reason::NoSlotInTime, UpstreamCounts { open: 3, closed: 3, ..UpstreamCounts::default() }))),
     ] => Overload, "moshi-b was evacuated";
     refused_after_an_evacuation_that_is_over: [
         (-3_000, Event::Evacuation {
@@ -218,7 +218,7 @@
             on: false,
             row_version: 5,
         }),
-        (0, request(refused(Reason::NoUpstreamOpen, Census { cold: 3, ..Census::default() }))),
+        (0, request(refused(Reason::NoUpstreamOpen, UpstreamCounts { cold: 3, ..UpstreamCounts::default() }))),
     ] => NoUpstreamOpen, "0 open, 0 leaving, gone or evacuated, 3 cold";
     refused_after_crashes: [
         (-900, crashed("u-1", "0a")),
@@ -226,16 +226,16 @@
         (-300, crashed("u-2", "0a")),
         (0, request(RequestEnded {
             fingerprint: Some("0a".into()),
-            ..refused(Reason::Quarantined, Census::default())
+            ..refused(Reason::Quarantined, UpstreamCounts::default())
         })),
     ] => Quarantined, "fingerprint 0a; crashed in these logs: u-1, u-2";
     refused_by_full_upstreams: [
         (-10, failed("status 503", true)),
-        (0, request(refused(Reason::UpstreamRefused, Census::default()))),
+        (0, request(refused(Reason::UpstreamRefused, UpstreamCounts::default()))),
     ] => UpstreamRefused, "u-1: status 503";
     refused_as_none_could_be_reached: [
         (-10, failed("not sent: Connection refused", true)),
-        (0, request(refused(Reason::NoUpstreamOpen, Census::default()))),
+        (0, request(refused(Reason::NoUpstreamOpen, UpstreamCounts::default()))),
     ] => UpstreamUnreachable, "Connection refused";
     broken_off_by_an_upstream_that_ended: [
         (-5, failed("connection broke after the request was sent: reset", false)),
@@ -317,12 +317,15 @@
 #[test]
 fn failures_are_counted_by_cause() {
     let logs = logs(&[
-        (0, request(refused(Reason::NoSlotInTime, Census::default()))),
+        (
+            0,
+            request(refused(Reason::NoSlotInTime, UpstreamCounts::default())),
+        ),
         (
             1,
             request(RequestEnded {
                 id: "50".into(),
-                ..refused(Reason::NoSlotInTime, Census::default())
+                ..refused(Reason::NoSlotInTime, UpstreamCounts::default())
             }),
         ),
         (2, other_answered(100)),
--- a/crates/filing/src/batch.rs
+++ b/crates/filing/src/batch.rs
@@ -30,7 +30,7 @@
 
 /// One caller's conditional write.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Insert {
+pub struct ConditionalWrite {
     /// Caller to notify of the result.
     pub caller: u64,
     /// Key of the row.
@@ -45,12 +45,12 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Commit {
     /// The writes, sorted by key, at most one for each row.
-    pub inserts: Vec<Insert>,
+    pub writes: Vec<ConditionalWrite>,
 }
 
 /// Result of a transaction.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum CommitAnswer {
+pub enum CommitResult {
     /// All writes took effect.
     Committed {
         /// New version of all written rows.
@@ -70,10 +70,10 @@
 /// Queue of writes, with at most one transaction in flight.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Batch {
-    queued: VecDeque<Insert>,
-    in_flight: Vec<Insert>,
+    queued: VecDeque<ConditionalWrite>,
+    in_flight: Vec<ConditionalWrite>,
     /// Writes of [`NO_CALLER`] that failed, until [`Batch::unpark`].
-    deferred: VecDeque<Insert>,
+    deferred: VecDeque<ConditionalWrite>,
     size_max: usize,
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Queues a caller's write.
-    pub fn push(&mut self, insert: Insert) {
+    pub fn push(&mut self, insert: ConditionalWrite) {
         self.queued.push_back(insert);
     }
 
@@ -109,7 +109,7 @@
     ///
     /// This is a separate call, because immediate retries would run in a tight loop while the table
     /// is down. Call it periodically, once the table responds.
-    pub fn unpark(&mut self) {
+    pub fn retry_deferred(&mut self) {
         self.queued.append(&mut self.deferred);
     }
 
@@ -126,7 +126,7 @@
         if !self.in_flight.is_empty() || self.queued.is_empty() {
             return None;
         }
-        let mut chosen: BTreeMap<ByteString, Insert> = BTreeMap::new();
+        let mut chosen: BTreeMap<ByteString, ConditionalWrite> = BTreeMap::new();
         let mut remaining = VecDeque::new();
         while let Some(insert) = self.queued.pop_front() {
             if chosen.len() < self.size_max && !chosen.contains_key(&insert.key) {
@@ -138,7 +138,7 @@
         self.queued = remaining;
         self.in_flight = chosen.into_values().collect();
         Some(Commit {
-            inserts: self.in_flight.clone(),
+            writes: self.in_flight.clone(),
         })
     }
 
@@ -146,28 +146,28 @@
     ///
     /// [`NO_CALLER`] gets no events. Its writes are retried if the table is down or the result was
     /// lost; the condition of one that had taken effect fails on the retry.
-    pub fn answer(&mut self, result: CommitAnswer) -> Vec<(u64, ClaimEvent)> {
+    pub fn complete(&mut self, result: CommitResult) -> Vec<(u64, ClaimEvent)> {
         let inserts = std::mem::take(&mut self.in_flight);
         let notify_all = |event: ClaimEvent| {
-            let notify = |insert: &Insert| (insert.caller, event.clone());
-            let has_caller = |insert: &&Insert| insert.caller != NO_CALLER;
+            let notify = |insert: &ConditionalWrite| (insert.caller, event.clone());
+            let has_caller = |insert: &&ConditionalWrite| insert.caller != NO_CALLER;
             inserts.iter().filter(has_caller).map(notify).collect()
         };
         match result {
-            CommitAnswer::Committed { version } => notify_all(ClaimEvent::Committed { version }),
-            CommitAnswer::Lost => {
+            CommitResult::Committed { version } => notify_all(ClaimEvent::Committed { version }),
+            CommitResult::Lost => {
                 self.defer(&inserts);
                 notify_all(ClaimEvent::Lost)
             }
-            CommitAnswer::Down => {
+            CommitResult::Down => {
                 self.defer(&inserts);
                 notify_all(ClaimEvent::Down)
             }
-            CommitAnswer::Conflict { rows } => self.retry_unconflicted(inserts, rows),
+            CommitResult::Conflict { rows } => self.retry_unconflicted(inserts, rows),
         }
     }
 
-    fn defer(&mut self, inserts: &[Insert]) {
+    fn defer(&mut self, inserts: &[ConditionalWrite]) {
         let without_caller = inserts.iter().filter(|insert| insert.caller == NO_CALLER);
         self.deferred.extend(without_caller.cloned());
         while self.deferred.len() > DEFERRED_MAX {
@@ -179,7 +179,7 @@
     /// queue.
     fn retry_unconflicted(
         &mut self,
-        inserts: Vec<Insert>,
+        inserts: Vec<ConditionalWrite>,
         rows: Vec<Option<Row>>,
     ) -> Vec<(u64, ClaimEvent)> {
         let mut notifications = Vec::new();
--- a/crates/filing/src/bounds.rs
+++ b/crates/filing/src/bounds.rs
@@ -15,9 +15,9 @@
     /// bytes.
     pub offer_bytes_max: usize,
     /// Longest lifetime of a ticket. One that expires later was issued with a wrong clock.
-    pub life_max: Duration,
+    pub lifetime_max: Duration,
     /// How long an outcome is kept after its ticket has expired.
-    pub margin: Duration,
+    pub retention: Duration,
 }
 
 impl Default for Bounds {
@@ -27,8 +27,8 @@
             record_bytes_max: 16 * 1024,
             total_bytes_max: 64 * 1024 * 1024,
             offer_bytes_max: 768 * 1024,
-            life_max: Duration::from_secs(120),
-            margin: Duration::from_secs(60),
+            lifetime_max: Duration::from_secs(120),
+            retention: Duration::from_secs(60),
         }
     }
 }
--- a/crates/filing/src/claimer.rs
+++ b/crates/filing/src/claimer.rs
@@ -11,8 +11,8 @@
 use crate::{
     Claim,
     ClaimState,
+    ConditionalWrite,
     Guards,
-    Insert,
     Record,
     Releaser,
     Row,
@@ -102,14 +102,14 @@
     /// Send the request now.
     Send,
     /// Respond to the caller.
-    Answer(ClaimAnswer),
+    Respond(ClaimResult),
     /// Do nothing: the event came too late.
     Nothing,
 }
 
 /// How a request ends without being sent.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum ClaimAnswer {
+pub enum ClaimResult {
     /// Nothing was sent: `not-run`. The releaser, if any, must be run until it is done.
     NotRun(Option<Releaser>),
     /// The filing has ended before: replay the recorded response.
@@ -118,7 +118,7 @@
     /// tell the outcome.
     InProgress {
         /// Holder of the claim.
-        owner: InstanceId,
+        holder: InstanceId,
         /// Incarnation of the holder.
         incarnation: Incarnation,
     },
@@ -168,7 +168,7 @@
     }
 
     /// Handles the result of the last step and returns the next one.
-    pub fn on(&mut self, event: ClaimEvent) -> ClaimStep {
+    pub fn on_event(&mut self, event: ClaimEvent) -> ClaimStep {
         match self.state {
             State::Inserting => self.on_inserting(event),
             State::ReadingBack => self.on_reading_back(event),
@@ -183,7 +183,7 @@
         let State::Claimed { version } = self.state else {
             return ClaimStep::Nothing;
         };
-        if self.guards.lease_before_send && !may_send(now, lease_until) {
+        if self.guards.check_lease_before_send && !may_send(now, lease_until) {
             return self.finish_not_run();
         }
         self.state = State::Sent { version };
@@ -193,11 +193,11 @@
     /// Write that records the outcome of the sent request; `None` if it was not sent.
     ///
     /// It may go into a later batch; until then, repeats get `unknown`.
-    pub fn ended(&self, caller: u64, record: Record) -> Option<Insert> {
+    pub fn outcome_write(&self, caller: u64, record: Record) -> Option<ConditionalWrite> {
         let State::Sent { version } = self.state else {
             return None;
         };
-        Some(Insert {
+        Some(ConditionalWrite {
             caller,
             key: self.claimant.key.clone(),
             check: Some(version),
@@ -206,7 +206,7 @@
     }
 
     /// Ends a request that the upstream provably didn't run as `not-run`, which frees the key.
-    pub fn unsent(&mut self) -> ClaimStep {
+    pub fn release(&mut self) -> ClaimStep {
         match self.state {
             State::Claimed { .. } | State::Sent { .. } => self.finish_not_run(),
             State::Inserting | State::ReadingBack | State::Finished => ClaimStep::Nothing,
@@ -254,17 +254,17 @@
             return self.retry_insert(None);
         };
         let Ok(claim) = row.value.parse::<Claim>() else {
-            return self.finish(ClaimAnswer::Unreadable);
+            return self.finish(ClaimResult::Unreadable);
         };
         let is_own = claim.token == self.claimant.token
-            || (!self.guards.own_token && self.state == State::ReadingBack);
+            || (!self.guards.match_token && self.state == State::ReadingBack);
         match claim.state {
             ClaimState::Held if is_own => self.set_claimed(row.version),
             ClaimState::Released => self.retry_insert(Some(row.version)),
-            _ if claim.digest != self.claimant.digest => self.finish(ClaimAnswer::KeyReused),
-            ClaimState::Ended(record) => self.finish(ClaimAnswer::Replay(record)),
-            ClaimState::Held => self.finish(ClaimAnswer::InProgress {
-                owner: claim.instance,
+            _ if claim.digest != self.claimant.digest => self.finish(ClaimResult::KeyReused),
+            ClaimState::Ended(record) => self.finish(ClaimResult::Replay(record)),
+            ClaimState::Held => self.finish(ClaimResult::InProgress {
+                holder: claim.instance,
                 incarnation: claim.incarnation,
             }),
         }
@@ -307,11 +307,11 @@
         let releaser = self
             .may_be_stored
             .then(|| Releaser::new(self.claimant.clone(), self.guards));
-        self.finish(ClaimAnswer::NotRun(releaser))
+        self.finish(ClaimResult::NotRun(releaser))
     }
 
-    fn finish(&mut self, result: ClaimAnswer) -> ClaimStep {
+    fn finish(&mut self, result: ClaimResult) -> ClaimStep {
         self.state = State::Finished;
-        ClaimStep::Answer(result)
+        ClaimStep::Respond(result)
     }
 }
--- a/crates/filing/src/handover.rs
+++ b/crates/filing/src/handover.rs
@@ -12,11 +12,11 @@
         unknown_record,
         TicketState, //
     },
-    Begin,
     Ledger,
     Nonce,
     Record,
     Ticket, //
+    TicketDecision,
 };
 use base::{
     Incarnation,
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// See [`AcceptError`]; the ledger is unchanged then.
-    pub fn adopt(&mut self, offer: &Offer) -> Result<Accepted, AcceptError> {
+    pub fn accept_offer(&mut self, offer: &Offer) -> Result<Accepted, AcceptError> {
         let for_this_incarnation =
             offer.to_incarnation == self.incarnation || !self.guards.bind_successor;
         if offer.to != self.instance || !for_this_incarnation {
@@ -141,7 +141,7 @@
         if !self.accepted_incarnations.contains_key(&predecessor) {
             self.check_capacity(offer)?;
             self.apply_offer(offer);
-        } else if !self.guards.adopt_once {
+        } else if !self.guards.accept_once {
             self.apply_offer(offer);
         }
         Ok(Accepted {
@@ -163,7 +163,7 @@
 
     fn apply_offer(&mut self, offer: &Offer) {
         for (instance, incarnation, watermarks) in &offer.origins {
-            let watermarks = if self.guards.carry_closed {
+            let watermarks = if self.guards.transfer_watermarks {
                 *watermarks
             } else {
                 TicketWatermarks::default()
@@ -171,7 +171,7 @@
             let key = (instance.clone(), *incarnation);
             self.accepted_incarnations.insert(key, watermarks);
         }
-        if !self.guards.adopt_once {
+        if !self.guards.accept_once {
             self.tickets.clear();
         }
         for handover in &offer.records {
@@ -271,12 +271,12 @@
 
 impl<S> Stopping<S> {
     /// See [`Ledger::begin`]; never returns [`Begin::Run`].
-    pub fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         self.ledger.begin(ticket, now)
     }
 
     /// See [`Ledger::refuse`].
-    pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         self.ledger.refuse(ticket, now)
     }
 
@@ -286,8 +286,8 @@
     }
 
     /// See [`Ledger::unsent`].
-    pub fn unsent(&mut self, nonce: Nonce) {
-        self.ledger.unsent(nonce);
+    pub fn remove_unsent(&mut self, nonce: Nonce) {
+        self.ledger.remove_unsent(nonce);
     }
 
     /// See [`Ledger::expire`].
@@ -296,8 +296,8 @@
     }
 
     /// See [`Ledger::written`].
-    pub fn written(&mut self, nonces: &[Nonce]) {
-        self.ledger.written(nonces);
+    pub fn mark_written(&mut self, nonces: &[Nonce]) {
+        self.ledger.mark_written(nonces);
     }
 
     /// Read access to the ledger.
--- a/crates/filing/src/ledger.rs
+++ b/crates/filing/src/ledger.rs
@@ -31,7 +31,7 @@
 
 /// What to do with a request that carries a ticket.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Begin {
+pub enum TicketDecision {
     /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::unsent`] frees
     /// the nonce again.
     Run,
@@ -90,13 +90,13 @@
     }
 
     /// Decides what to do with a request that carries `ticket`.
-    pub fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         if let Some(decision) = self.fixed_decision(ticket, now) {
             return decision;
         }
         if self.phase == Phase::Draining {
             self.invalidate(ticket);
-            return Begin::Refuse(RefuseReason::Stopping);
+            return TicketDecision::Refuse(RefuseReason::Stopping);
         }
         self.start(ticket)
     }
@@ -107,12 +107,12 @@
     /// `not-run`, files again with a new ticket, and a late copy of the first one runs as well.
     /// Never returns [`Begin::Run`]; returns [`Begin::Replay`] with a `not-run` record if the
     /// ticket was invalidated.
-    pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         if let Some(decision) = self.fixed_decision(ticket, now) {
             return decision;
         }
         self.invalidate(ticket);
-        Begin::Replay(Record::bare(RunOutcome::NotRun, REFUSED_STATUS))
+        TicketDecision::Replay(Record::status_only(RunOutcome::NotRun, REFUSED_STATUS))
     }
 
     /// Stores the outcome of a running filing; every repeat gets it.
@@ -126,9 +126,9 @@
         }
         let invalidated = record.outcome == RunOutcome::NotRun;
         let retained = if invalidated {
-            self.guards.burn_refused
+            self.guards.invalidate_refused
         } else {
-            self.guards.remember
+            self.guards.keep_outcomes
         };
         if retained {
             self.tickets.complete(nonce, record);
@@ -141,7 +141,7 @@
     ///
     /// For an entry that retries by itself. Before a caller is told `not-run`, the ticket must be
     /// invalidated by [`Ledger::finish`] with a `not-run` record.
-    pub fn unsent(&mut self, nonce: Nonce) {
+    pub fn remove_unsent(&mut self, nonce: Nonce) {
         if self.tickets.is_running(nonce) {
             self.tickets.remove(nonce);
         }
@@ -162,7 +162,7 @@
     }
 
     /// Notes that the outcomes of these nonces are in the table.
-    pub fn written(&mut self, nonces: &[Nonce]) {
+    pub fn mark_written(&mut self, nonces: &[Nonce]) {
         self.tickets.mark_written(nonces);
     }
 
@@ -188,26 +188,26 @@
 
     /// Follows a step of the system's wall clock; only model checks do so, with the guard off.
     pub fn step_clock(&mut self, clock: WallClock) {
-        if !self.guards.one_clock {
+        if !self.guards.monotonic_clock {
             self.clock = clock;
         }
     }
 
     /// Decision that holds whether or not the entry is willing to run the filing; `None` if the
     /// ticket may run.
-    fn fixed_decision(&self, ticket: &Ticket, now: Now) -> Option<Begin> {
+    fn fixed_decision(&self, ticket: &Ticket, now: Now) -> Option<TicketDecision> {
         let Some(watermarks) = self.watermarks(ticket) else {
             let reason = if ticket.instance == self.instance {
                 RefuseReason::OtherIncarnation
             } else {
                 RefuseReason::OtherInstance
             };
-            return Some(Begin::Refuse(reason));
+            return Some(TicketDecision::Refuse(reason));
         };
         if let Some(state) = self.tickets.state(ticket.nonce) {
             return Some(match state {
-                TicketState::Running => Begin::Wait,
-                TicketState::Ended(record) => Begin::Replay(record.clone()),
+                TicketState::Running => TicketDecision::Wait,
+                TicketState::Ended(record) => TicketDecision::Replay(record.clone()),
             });
         }
         let refusal = match &self.phase {
@@ -220,7 +220,7 @@
             }
             _ => self.expiry_refusal(ticket, watermarks, now),
         };
-        refusal.map(Begin::Refuse)
+        refusal.map(TicketDecision::Refuse)
     }
 
     fn watermarks(&self, ticket: &Ticket) -> Option<TicketWatermarks> {
@@ -245,7 +245,7 @@
         let forgotten_until_ms = watermarks
             .forgotten_until_ms
             .max(self.forgotten_until_ms(now));
-        let latest_ms = wall_ms.saturating_add(millis(self.bounds.life_max));
+        let latest_ms = wall_ms.saturating_add(millis(self.bounds.lifetime_max));
         if expires_at_ms <= forgotten_until_ms {
             Some(RefuseReason::Expired)
         } else if expires_at_ms <= wall_ms {
@@ -259,23 +259,23 @@
         }
     }
 
-    fn start(&mut self, ticket: &Ticket) -> Begin {
+    fn start(&mut self, ticket: &Ticket) -> TicketDecision {
         if self
             .tickets
             .insert_running(ticket.nonce, ticket.expires_at_ms)
         {
-            return Begin::Run;
+            return TicketDecision::Run;
         }
         self.invalidate_up_to(ticket);
-        Begin::Refuse(RefuseReason::TooMany)
+        TicketDecision::Refuse(RefuseReason::TooMany)
     }
 
     /// Ensures that no copy of `ticket` runs from now on.
     fn invalidate(&mut self, ticket: &Ticket) {
-        if !self.guards.burn_refused {
+        if !self.guards.invalidate_refused {
             return;
         }
-        let record = Record::bare(RunOutcome::NotRun, REFUSED_STATUS);
+        let record = Record::status_only(RunOutcome::NotRun, REFUSED_STATUS);
         if !self
             .tickets
             .insert_record(ticket.nonce, ticket.expires_at_ms, record)
@@ -287,7 +287,7 @@
     /// Invalidates, without using memory, all unused tickets of the same incarnation that expire no
     /// later than this one.
     fn invalidate_up_to(&mut self, ticket: &Ticket) {
-        if !self.guards.burn_refused {
+        if !self.guards.invalidate_refused {
             return;
         }
         let key = (ticket.instance.clone(), ticket.incarnation);
@@ -299,7 +299,7 @@
     /// Wall time in milliseconds; outcomes of tickets that expired by then may be forgotten at
     /// `now`.
     pub(crate) fn forgotten_until_ms(&self, now: Now) -> u64 {
-        let margin_ms = millis(self.bounds.margin);
+        let margin_ms = millis(self.bounds.retention);
         self.clock.wall_ms(now).saturating_sub(margin_ms)
     }
 }
--- a/crates/filing/src/lib.rs
+++ b/crates/filing/src/lib.rs
@@ -39,8 +39,8 @@
 pub use batch::{
     Batch,
     Commit,
-    CommitAnswer,
-    Insert,
+    CommitResult,
+    ConditionalWrite,
     Row,
     NO_CALLER, //
 };
@@ -53,8 +53,8 @@
 };
 pub use claimer::{
     may_send,
-    ClaimAnswer,
     ClaimEvent,
+    ClaimResult,
     ClaimStep,
     Claimant, //
     Claimer,
@@ -73,8 +73,8 @@
     TicketWatermarks, //
 };
 pub use ledger::{
-    Begin,
     Ledger, //
+    TicketDecision,
 };
 pub use record::{
     outcome_key,
--- a/crates/filing/src/record.rs
+++ b/crates/filing/src/record.rs
@@ -41,7 +41,7 @@
 
 impl Record {
     /// Creates a record without headers or body.
-    pub fn bare(outcome: RunOutcome, status: u16) -> Self {
+    pub fn status_only(outcome: RunOutcome, status: u16) -> Self {
         Self {
             outcome,
             status,
@@ -92,7 +92,7 @@
 fn parse(text: &str) -> Option<Record> {
     let mut lines = text.split('\n');
     let (outcome, status) = lines.next()?.split_once(' ')?;
-    let mut record = Record::bare(outcome.parse().ok()?, status.parse().ok()?);
+    let mut record = Record::status_only(outcome.parse().ok()?, status.parse().ok()?);
     loop {
         let line = lines.next()?;
         if let Some(body) = line.strip_prefix('=') {
--- a/crates/filing/src/releaser.rs
+++ b/crates/filing/src/releaser.rs
@@ -56,7 +56,7 @@
     }
 
     /// Handles the result of the last step and returns the next one.
-    pub fn on(&self, event: ClaimEvent) -> ReleaseStep {
+    pub fn on_event(&self, event: ClaimEvent) -> ReleaseStep {
         match event {
             ClaimEvent::Read(row) | ClaimEvent::Conflict(row) => self.resolve_row(row),
             ClaimEvent::Committed { .. } => ReleaseStep::Done,
@@ -66,7 +66,7 @@
 
     fn resolve_row(&self, row: Option<Row>) -> ReleaseStep {
         let Some(row) = row else {
-            return if self.guards.seal {
+            return if self.guards.write_released_row {
                 self.write(None)
             } else {
                 ReleaseStep::Done
--- a/crates/filing/src/ticket_store.rs
+++ b/crates/filing/src/ticket_store.rs
@@ -262,5 +262,5 @@
 
 /// Record of a filing whose outcome is unknown.
 pub(crate) fn unknown_record() -> Record {
-    Record::bare(RunOutcome::Unknown, UNKNOWN_STATUS)
+    Record::status_only(RunOutcome::Unknown, UNKNOWN_STATUS)
 }
--- a/crates/filing/tests/batch.rs
+++ b/crates/filing/tests/batch.rs
@@ -5,8 +5,8 @@
     Batch,
     ClaimEvent,
     Commit,
-    CommitAnswer,
-    Insert,
+    CommitResult,
+    ConditionalWrite,
     Row,
     NO_CALLER, //
 };
@@ -19,29 +19,29 @@
 }
 
 impl Table {
-    fn commit(&mut self, commit: &Commit) -> CommitAnswer {
-        let current = |insert: &Insert| self.rows.get(&insert.key).cloned();
-        let rows: Vec<Option<Row>> = commit.inserts.iter().map(current).collect();
+    fn commit(&mut self, commit: &Commit) -> CommitResult {
+        let current = |insert: &ConditionalWrite| self.rows.get(&insert.key).cloned();
+        let rows: Vec<Option<Row>> = commit.writes.iter().map(current).collect();
         let versions = rows.iter().map(|row| row.as_ref().map(|row| row.version));
-        if !versions.eq(commit.inserts.iter().map(|insert| insert.check)) {
-            return CommitAnswer::Conflict { rows };
+        if !versions.eq(commit.writes.iter().map(|insert| insert.check)) {
+            return CommitResult::Conflict { rows };
         }
         self.version += 1;
-        for insert in &commit.inserts {
+        for insert in &commit.writes {
             let row = Row {
                 version: self.version,
                 value: insert.value.clone(),
             };
             self.rows.insert(insert.key.clone(), row);
         }
-        CommitAnswer::Committed {
+        CommitResult::Committed {
             version: self.version,
         }
     }
 }
 
-fn insert(caller: u64, key: u8) -> Insert {
-    Insert {
+fn insert(caller: u64, key: u8) -> ConditionalWrite {
+    ConditionalWrite {
         caller,
         key: format!("claim/{key}").into(),
         check: None,
@@ -71,7 +71,7 @@
                     "at most one transaction is in flight"
                 );
                 let result = table.commit(&commit);
-                events.extend(batch.answer(result));
+                events.extend(batch.complete(result));
             }
             assert!(commits <= 2 * keys.len());
             assert_eq!(events.len(), keys.len(), "each caller gets one event");
@@ -92,15 +92,15 @@
             batch.push(insert(1, 1));
             batch.push(insert(2, 2));
             batch.commit().expect("two writes are queued");
-            assert_eq!(batch.answer($answer), vec![(1, $event), (2, $event)]);
+            assert_eq!(batch.complete($answer), vec![(1, $event), (2, $event)]);
             assert!(batch.commit().is_none(), "nothing is retried automatically");
         })*
     };
 }
 
 reported_to_all! {
-    a_lost_result_is_reported_to_all: CommitAnswer::Lost, ClaimEvent::Lost;
-    an_outage_is_reported_to_all: CommitAnswer::Down, ClaimEvent::Down;
+    a_lost_result_is_reported_to_all: CommitResult::Lost, ClaimEvent::Lost;
+    an_outage_is_reported_to_all: CommitResult::Down, ClaimEvent::Down;
 }
 
 #[test]
@@ -122,21 +122,21 @@
     batch.push(insert(NO_CALLER, 1));
     batch.push(insert(2, 2));
     batch.commit().expect("two writes are queued");
-    let events = batch.answer(CommitAnswer::Down);
+    let events = batch.complete(CommitResult::Down);
     assert_eq!(events, vec![(2, ClaimEvent::Down)]);
     assert!(batch.commit().is_none(), "not retried immediately");
     for result_received in [false, true] {
-        batch.unpark();
+        batch.retry_deferred();
         let commit = batch.commit().expect("the outcome is queued");
         let result = table.commit(&commit);
         let result = if result_received {
             result
         } else {
-            CommitAnswer::Lost
+            CommitResult::Lost
         };
-        assert_eq!(batch.answer(result), vec![]);
+        assert_eq!(batch.complete(result), vec![]);
     }
-    batch.unpark();
+    batch.retry_deferred();
     assert!(batch.commit().is_none());
     assert!(table.rows.contains_key("claim/1"));
 }
--- a/crates/filing/tests/ledger.rs
+++ b/crates/filing/tests/ledger.rs
@@ -8,13 +8,13 @@
 use bytes::Bytes;
 use filing::{
     AcceptError,
-    Begin,
     Bounds,
     Guards,
     Ledger,
     Record,
     RefuseReason,
     Ticket,
+    TicketDecision,
     WallClock, //
 };
 use std::time::Duration;
@@ -27,8 +27,8 @@
         record_bytes_max: 100,
         total_bytes_max: 2_000,
         offer_bytes_max: 800,
-        life_max: Duration::from_secs(60),
-        margin: Duration::from_secs(10),
+        lifetime_max: Duration::from_secs(60),
+        retention: Duration::from_secs(10),
     }
 }
 
@@ -54,7 +54,7 @@
 fn done(body: &'static [u8]) -> Record {
     Record {
         body: Bytes::from_static(body),
-        ..Record::bare(RunOutcome::Done, 201)
+        ..Record::status_only(RunOutcome::Done, 201)
     }
 }
 
@@ -70,7 +70,7 @@
             let change: fn(&mut Ticket) = $change;
             change(&mut ticket);
             let decision = ledger("x", 1).begin(&ticket, at($seconds));
-            assert_eq!(decision, Begin::Refuse($reason));
+            assert_eq!(decision, TicketDecision::Refuse($reason));
             assert_eq!($reason.outcome(), RunOutcome::$outcome);
         })*
     };
@@ -89,14 +89,18 @@
 #[test]
 fn every_repeat_gets_the_first_response() {
     let mut ledger = ledger("x", 1);
-    assert_eq!(ledger.begin(&ticket(1), at(0)), Begin::Run);
-    assert_eq!(ledger.begin(&ticket(1), at(1)), Begin::Wait);
+    assert_eq!(ledger.begin(&ticket(1), at(0)), TicketDecision::Run);
+    assert_eq!(ledger.begin(&ticket(1), at(1)), TicketDecision::Wait);
     ledger.finish(1, done(b"order 7"));
-    ledger.finish(1, Record::bare(RunOutcome::Unknown, 504));
+    ledger.finish(1, Record::status_only(RunOutcome::Unknown, 504));
     for seconds in [1, 29, 31, 39] {
         ledger.expire(at(seconds));
         let decision = ledger.begin(&ticket(1), at(seconds));
-        assert_eq!(decision, Begin::Replay(done(b"order 7")), "at {seconds} s");
+        assert_eq!(
+            decision,
+            TicketDecision::Replay(done(b"order 7")),
+            "at {seconds} s"
+        );
     }
     assert_eq!(ledger.expire(at(40)), 1);
     assert_eq!(ledger.used_bytes(), 0);
@@ -109,7 +113,7 @@
     let mut ledger = ledger("x", 1);
     ledger.begin(&ticket(1), at(0));
     ledger.finish(1, done(&[7; 101]));
-    let Begin::Replay(record) = ledger.begin(&ticket(1), at(1)) else {
+    let TicketDecision::Replay(record) = ledger.begin(&ticket(1), at(1)) else {
         panic!("the outcome is stored");
     };
     assert_eq!(
@@ -124,26 +128,26 @@
 fn a_full_ledger_refuses_new_tickets_and_keeps_old_ones() {
     let mut ledger = ledger("x", 1);
     for nonce in 1..=4 {
-        assert_eq!(ledger.begin(&ticket(nonce), at(0)), Begin::Run);
+        assert_eq!(ledger.begin(&ticket(nonce), at(0)), TicketDecision::Run);
         ledger.finish(nonce, done(b"kept"));
     }
-    let refused = Begin::Refuse(RefuseReason::TooMany);
+    let refused = TicketDecision::Refuse(RefuseReason::TooMany);
     assert_eq!(ledger.begin(&ticket(5), at(1)), refused);
     assert_eq!(
         ledger.begin(&ticket(1), at(1)),
-        Begin::Replay(done(b"kept"))
+        TicketDecision::Replay(done(b"kept"))
     );
     let mut later = ticket(6);
     later.expires_at_ms += 20_000;
     ledger.expire(at(41));
-    assert_eq!(ledger.begin(&later, at(41)), Begin::Run);
+    assert_eq!(ledger.begin(&later, at(41)), TicketDecision::Run);
 }
 
 #[test]
 fn used_bytes_are_bounded() {
     let mut ledger = ledger("x", 1);
     let mut running = 0;
-    while ledger.begin(&ticket(running), at(0)) == Begin::Run {
+    while ledger.begin(&ticket(running), at(0)) == TicketDecision::Run {
         running += 1;
         assert!(ledger.used_bytes() <= 2_000);
     }
@@ -159,15 +163,15 @@
     ledger.finish(1, done(b"a"));
     assert_eq!(
         ledger.refuse(&ticket(2), at(0)),
-        Begin::Replay(invalidated())
+        TicketDecision::Replay(invalidated())
     );
     assert_eq!(ledger.unwritten(9), vec![(1, done(b"a"))]);
-    ledger.written(&[1]);
+    ledger.mark_written(&[1]);
     assert_eq!(ledger.unwritten(9), vec![]);
 }
 
 fn invalidated() -> Record {
-    Record::bare(RunOutcome::NotRun, 503)
+    Record::status_only(RunOutcome::NotRun, 503)
 }
 
 /// Guards against a planned stop being visible to a caller whose filing ended just before it.
@@ -178,19 +182,25 @@
     x.finish(1, done(b"a"));
     x.begin(&ticket(2), at(0));
     let mut draining = x.stop();
-    let stopping = Begin::Refuse(RefuseReason::Stopping);
+    let stopping = TicketDecision::Refuse(RefuseReason::Stopping);
     assert_eq!(draining.begin(&ticket(3), at(1)), stopping);
     let mut offered = draining.offer("y".into(), 5, at(2));
-    let closed = Begin::Refuse(RefuseReason::HandedOver(None));
+    let closed = TicketDecision::Refuse(RefuseReason::HandedOver(None));
     assert_eq!(offered.begin(&ticket(4), at(2)), closed);
 
     let mut y = ledger("y", 5);
-    let accepted = y.adopt(offered.offer()).expect("y has room");
-    assert_eq!(y.begin(&ticket(1), at(3)), Begin::Replay(done(b"a")));
-    let unknown = Record::bare(RunOutcome::Unknown, 504);
-    assert_eq!(y.begin(&ticket(2), at(3)), Begin::Replay(unknown));
-    assert_eq!(y.begin(&ticket(3), at(3)), Begin::Replay(invalidated()));
-    assert_eq!(y.begin(&ticket(4), at(3)), Begin::Run);
+    let accepted = y.accept_offer(offered.offer()).expect("y has room");
+    assert_eq!(
+        y.begin(&ticket(1), at(3)),
+        TicketDecision::Replay(done(b"a"))
+    );
+    let unknown = Record::status_only(RunOutcome::Unknown, 504);
+    assert_eq!(y.begin(&ticket(2), at(3)), TicketDecision::Replay(unknown));
+    assert_eq!(
+        y.begin(&ticket(3), at(3)),
+        TicketDecision::Replay(invalidated())
+    );
+    assert_eq!(y.begin(&ticket(4), at(3)), TicketDecision::Run);
 
     let handed_over = offered
         .acknowledged(&accepted)
@@ -207,7 +217,7 @@
             let offered = x.stop().offer("y".into(), 5, at(0));
             let mut successor: Ledger = $successor;
             let before = successor.clone();
-            assert_eq!(successor.adopt(offered.offer()), Err(AcceptError::$error));
+            assert_eq!(successor.accept_offer(offered.offer()), Err(AcceptError::$error));
             assert_eq!(successor, before);
         })*
     };
@@ -225,7 +235,7 @@
         let mut own = ticket(nonce);
         own.instance = "y".into();
         own.incarnation = 5;
-        assert_eq!(full.begin(&own, at(0)), Begin::Run);
+        assert_eq!(full.begin(&own, at(0)), TicketDecision::Run);
     }
     full
 }
@@ -240,14 +250,14 @@
         ..ticket(nonce)
     };
     for nonce in 1..=4 {
-        assert_eq!(x.begin(&ticket(nonce), at(0)), Begin::Run);
+        assert_eq!(x.begin(&ticket(nonce), at(0)), TicketDecision::Run);
         x.finish(nonce, done(&[7; 100]));
     }
     let offered = x.stop().offer("y".into(), 5, at(1));
     let mut y = ledger("y", 5);
-    y.adopt(offered.offer()).expect("y has room");
+    y.accept_offer(offered.offer()).expect("y has room");
     let decisions = [1, 2, 4, 5].map(|nonce| y.begin(&ticket(nonce), at(1)));
-    let lost = Begin::Refuse(RefuseReason::Expired);
-    let kept = Begin::Replay(done(&[7; 100]));
-    assert_eq!(decisions, [lost, kept.clone(), kept, Begin::Run]);
+    let lost = TicketDecision::Refuse(RefuseReason::Expired);
+    let kept = TicketDecision::Replay(done(&[7; 100]));
+    assert_eq!(decisions, [lost, kept.clone(), kept, TicketDecision::Run]);
 }
--- a/crates/lease/src/leases.rs
+++ b/crates/lease/src/leases.rs
@@ -18,9 +18,9 @@
     /// the same limit as the next holder's first.
     pub gap: Duration,
     /// Delay of a claim per entry that precedes the claimant. An entry that learns of a holder does not claim.
-    pub turn: Duration,
+    pub claim_stagger: Duration,
     /// Time after which a claim with an unknown outcome is repeated.
-    pub retry: Duration,
+    pub retry_delay: Duration,
 }
 
 /// Mechanisms that keep a lease exclusive. All are enabled except in tests that show what each of them prevents.
@@ -59,12 +59,12 @@
     /// Upstream.
     pub subject: UpstreamId,
     /// Version that the row must have; `None` if the row must not exist.
-    pub read: Option<u64>,
+    pub expected_version: Option<u64>,
 }
 
 /// State of a row when a claim was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Standing {
+pub struct RowState {
     /// Upstream.
     pub subject: UpstreamId,
     /// Version of its row; `None` if the row does not exist.
@@ -124,7 +124,7 @@
     }
 
     /// Replaces the set of subjects whose leases are wanted. Leases of other subjects are kept until they expire.
-    pub fn want(&mut self, wanted: impl IntoIterator<Item = Wanted>, now: Now) {
+    pub fn set_wanted(&mut self, wanted: impl IntoIterator<Item = Wanted>, now: Now) {
         for state in self.states.values_mut() {
             state.wanted = false;
         }
@@ -152,7 +152,7 @@
     }
 
     /// Returns at most `max` claims that are due, and records that they are requested at `now`.
-    pub fn due(&mut self, max: usize, now: Now) -> Vec<Claim> {
+    pub fn take_due(&mut self, max: usize, now: Now) -> Vec<Claim> {
         let (terms, guards) = (self.terms, self.guards);
         let due = self
             .states
@@ -163,7 +163,7 @@
                 state.requested_at = Some(now);
                 Claim {
                     subject: subject.clone(),
-                    read: state.version(),
+                    expected_version: state.version(),
                 }
             })
             .collect()
@@ -190,7 +190,7 @@
     }
 
     /// Records that claims were refused together because some of their rows had changed; none was written.
-    pub fn refused(&mut self, rows: &[Standing], now: Now) {
+    pub fn refused(&mut self, rows: &[RowState], now: Now) {
         for row in rows {
             if let Some(state) = self.states.get_mut(&row.subject) {
                 state.requested_at = None;
@@ -200,7 +200,7 @@
     }
 
     /// Records that another entry stated that it holds the leases of these subjects.
-    pub fn heard(&mut self, subjects: &[UpstreamId], now: Now) {
+    pub fn note_held_elsewhere(&mut self, subjects: &[UpstreamId], now: Now) {
         for subject in subjects {
             if let Some(state) = self.states.get_mut(subject) {
                 state.held_elsewhere_at = Some(now);
@@ -267,7 +267,9 @@
     }
 
     fn is_due(&self, terms: &Terms, guards: &Guards, now: Now) -> bool {
-        let requested_recently = self.requested_at.is_some_and(|at| now < at + terms.retry);
+        let requested_recently = self
+            .requested_at
+            .is_some_and(|at| now < at + terms.retry_delay);
         if !self.wanted || requested_recently {
             return false;
         }
@@ -285,6 +287,6 @@
             return now >= observed.at + wait || !guards.conditional_write;
         }
         let is_held_elsewhere = self.held_elsewhere_at.is_some_and(|at| now < at + wait);
-        !is_held_elsewhere && now >= self.wanted_since + terms.turn * self.order
+        !is_held_elsewhere && now >= self.wanted_since + terms.claim_stagger * self.order
     }
 }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -21,7 +21,7 @@
     Claim,
     Guards,
     Leases,
-    Standing,
+    RowState,
     Terms,
     Wanted, //
 };
--- a/crates/lease/tests/exclusive.rs
+++ b/crates/lease/tests/exclusive.rs
@@ -8,7 +8,7 @@
     Claim,
     Guards,
     Leases,
-    Standing,
+    RowState,
     Terms,
     Wanted, //
 };
@@ -20,8 +20,8 @@
 const TERMS: Terms = Terms {
     length: Duration::from_millis(4000),
     gap: Duration::from_millis(1500),
-    turn: Duration::from_millis(400),
-    retry: Duration::from_millis(1000),
+    claim_stagger: Duration::from_millis(400),
+    retry_delay: Duration::from_millis(1000),
 };
 const ENTRIES: usize = 4;
 const SUBJECT: UpstreamId = UpstreamId::from_static("u-1");
@@ -46,11 +46,13 @@
 
 impl Rows {
     /// Writes all claims or none. Returns the new version, or the current state of the rows.
-    fn write(&mut self, claims: &[Claim], guards: &Guards) -> Result<u64, Vec<Standing>> {
+    fn write(&mut self, claims: &[Claim], guards: &Guards) -> Result<u64, Vec<RowState>> {
         let current = |claim: &Claim| self.rows.get(&claim.subject).copied();
-        let unchanged = claims.iter().all(|claim| current(claim) == claim.read);
+        let unchanged = claims
+            .iter()
+            .all(|claim| current(claim) == claim.expected_version);
         if !unchanged && guards.conditional_write {
-            let rows = claims.iter().map(|claim| Standing {
+            let rows = claims.iter().map(|claim| RowState {
                 subject: claim.subject.clone(),
                 version: current(claim),
             });
@@ -71,7 +73,7 @@
     requested_at: Now,
     effect_at: Now,
     answer_at: Option<Now>,
-    result: Option<Result<u64, Vec<Standing>>>,
+    result: Option<Result<u64, Vec<RowState>>>,
 }
 
 /// Simulates entries that all claim the same lease, each as if no other preceded it. `steps` determine the delay of
@@ -95,8 +97,8 @@
                 call.answer_at = None;
             }
         }
-        entries[entry].want(wanted(0), now);
-        let claims = entries[entry].due(9, now);
+        entries[entry].set_wanted(wanted(0), now);
+        let claims = entries[entry].take_due(9, now);
         if !claims.is_empty() {
             // Some answers take seconds, and some calls take effect seconds after the entry stopped waiting for their
             // answer.
@@ -121,7 +123,7 @@
                 continue;
             };
             // An entry waits for an answer for a second.
-            if at > now || at > call.requested_at + TERMS.retry {
+            if at > now || at > call.requested_at + TERMS.retry_delay {
                 continue;
             }
             let leases = &mut entries[call.entry];
@@ -224,31 +226,31 @@
 #[test]
 fn claims_are_staggered() {
     let mut leases = Leases::new(TERMS);
-    leases.want(wanted(2), ms(1000));
-    assert!(leases.due(9, ms(1700)).is_empty());
+    leases.set_wanted(wanted(2), ms(1000));
+    assert!(leases.take_due(9, ms(1700)).is_empty());
     let mut without_holder = leases.clone();
-    assert_eq!(without_holder.due(9, ms(1800)).len(), 1);
-    leases.heard(&[SUBJECT], ms(1750));
-    assert!(leases.due(9, ms(1800)).is_empty());
-    assert!(leases.due(9, ms(7000)).is_empty());
-    assert_eq!(leases.due(9, ms(7250)).len(), 1);
+    assert_eq!(without_holder.take_due(9, ms(1800)).len(), 1);
+    leases.note_held_elsewhere(&[SUBJECT], ms(1750));
+    assert!(leases.take_due(9, ms(1800)).is_empty());
+    assert!(leases.take_due(9, ms(7000)).is_empty());
+    assert_eq!(leases.take_due(9, ms(7250)).len(), 1);
 }
 
 /// A lease is renewed while it is wanted, and expires once it is not.
 #[test]
 fn a_lease_is_renewed_while_it_is_wanted() {
     let mut leases = Leases::new(TERMS);
-    leases.want(wanted(0), ms(1000));
-    let claims = leases.due(9, ms(1000));
-    assert_eq!(claims[0].read, None);
+    leases.set_wanted(wanted(0), ms(1000));
+    let claims = leases.take_due(9, ms(1000));
+    assert_eq!(claims[0].expected_version, None);
     leases.granted(&claims, 7, ms(1000), ms(1100));
     assert_eq!(leases.held_until(&SUBJECT, ms(1100)), Some(ms(5000)));
-    assert!(leases.due(9, ms(2900)).is_empty());
-    let claims = leases.due(9, ms(3000));
-    assert_eq!(claims[0].read, Some(7));
+    assert!(leases.take_due(9, ms(2900)).is_empty());
+    let claims = leases.take_due(9, ms(3000));
+    assert_eq!(claims[0].expected_version, Some(7));
     leases.granted(&claims, 8, ms(3000), ms(3050));
-    leases.want([], ms(5500));
-    assert!(leases.due(9, ms(6900)).is_empty());
+    leases.set_wanted([], ms(5500));
+    assert!(leases.take_due(9, ms(6900)).is_empty());
     assert_eq!(leases.held_until(&SUBJECT, ms(6999)), Some(ms(7000)));
     assert_eq!(leases.held_until(&SUBJECT, ms(7000)), None);
 }
@@ -257,16 +259,16 @@
 #[test]
 fn a_refused_renewal_ends_the_lease() {
     let mut leases = Leases::new(TERMS);
-    leases.want(wanted(0), ms(0));
-    let claims = leases.due(9, ms(0));
+    leases.set_wanted(wanted(0), ms(0));
+    let claims = leases.take_due(9, ms(0));
     leases.granted(&claims, 7, ms(0), ms(10));
-    leases.due(9, ms(2000));
-    let row = Standing {
+    leases.take_due(9, ms(2000));
+    let row = RowState {
         subject: SUBJECT,
         version: Some(9),
     };
     leases.refused(&[row], ms(2010));
     assert_eq!(leases.held_until(&SUBJECT, ms(2010)), None);
-    assert!(leases.due(9, ms(7000)).is_empty());
-    assert_eq!(leases.due(9, ms(7510))[0].read, Some(9));
+    assert!(leases.take_due(9, ms(7000)).is_empty());
+    assert_eq!(leases.take_due(9, ms(7510))[0].expected_version, Some(9));
 }
--- a/crates/load/tests/scene.rs
+++ b/crates/load/tests/scene.rs
@@ -106,7 +106,7 @@
 fn file_says_for_which_system_and_policies() {
     let plan = Plan::read("scene.yaml", &format!("{SCENE}{MORE}")).unwrap();
     assert_eq!(plan.user.as_deref(), Some("kilima"));
-    assert_eq!(plan.policies, [Policy::Ours, Policy::HotCold]);
+    assert_eq!(plan.policies, [Policy::LeastLoaded, Policy::HotCold]);
     assert_eq!(
         (plan.focus.as_deref(), plan.back_at_ms),
         (Some("arusha"), Some(5_000))
--- a/crates/member/src/holder.rs
+++ b/crates/member/src/holder.rs
@@ -34,7 +34,7 @@
 /// One step is in progress at a time. Each step gets exactly one event; a step that timed out counts
 /// as one whose answer was lost.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Holder {
+pub struct LeaseHolder {
     row: LeaseRow,
     /// Last known version of the row.
     version: u64,
@@ -51,7 +51,7 @@
     superseded: bool,
 }
 
-impl Holder {
+impl LeaseHolder {
     pub(crate) fn new(
         row: LeaseRow,
         version: u64,
@@ -154,15 +154,15 @@
     }
 
     /// Handles the outcome of the last step and returns the next one.
-    pub fn on(&mut self, event: LeaseEvent, now: Now) -> LeaseStep {
+    pub fn on_event(&mut self, event: LeaseEvent, now: Now) -> LeaseStep {
         match event {
             LeaseEvent::Committed { version } => {
                 self.confirm(version, now);
                 LeaseStep::Idle
             }
             LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.reconcile(row, now),
-            LeaseEvent::Lost => LeaseStep::Read,
-            LeaseEvent::Down => {
+            LeaseEvent::OutcomeUnknown => LeaseStep::Read,
+            LeaseEvent::NotExecuted => {
                 self.pending = None;
                 LeaseStep::Idle
             }
@@ -242,7 +242,7 @@
     }
 }
 
-impl fmt::Display for Holder {
+impl fmt::Display for LeaseHolder {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/member/src/joining.rs
+++ b/crates/member/src/joining.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     Guards,
-    Holder,
     Identity,
     LeaseEvent,
+    LeaseHolder,
     LeaseRow,
     LeaseState,
     LeaseStep,
@@ -31,11 +31,11 @@
 
 /// Progress of a join.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Joined {
+pub enum JoinProgress {
     /// No lease yet: run this step; after `Idle`, continue at the next tick with [`Joining::read`].
-    Not(Joining, LeaseStep),
+    Pending(Joining, LeaseStep),
     /// The lease is held.
-    Holder(Holder),
+    Joined(LeaseHolder),
 }
 
 impl Joining {
@@ -55,23 +55,23 @@
     }
 
     /// Handles the outcome of the last step.
-    pub fn on(mut self, event: LeaseEvent, now: Now) -> Joined {
+    pub fn on_event(mut self, event: LeaseEvent, now: Now) -> JoinProgress {
         match event {
             LeaseEvent::Conflict(_) if !self.guards.compare_and_set => self.committed(0, now),
             LeaseEvent::Read(row) | LeaseEvent::Conflict(row) => self.write_next(row, now),
             LeaseEvent::Committed { version } => self.committed(version, now),
-            LeaseEvent::Lost => {
+            LeaseEvent::OutcomeUnknown => {
                 self.sent = None;
-                Joined::Not(self, LeaseStep::Read)
+                JoinProgress::Pending(self, LeaseStep::Read)
             }
-            LeaseEvent::Down => {
+            LeaseEvent::NotExecuted => {
                 self.sent = None;
-                Joined::Not(self, LeaseStep::Idle)
+                JoinProgress::Pending(self, LeaseStep::Idle)
             }
         }
     }
 
-    fn write_next(mut self, current: Option<VersionedLease>, now: Now) -> Joined {
+    fn write_next(mut self, current: Option<VersionedLease>, now: Now) -> JoinProgress {
         let check = current.as_ref().map(|current| current.version);
         let last = current.map_or(0, |current| current.row.incarnation);
         let row = LeaseRow {
@@ -82,16 +82,16 @@
         };
         let value = ByteString::from(row.to_string());
         self.sent = Some((row, now));
-        Joined::Not(self, LeaseStep::Commit { check, value })
+        JoinProgress::Pending(self, LeaseStep::Commit { check, value })
     }
 
-    fn committed(self, version: u64, now: Now) -> Joined {
+    fn committed(self, version: u64, now: Now) -> JoinProgress {
         match self.sent.clone() {
             Some((row, sent_at)) => {
-                let holder = Holder::new(row, version, sent_at, now, self.terms, self.guards);
-                Joined::Holder(holder)
+                let holder = LeaseHolder::new(row, version, sent_at, now, self.terms, self.guards);
+                JoinProgress::Joined(holder)
             }
-            None => Joined::Not(self, LeaseStep::Read),
+            None => JoinProgress::Pending(self, LeaseStep::Read),
         }
     }
 }
--- a/crates/member/src/lease.rs
+++ b/crates/member/src/lease.rs
@@ -190,9 +190,9 @@
     /// The write did not take effect, because the row is this one.
     Conflict(Option<VersionedLease>),
     /// The answer was lost: a write may have taken effect or may still do so.
-    Lost,
+    OutcomeUnknown,
     /// The platform is known not to have executed the step.
-    Down,
+    NotExecuted,
 }
 
 /// Next action of a state machine.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -32,9 +32,9 @@
 mod view;
 
 pub use guards::Guards;
-pub use holder::Holder;
+pub use holder::LeaseHolder;
 pub use joining::{
-    Joined,
+    JoinProgress,
     Joining, //
 };
 pub use lease::{
@@ -50,25 +50,25 @@
 };
 pub use observer::{
     Lapse,
-    Observer, //
+    LeaseObserver, //
 };
 pub use partners::{
     partners,
-    Place, //
+    InstanceLocation, //
 };
 pub use records::{
-    BeatFacts,
     Freshness,
-    InstanceFacts,
-    ListFacts,
+    Heartbeat,
+    InstanceRecord,
+    LeavingMark,
     ListedInstance,
     ListedUpstream,
-    PictureTerms,
+    PlatformList,
     Summary,
-    UpstreamMark,
     UpstreamRecord, //
+    ViewTimeouts,
 };
 pub use view::{
     EntryCandidate,
-    Picture, //
+    MembershipView, //
 };
--- a/crates/member/src/observer.rs
+++ b/crates/member/src/observer.rs
@@ -40,13 +40,13 @@
 
 /// Leases of other instances as one process has seen them.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Observer {
+pub struct LeaseObserver {
     terms: LeaseTerms,
     guards: Guards,
     seen: BTreeMap<InstanceId, SeenRenewal>,
 }
 
-impl Observer {
+impl LeaseObserver {
     /// Creates an observer that has seen no leases.
     pub fn new(terms: LeaseTerms, guards: Guards) -> Self {
         Self {
@@ -57,7 +57,7 @@
     }
 
     /// Records a row that was read by a request sent at `read_sent_at` and answered at `now`.
-    pub fn saw(&mut self, lease: &VersionedLease, read_sent_at: Now, now: Now) {
+    pub fn record_read(&mut self, lease: &VersionedLease, read_sent_at: Now, now: Now) {
         let instance = &lease.row.identity.instance;
         let same = self.seen.get_mut(instance).filter(|renewal| {
             (renewal.incarnation, renewal.seq) == (lease.row.incarnation, lease.row.seq)
--- a/crates/member/src/partners.rs
+++ b/crates/member/src/partners.rs
@@ -23,7 +23,7 @@
 
 /// Region and failure domain of an instance.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct InstanceLocation {
     /// Name.
     pub instance: InstanceId,
     /// Region.
@@ -36,7 +36,12 @@
 ///
 /// The `per_other_region` partners in another region are spread over its failure domains, so that
 /// the loss of one domain leaves the links to the others intact.
-pub fn partners(me: &Place, all: &[Place], per_other_region: usize, seed: u64) -> Vec<InstanceId> {
+pub fn partners(
+    me: &InstanceLocation,
+    all: &[InstanceLocation],
+    per_other_region: usize,
+    seed: u64,
+) -> Vec<InstanceId> {
     let others = || {
         all.iter()
             .filter(|location| location.instance != me.instance)
@@ -45,7 +50,7 @@
     let mut selected: Vec<InstanceId> = own_domain
         .map(|location| location.instance.clone())
         .collect();
-    let mut elsewhere: BTreeMap<&RegionId, Vec<&Place>> = BTreeMap::new();
+    let mut elsewhere: BTreeMap<&RegionId, Vec<&InstanceLocation>> = BTreeMap::new();
     for location in others().filter(|location| domain_of(location) != domain_of(me)) {
         elsewhere
             .entry(&location.region)
@@ -66,13 +71,17 @@
     selected
 }
 
-fn domain_of(location: &Place) -> (&RegionId, &DomainId) {
+fn domain_of(location: &InstanceLocation) -> (&RegionId, &DomainId) {
     (&location.region, &location.failure_domain)
 }
 
 /// Groups instances by failure domain, best rank first; the groups are ordered by their best rank.
-fn ranked_by_domain(me: &Place, locations: Vec<&Place>, seed: u64) -> Vec<Vec<InstanceId>> {
-    let mut ranked: Vec<(Reverse<u64>, &Place)> = locations
+fn ranked_by_domain(
+    me: &InstanceLocation,
+    locations: Vec<&InstanceLocation>,
+    seed: u64,
+) -> Vec<Vec<InstanceId>> {
+    let mut ranked: Vec<(Reverse<u64>, &InstanceLocation)> = locations
         .into_iter()
         .map(|location| (Reverse(rank(me, location, seed)), location))
         .collect();
@@ -101,7 +110,7 @@
 }
 
 /// Rendezvous rank of `other` for `me`; the highest rank is selected first.
-fn rank(me: &Place, other: &Place, seed: u64) -> u64 {
+fn rank(me: &InstanceLocation, other: &InstanceLocation, seed: u64) -> u64 {
     let mut hash = FNV_OFFSET ^ seed;
     let separator = [0_u8];
     let bytes = me
