--- a/crates/member/src/records.rs
+++ b/crates/member/src/records.rs
@@ -22,7 +22,7 @@
 
 /// Ages at which records lose their freshness or are dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct PictureTerms {
+pub struct ViewTimeouts {
     /// Records younger than this are fresh and fully used; a few heartbeat intervals.
     pub fresh_for: Duration,
     /// Records younger than this are old: no growth and no new shifts. Older ones are silent.
@@ -34,7 +34,7 @@
     pub revive_after: Duration,
 }
 
-impl Default for PictureTerms {
+impl Default for ViewTimeouts {
     fn default() -> Self {
         Self {
             fresh_for: Duration::from_secs(2),
@@ -45,7 +45,7 @@
     }
 }
 
-impl PictureTerms {
+impl ViewTimeouts {
     /// Freshness at `now` of a record that was true at `as_of`; `None` means never reported.
     pub fn freshness(&self, as_of: Option<Now>, now: Now) -> Freshness {
         let Some(as_of) = as_of else {
@@ -77,7 +77,7 @@
 
 /// State of the sender of a heartbeat.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct BeatFacts {
+pub struct Heartbeat {
     /// Name and location of the sender.
     pub identity: Identity,
     /// Incarnation of the sender.
@@ -107,7 +107,7 @@
 
 /// Report that an upstream is leaving, as another daemon relays it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct UpstreamMark {
+pub struct LeavingMark {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Upper bound of the report's age, in milliseconds.
@@ -144,7 +144,7 @@
 
 /// The platform's list.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct ListFacts {
+pub struct PlatformList {
     /// Upper bound of the list's age.
     pub age: Duration,
     /// Instances.
@@ -155,7 +155,7 @@
 
 /// Known state of an instance.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct InstanceFacts {
+pub struct InstanceRecord {
     /// Name and location.
     pub identity: Identity,
     /// Latest known incarnation; 0 until a heartbeat or a summary reports one.
@@ -166,7 +166,7 @@
     pub state: LeaseState,
     /// Lower bound of the time at which the record was last true at the instance; `None` if only
     /// the list names it.
-    pub true_at: Option<Now>,
+    pub as_of: Option<Now>,
     /// When this incarnation was first reported.
     pub incarnation_since: Now,
     /// Whether the latest list names it.
--- a/crates/member/src/upstreams.rs
+++ b/crates/member/src/upstreams.rs
@@ -5,8 +5,8 @@
 //! reports of leaving belong to the previous lifetime.
 
 use crate::{
+    LeavingMark, //
     ListedUpstream,
-    UpstreamMark, //
     UpstreamRecord,
 };
 use base::{
@@ -55,12 +55,12 @@
         }
     }
 
-    pub(crate) fn marks(&self, now: Now) -> Vec<UpstreamMark> {
+    pub(crate) fn marks(&self, now: Now) -> Vec<LeavingMark> {
         self.by_id
             .iter()
             .filter_map(|(id, record)| {
                 let age = now.saturating_sub(record.leaving_since?);
-                Some(UpstreamMark {
+                Some(LeavingMark {
                     upstream: id.clone(),
                     age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
                 })
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -2,17 +2,17 @@
 
 use crate::{
     upstreams::Upstreams,
-    BeatFacts,
     Freshness,
+    Heartbeat,
     Identity,
-    InstanceFacts,
+    InstanceRecord,
     LeaseState,
-    ListFacts,
+    LeavingMark, //
     ListedInstance,
-    PictureTerms,
+    PlatformList,
     Summary,
-    UpstreamMark, //
     UpstreamRecord,
+    ViewTimeouts,
 };
 use base::{
     Incarnation,
@@ -44,16 +44,16 @@
 /// version and the time at which they were true never decrease. An upstream that is marked as
 /// leaving stays marked until there is evidence of its next lifetime.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Picture {
+pub struct MembershipView {
     me: InstanceId,
-    terms: PictureTerms,
-    instances: BTreeMap<InstanceId, InstanceFacts>,
+    terms: ViewTimeouts,
+    instances: BTreeMap<InstanceId, InstanceRecord>,
     upstreams: Upstreams,
 }
 
-impl Picture {
+impl MembershipView {
     /// Creates an empty view; `me` is never among the instances.
-    pub fn new(me: InstanceId, terms: PictureTerms) -> Self {
+    pub fn new(me: InstanceId, terms: ViewTimeouts) -> Self {
         Self {
             me,
             terms,
@@ -63,7 +63,7 @@
     }
 
     /// Applies a heartbeat that the instance itself sent.
-    pub fn heard(&mut self, instance: &InstanceId, heartbeat: &BeatFacts, now: Now) {
+    pub fn apply_heartbeat(&mut self, instance: &InstanceId, heartbeat: &Heartbeat, now: Now) {
         let summary = Summary {
             incarnation: heartbeat.incarnation,
             version: heartbeat.version,
@@ -77,7 +77,7 @@
     /// Applies a summary relayed by another daemon; `transit` is an upper bound of the message delay.
     ///
     /// A daemon ignores summaries of itself.
-    pub fn passed_on(
+    pub fn apply_summary(
         &mut self,
         instance: &InstanceId,
         summary: &Summary,
@@ -94,7 +94,7 @@
     ///
     /// The list adds what it names and marks what it shows as leaving. It is delayed, so it neither
     /// removes an instance that still sends heartbeats nor revives one that announced its leaving.
-    pub fn listed(&mut self, list: &ListFacts, now: Now) {
+    pub fn apply_list(&mut self, list: &PlatformList, now: Now) {
         let as_of = now.saturating_sub(list.age);
         for record in self.instances.values_mut() {
             record.is_listed = false;
@@ -120,15 +120,15 @@
     ///
     /// `age` is an upper bound of the report's age. Returns whether the mark is new and has to be
     /// relayed.
-    pub fn upstream_leaving(&mut self, upstream: &str, age: Duration, now: Now) -> bool {
+    pub fn mark_upstream_leaving(&mut self, upstream: &str, age: Duration, now: Now) -> bool {
         let as_of = now.saturating_sub(age);
         self.upstreams.mark_leaving(upstream, as_of)
     }
 
     /// Applies a mark relayed by another daemon; returns whether it is new.
-    pub fn upstream_marked(&mut self, mark: &UpstreamMark, transit: Duration, now: Now) -> bool {
+    pub fn apply_upstream_mark(&mut self, mark: &LeavingMark, transit: Duration, now: Now) -> bool {
         let age = Duration::from_millis(mark.age_ms) + transit;
-        self.upstream_leaving(&mark.upstream, age, now)
+        self.mark_upstream_leaving(&mark.upstream, age, now)
     }
 
     /// Records that an upstream answered at most `age` ago.
@@ -138,7 +138,7 @@
     }
 
     /// Leaving marks to relay to other daemons.
-    pub fn upstream_marks(&self, now: Now) -> Vec<UpstreamMark> {
+    pub fn upstream_marks(&self, now: Now) -> Vec<LeavingMark> {
         self.upstreams.marks(now)
     }
 
@@ -159,21 +159,18 @@
     }
 
     /// Record of an instance.
-    pub fn instance(&self, instance: &str) -> Option<&InstanceFacts> {
+    pub fn instance(&self, instance: &str) -> Option<&InstanceRecord> {
         self.instances.get(instance)
     }
 
     /// All other known instances, in the order of their names.
-    pub fn instances(&self) -> impl Iterator<Item = (&InstanceId, &InstanceFacts)> {
+    pub fn instances(&self) -> impl Iterator<Item = (&InstanceId, &InstanceRecord)> {
         self.instances.iter()
     }
 
     /// Freshness of an instance's record.
     pub fn freshness(&self, instance: &str, now: Now) -> Freshness {
-        let as_of = self
-            .instances
-            .get(instance)
-            .and_then(|record| record.true_at);
+        let as_of = self.instances.get(instance).and_then(|record| record.as_of);
         self.terms.freshness(as_of, now)
     }
 
@@ -182,7 +179,7 @@
         let reported = self
             .instances
             .values()
-            .filter(|record| record.true_at.is_some());
+            .filter(|record| record.as_of.is_some());
         reported.map(|record| record.version).max()
     }
 
@@ -192,13 +189,13 @@
     /// killed instance is dropped once its heartbeats stop. If all are silent, this daemon is
     /// probably partitioned from the others, and all are kept.
     pub fn candidates(&self, now: Now) -> Vec<EntryCandidate> {
-        let live = |record: &&InstanceFacts| record.state == LeaseState::Live;
+        let live = |record: &&InstanceRecord| record.state == LeaseState::Live;
         let mut candidates: Vec<EntryCandidate> = self
             .instances
             .values()
             .filter(live)
             .map(|record| EntryCandidate {
-                freshness: self.terms.freshness(record.true_at, now),
+                freshness: self.terms.freshness(record.as_of, now),
                 identity: record.identity.clone(),
                 incarnation: record.incarnation,
             })
@@ -225,7 +222,7 @@
         if summary.incarnation == record.incarnation {
             record.state = record.state.max(summary.state);
             record.version = record.version.max(summary.version);
-            record.true_at = record.true_at.max(Some(as_of));
+            record.as_of = record.as_of.max(Some(as_of));
         }
     }
 
@@ -234,12 +231,12 @@
         let Some(identity) = &summary.identity else {
             return;
         };
-        let record = InstanceFacts {
+        let record = InstanceRecord {
             identity: identity.clone(),
             incarnation: summary.incarnation,
             version: summary.version,
             state: summary.state,
-            true_at: Some(as_of),
+            as_of: Some(as_of),
             incarnation_since: now,
             is_listed: false,
         };
@@ -254,12 +251,12 @@
         let record = self
             .instances
             .entry(instance.clone())
-            .or_insert_with(|| InstanceFacts {
+            .or_insert_with(|| InstanceRecord {
                 identity: listed.identity.clone(),
                 incarnation: 0,
                 version: 0,
                 state: LeaseState::Live,
-                true_at: None,
+                as_of: None,
                 incarnation_since: now,
                 is_listed: true,
             });
@@ -279,14 +276,14 @@
         let forget_after = self.terms.forget_after;
         self.instances.retain(|_, record| {
             let reported = record
-                .true_at
+                .as_of
                 .is_some_and(|as_of| now.saturating_sub(as_of) < forget_after);
             record.is_listed || reported
         });
     }
 }
 
-fn begin_incarnation(record: &mut InstanceFacts, summary: &Summary, now: Now) {
+fn begin_incarnation(record: &mut InstanceRecord, summary: &Summary, now: Now) {
     record.incarnation = summary.incarnation;
     record.incarnation_since = now;
     record.state = summary.state;
@@ -296,8 +293,8 @@
     }
 }
 
-fn summarize(record: &InstanceFacts, now: Now) -> Option<Summary> {
-    let age = now.saturating_sub(record.true_at?);
+fn summarize(record: &InstanceRecord, now: Now) -> Option<Summary> {
+    let age = now.saturating_sub(record.as_of?);
     Some(Summary {
         incarnation: record.incarnation,
         version: record.version,
@@ -310,12 +307,12 @@
 }
 
 /// One line for each instance, then one for each leaving upstream.
-impl fmt::Display for Picture {
+impl fmt::Display for MembershipView {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "view of {}", self.me)?;
         for (id, record) in &self.instances {
             write!(f, "\n  {id}#{} {}", record.incarnation, record.state)?;
-            match record.true_at {
+            match record.as_of {
                 Some(as_of) => write!(f, " at {} ms", as_of.as_millis())?,
                 None => f.write_str(" listed only")?,
             }
--- a/crates/member/tests/lease.rs
+++ b/crates/member/tests/lease.rs
@@ -4,16 +4,16 @@
 use base::Now;
 use member::{
     Guards,
-    Holder,
     Identity,
-    Joined,
+    JoinProgress,
     Joining,
     LeaseEvent,
+    LeaseHolder,
+    LeaseObserver,
     LeaseRow,
     LeaseState,
     LeaseStep,
     LeaseTerms,
-    Observer,
     VersionedLease, //
 };
 use std::time::Duration;
@@ -52,13 +52,15 @@
 
 /// Holder that joined over a row of incarnation 4 at 0 s; its write was answered at 1 s with version
 /// 20.
-fn holder() -> Holder {
+fn holder() -> LeaseHolder {
     let joining = Joining::new(identity(), terms(), Guards::default());
     let previous = VersionedLease {
         version: 9,
         row: row(4, 77, LeaseState::Left),
     };
-    let Joined::Not(joining, step) = joining.on(LeaseEvent::Read(Some(previous)), at(0)) else {
+    let JoinProgress::Pending(joining, step) =
+        joining.on_event(LeaseEvent::Read(Some(previous)), at(0))
+    else {
         panic!("a join writes the row before it holds the lease");
     };
     let expected = LeaseStep::Commit {
@@ -66,9 +68,9 @@
         value: row(5, 1, LeaseState::Live).to_string().into(),
     };
     assert_eq!(step, expected);
-    match joining.on(LeaseEvent::Committed { version: 20 }, at(1)) {
-        Joined::Holder(holder) => holder,
-        Joined::Not(..) => panic!("a committed join holds the lease"),
+    match joining.on_event(LeaseEvent::Committed { version: 20 }, at(1)) {
+        JoinProgress::Joined(holder) => holder,
+        JoinProgress::Pending(..) => panic!("a committed join holds the lease"),
     }
 }
 
@@ -105,7 +107,7 @@
             assert!(matches!(holder.tick(at(2)), LeaseStep::Idle));
             assert!(matches!(holder.tick(at(3)), LeaseStep::Commit { .. }));
             let event: LeaseEvent = $event;
-            let step = holder.on(event, at(4));
+            let step = holder.on_event(event, at(4));
             assert!(matches!(step, $step), "{step:?}");
             assert_eq!((holder.valid_until(), holder.gaps()), (at($until), $gaps));
         })*
@@ -121,10 +123,10 @@
 
 renewal! {
     renewal_that_commits: LeaseEvent::Committed { version: 21 } => LeaseStep::Idle, 12, 0;
-    renewal_with_lost_answer: LeaseEvent::Lost => LeaseStep::Read, 9, 0;
+    renewal_with_lost_answer: LeaseEvent::OutcomeUnknown => LeaseStep::Read, 9, 0;
     renewal_found_in_row: LeaseEvent::Read(current(5, 2)) => LeaseStep::Idle, 12, 0;
     renewal_not_found_in_row: LeaseEvent::Read(current(5, 1)) => LeaseStep::Commit { .. }, 9, 0;
-    renewal_during_outage: LeaseEvent::Down => LeaseStep::Idle, 9, 0;
+    renewal_during_outage: LeaseEvent::NotExecuted => LeaseStep::Idle, 9, 0;
     renewal_after_later_incarnation: LeaseEvent::Conflict(current(6, 1)) => LeaseStep::Superseded, 0, 0;
     renewal_with_row_removed: LeaseEvent::Conflict(None) => LeaseStep::Superseded, 0, 0;
 }
@@ -135,7 +137,7 @@
 fn renewal_after_lapse_counts_as_gap() {
     let mut holder = holder();
     assert!(matches!(holder.tick(at(8)), LeaseStep::Commit { .. }));
-    holder.on(LeaseEvent::Committed { version: 21 }, at(9));
+    holder.on_event(LeaseEvent::Committed { version: 21 }, at(9));
     assert_eq!((holder.valid_until(), holder.gaps()), (at(17), 1));
 }
 
@@ -150,15 +152,15 @@
         matches!(holder.tick(at(1)), LeaseStep::Idle),
         "only one step is in progress at a time"
     );
-    holder.on(LeaseEvent::Committed { version: 21 }, at(1));
+    holder.on_event(LeaseEvent::Committed { version: 21 }, at(1));
     assert!(holder.is_valid(at(2)));
     holder.release();
     assert!(!holder.is_valid(at(2)));
     assert!(matches!(holder.tick(at(2)), LeaseStep::Commit { .. }));
-    holder.on(LeaseEvent::Down, at(2));
+    holder.on_event(LeaseEvent::NotExecuted, at(2));
     assert!(matches!(holder.tick(at(2)), LeaseStep::Commit { .. }));
     assert!(!holder.is_released());
-    holder.on(LeaseEvent::Committed { version: 22 }, at(2));
+    holder.on_event(LeaseEvent::Committed { version: 22 }, at(2));
     assert!(holder.is_released());
     assert!(matches!(holder.tick(at(60)), LeaseStep::Idle));
 }
@@ -169,14 +171,14 @@
     ($($name:ident: [$($read:expr),*], $state:ident => $lapsed:literal;)*) => {
         $(#[test]
         fn $name() {
-            let mut observer = Observer::new(terms(), Guards::default());
+            let mut observer = LeaseObserver::new(terms(), Guards::default());
             let reads: &[(u64, u64, u64)] = &[$($read),*];
             for (seq, sent, answered) in reads {
                 let lease = VersionedLease {
                     version: 100 + seq,
                     row: row(5, *seq, LeaseState::$state),
                 };
-                observer.saw(&lease, at(*sent), at(*answered));
+                observer.record_read(&lease, at(*sent), at(*answered));
             }
             let lapse = observer.lapse("a", at(50));
             assert_eq!(lapse.is_some(), $lapsed);
--- a/crates/member/tests/partners.rs
+++ b/crates/member/tests/partners.rs
@@ -2,7 +2,7 @@
 
 use member::{
     partners,
-    Place, //
+    InstanceLocation, //
 };
 use std::collections::{
     BTreeMap,
@@ -14,9 +14,9 @@
 const PER_OTHER_REGION: usize = 2;
 
 /// `count` daemons, spread evenly over regions and failure domains.
-fn locations(count: usize) -> Vec<Place> {
+fn locations(count: usize) -> Vec<InstanceLocation> {
     (0..count)
-        .map(|index| Place {
+        .map(|index| InstanceLocation {
             instance: format!("i{index}").into(),
             region: format!("r{}", index % REGIONS).into(),
             failure_domain: format!("f{}", index / REGIONS % DOMAINS).into(),
@@ -25,7 +25,7 @@
 }
 
 /// Adjacency of the sessions between the `alive` daemons; a session carries heartbeats both ways.
-fn graph(all: &[Place], alive: &[usize], seed: u64) -> Vec<BTreeSet<usize>> {
+fn graph(all: &[InstanceLocation], alive: &[usize], seed: u64) -> Vec<BTreeSet<usize>> {
     let index: BTreeMap<_, _> = (0..)
         .zip(all)
         .map(|(n, location)| (&location.instance, n))
@@ -60,7 +60,7 @@
     }
 }
 
-fn check_spread(count: usize, is_lost: fn(&Place) -> bool, rounds_max: usize) {
+fn check_spread(count: usize, is_lost: fn(&InstanceLocation) -> bool, rounds_max: usize) {
     let all = locations(count);
     let alive: Vec<usize> = (0..count).filter(|index| !is_lost(&all[*index])).collect();
     for seed in 0..3 {
@@ -83,15 +83,15 @@
     }
 }
 
-fn nothing(_: &Place) -> bool {
+fn nothing(_: &InstanceLocation) -> bool {
     false
 }
 
-fn one_domain(location: &Place) -> bool {
+fn one_domain(location: &InstanceLocation) -> bool {
     location.region == "r0" && location.failure_domain == "f0"
 }
 
-fn one_region(location: &Place) -> bool {
+fn one_region(location: &InstanceLocation) -> bool {
     location.region == "r0"
 }
 
@@ -139,9 +139,9 @@
         .with_type::<(Vec<(u8, u8, u8)>, u8, u64)>()
         .with_iterations(2_000)
         .for_each(|(list, per_other_region, seed)| {
-            let all: Vec<Place> = list
+            let all: Vec<InstanceLocation> = list
                 .iter()
-                .map(|(instance, region, domain)| Place {
+                .map(|(instance, region, domain)| InstanceLocation {
                     instance: instance.to_string().into(),
                     region: (region % 4).to_string().into(),
                     failure_domain: (domain % 3).to_string().into(),
--- a/crates/member/tests/view.rs
+++ b/crates/member/tests/view.rs
@@ -3,21 +3,21 @@
 
 use base::Now;
 use member::{
-    BeatFacts,
     Freshness,
+    Heartbeat,
     Identity,
     LeaseState,
-    ListFacts,
     ListedInstance,
     ListedUpstream,
-    Picture,
-    PictureTerms,
+    MembershipView,
+    PlatformList,
     Summary, //
+    ViewTimeouts,
 };
 use std::time::Duration;
 
-fn terms() -> PictureTerms {
-    PictureTerms {
+fn terms() -> ViewTimeouts {
+    ViewTimeouts {
         fresh_for: Duration::from_secs(2),
         old_for: Duration::from_secs(5),
         forget_after: Duration::from_secs(60),
@@ -25,8 +25,8 @@
     }
 }
 
-fn view() -> Picture {
-    Picture::new("me".into(), terms())
+fn view() -> MembershipView {
+    MembershipView::new("me".into(), terms())
 }
 
 fn at(seconds: u64) -> Now {
@@ -44,8 +44,8 @@
     }
 }
 
-fn heartbeat(instance: &str, incarnation: u64, state: LeaseState) -> BeatFacts {
-    BeatFacts {
+fn heartbeat(instance: &str, incarnation: u64, state: LeaseState) -> Heartbeat {
+    Heartbeat {
         identity: identity(instance),
         incarnation,
         version: 1,
@@ -54,9 +54,15 @@
     }
 }
 
-fn receive(view: &mut Picture, instance: &str, incarnation: u64, state: LeaseState, now: Now) {
+fn receive(
+    view: &mut MembershipView,
+    instance: &str,
+    incarnation: u64,
+    state: LeaseState,
+    now: Now,
+) {
     let heartbeat = heartbeat(instance, incarnation, state);
-    view.heard(&instance.into(), &heartbeat, now);
+    view.apply_heartbeat(&instance.into(), &heartbeat, now);
 }
 
 fn summary(incarnation: u64, state: LeaseState, age_ms: u64) -> Summary {
@@ -70,8 +76,8 @@
 }
 
 /// List of age `age_s`: instances and upstreams, each with whether it is leaving.
-fn list(age_s: u64, instances: &[(&str, bool)], upstreams: &[(&str, bool)]) -> ListFacts {
-    ListFacts {
+fn list(age_s: u64, instances: &[(&str, bool)], upstreams: &[(&str, bool)]) -> PlatformList {
+    PlatformList {
         age: Duration::from_secs(age_s),
         instances: instances
             .iter()
@@ -95,7 +101,7 @@
     }
 }
 
-fn candidates(view: &Picture, now: Now) -> Vec<String> {
+fn candidates(view: &MembershipView, now: Now) -> Vec<String> {
     let candidates = view.candidates(now);
     candidates
         .iter()
@@ -103,7 +109,7 @@
         .collect()
 }
 
-fn state(view: &Picture, instance: &str) -> LeaseState {
+fn state(view: &MembershipView, instance: &str) -> LeaseState {
     view.instance(instance).expect("instance is known").state
 }
 
@@ -117,11 +123,11 @@
 #[test]
 fn killed_instance_is_dropped_from_look_ups_when_silent() {
     let mut view = view();
-    view.listed(&list(0, &[("a", false), ("b", false)], &[]), at(0));
+    view.apply_list(&list(0, &[("a", false), ("b", false)], &[]), at(0));
     receive(&mut view, "a", 1, Live, at(0));
     receive(&mut view, "b", 1, Live, at(0));
     receive(&mut view, "b", 1, Live, at(5));
-    view.listed(&list(0, &[("a", false), ("b", false)], &[]), at(5));
+    view.apply_list(&list(0, &[("a", false), ("b", false)], &[]), at(5));
     assert_eq!(view.freshness("a", at(5)), Freshness::Silent);
     assert_eq!(candidates(&view, at(5)), ["b"]);
 }
@@ -140,7 +146,7 @@
 #[test]
 fn records_age_from_fresh_to_old_to_silent() {
     let mut view = view();
-    view.passed_on(
+    view.apply_summary(
         &"a".into(),
         &summary(1, Live, 500),
         Duration::from_millis(500),
@@ -159,7 +165,7 @@
             let mut view = view();
             receive(&mut view, "a", 2, Live, at(10));
             receive(&mut view, "a", 2, Leaving, at(11));
-            let then: fn(&mut Picture) = $then;
+            let then: fn(&mut MembershipView) = $then;
             then(&mut view);
             assert_eq!(state(&view, "a"), $state);
         })*
@@ -170,9 +176,9 @@
     /// Guards against new work for a stopping instance when an earlier heartbeat arrives late.
     older_heartbeat_does_not_revive: |p| receive(p, "a", 2, Live, at(12)) => Leaving;
     older_summary_does_not_revive:
-        |p| p.passed_on(&"a".into(), &summary(2, Live, 0), Duration::ZERO, at(12)) => Leaving;
+        |p| p.apply_summary(&"a".into(), &summary(2, Live, 0), Duration::ZERO, at(12)) => Leaving;
     /// Guards against new work for a stopping instance that a delayed list still shows as live.
-    list_does_not_revive: |p| p.listed(&list(0, &[("a", false)], &[]), at(12)) => Leaving;
+    list_does_not_revive: |p| p.apply_list(&list(0, &[("a", false)], &[]), at(12)) => Leaving;
     earlier_incarnation_changes_nothing: |p| receive(p, "a", 1, Left, at(12)) => Leaving;
     later_incarnation_starts_live: |p| receive(p, "a", 3, Live, at(12)) => Live;
     leaving_ends_in_left: |p| receive(p, "a", 2, Left, at(12)) => Left;
@@ -184,9 +190,9 @@
 fn list_of_earlier_incarnation_does_not_mark_the_next() {
     let mut view = view();
     receive(&mut view, "a", 2, Live, at(20));
-    view.listed(&list(10, &[("a", true)], &[]), at(25));
+    view.apply_list(&list(10, &[("a", true)], &[]), at(25));
     assert_eq!(state(&view, "a"), Live);
-    view.listed(&list(1, &[("a", true)], &[]), at(25));
+    view.apply_list(&list(1, &[("a", true)], &[]), at(25));
     assert_eq!(state(&view, "a"), Leaving);
 }
 
@@ -194,12 +200,12 @@
 #[test]
 fn unlisted_instance_stays_while_its_heartbeats_arrive() {
     let mut view = view();
-    view.listed(&list(0, &[("a", false), ("b", false)], &[]), at(0));
+    view.apply_list(&list(0, &[("a", false), ("b", false)], &[]), at(0));
     receive(&mut view, "a", 1, Live, at(9));
-    view.listed(&list(0, &[], &[]), at(10));
+    view.apply_list(&list(0, &[], &[]), at(10));
     assert_eq!(candidates(&view, at(10)), ["a"]);
     assert!(view.instance("b").is_none());
-    view.listed(&list(0, &[], &[]), at(69));
+    view.apply_list(&list(0, &[], &[]), at(69));
     assert!(view.instance("a").is_none());
 }
 
@@ -207,7 +213,7 @@
 fn own_instance_is_not_in_the_view() {
     let mut view = view();
     receive(&mut view, "me", 1, Live, at(0));
-    view.listed(&list(0, &[("me", false)], &[]), at(0));
+    view.apply_list(&list(0, &[("me", false)], &[]), at(0));
     assert!(view.candidates(at(0)).is_empty());
 }
 
@@ -216,13 +222,13 @@
 #[test]
 fn relayed_summary_ages_with_each_hop() {
     let mut first = view();
-    let mut second = Picture::new("other".into(), terms());
+    let mut second = MembershipView::new("other".into(), terms());
     receive(&mut first, "a", 1, Live, at(0));
     for hop in 1..=3 {
         let now = at(2 * hop);
         let (from, to) = (&first, &mut second);
         for (id, summary) in from.summaries("other", now) {
-            to.passed_on(&id, &summary, Duration::from_millis(10), now);
+            to.apply_summary(&id, &summary, Duration::from_millis(10), now);
         }
         std::mem::swap(&mut first, &mut second);
     }
@@ -230,13 +236,13 @@
     assert_eq!(freshness, [Freshness::Silent; 2]);
 }
 
-fn with_upstream() -> Picture {
+fn with_upstream() -> MembershipView {
     let mut view = view();
-    view.listed(&list(0, &[], &[("u", false)]), at(10));
+    view.apply_list(&list(0, &[], &[("u", false)]), at(10));
     view
 }
 
-fn is_leaving(view: &Picture) -> bool {
+fn is_leaving(view: &MembershipView) -> bool {
     view.upstream("u").expect("upstream is listed").is_leaving()
 }
 
@@ -246,19 +252,19 @@
         #[test]
         fn $name() {
             let mut view = with_upstream();
-            let events: fn(&mut Picture) = $events;
+            let events: fn(&mut MembershipView) = $events;
             events(&mut view);
             assert_eq!(is_leaving(&view), $leaving);
         })*
     };
 }
 
-fn mark(view: &mut Picture, seconds: u64) -> bool {
-    view.upstream_leaving("u", Duration::ZERO, at(seconds))
+fn mark(view: &mut MembershipView, seconds: u64) -> bool {
+    view.mark_upstream_leaving("u", Duration::ZERO, at(seconds))
 }
 
-fn list_u(view: &mut Picture, is_leaving: bool, seconds: u64) {
-    view.listed(&list(0, &[], &[("u", is_leaving)]), at(seconds));
+fn list_u(view: &mut MembershipView, is_leaving: bool, seconds: u64) {
+    view.apply_list(&list(0, &[], &[("u", is_leaving)]), at(seconds));
 }
 
 upstream! {
@@ -274,7 +280,7 @@
     listed_return_clears_mark:
         |p| { mark(p, 20); list_u(p, true, 30); list_u(p, false, 40) } => false;
     return_after_absence_clears_mark:
-        |p| { mark(p, 20); p.listed(&list(0, &[], &[]), at(30)); list_u(p, false, 40) } => false;
+        |p| { mark(p, 20); p.apply_list(&list(0, &[], &[]), at(30)); list_u(p, false, 40) } => false;
     return_too_quick_to_be_listed_clears_mark_late:
         |p| { mark(p, 20); list_u(p, false, 119); assert!(is_leaving(p)); list_u(p, false, 120) }
         => false;
@@ -284,7 +290,7 @@
         mark(p, 20);
         list_u(p, true, 30);
         list_u(p, false, 40);
-        assert!(!p.upstream_leaving("u", Duration::from_secs(21), at(41)));
+        assert!(!p.mark_upstream_leaving("u", Duration::from_secs(21), at(41)));
     } => false;
 }
 
@@ -294,9 +300,9 @@
     mark(&mut sender, 20);
     let mut receiver = view();
     for mark in sender.upstream_marks(at(21)) {
-        assert!(receiver.upstream_marked(&mark, Duration::ZERO, at(21)));
+        assert!(receiver.apply_upstream_mark(&mark, Duration::ZERO, at(21)));
     }
-    receiver.listed(&list(0, &[], &[("u", false)]), at(22));
+    receiver.apply_list(&list(0, &[], &[("u", false)]), at(22));
     assert!(is_leaving(&receiver));
 }
 
@@ -318,12 +324,12 @@
                     0 => receive(&mut view, "a", incarnation, state, at(seconds)),
                     1 => {
                         let summary = summary(incarnation, state, 1_000 * age_s);
-                        view.passed_on(&"a".into(), &summary, Duration::ZERO, at(seconds));
+                        view.apply_summary(&"a".into(), &summary, Duration::ZERO, at(seconds));
                     }
-                    _ => view.listed(&list(age_s, &[("a", state != Live)], &[]), at(seconds)),
+                    _ => view.apply_list(&list(age_s, &[("a", state != Live)], &[]), at(seconds)),
                 }
                 let known = view.instance("a").expect("every event names the instance");
-                let now = (known.incarnation, known.state, known.true_at);
+                let now = (known.incarnation, known.state, known.as_of);
                 let incarnations = (before.map(|(incarnation, _, _)| incarnation), Some(now.0));
                 assert!(incarnations.0 <= incarnations.1);
                 if incarnations.0 == incarnations.1 {
--- a/crates/model/src/claims.rs
+++ b/crates/model/src/claims.rs
@@ -18,14 +18,14 @@
 use filing::{
     claim_key,
     Claim,
-    ClaimAnswer,
     ClaimEvent,
+    ClaimResult,
     ClaimState,
     ClaimStep,
     Claimant,
     Claimer,
+    ConditionalWrite,
     Guards,
-    Insert,
     Record,
     ReleaseStep,
     Releaser,
@@ -185,7 +185,7 @@
     ) {
         let deliver = |next: &mut Next, what, after: ClaimModelState, event| {
             let mut claimer = claimer.clone();
-            let step = claimer.on(event);
+            let step = claimer.on_event(event);
             push_step(next, &after, index, what, claimer, step);
         };
         let mut after = state.clone();
@@ -223,7 +223,7 @@
     fn read(&self, state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
         let deliver = |next: &mut Next, what, after: &ClaimModelState, event| {
             let mut claimer = claimer.clone();
-            let step = claimer.on(event);
+            let step = claimer.on_event(event);
             push_step(next, after, index, what, claimer, step);
         };
         let event = ClaimEvent::Read(state.row.clone());
@@ -241,7 +241,7 @@
         releaser: &Releaser,
         next: &mut Next,
     ) {
-        let step = releaser.on(ClaimEvent::Read(state.row.clone()));
+        let step = releaser.on_event(ClaimEvent::Read(state.row.clone()));
         push_release(next, state, index, "reads, to release", releaser, step);
     }
 
@@ -256,16 +256,16 @@
         let mut after = state.clone();
         match after.apply(write) {
             Ok(version) => {
-                let step = releaser.on(ClaimEvent::Committed { version });
+                let step = releaser.on_event(ClaimEvent::Committed { version });
                 push_release(next, &after, index, "releases", releaser, step);
                 if let Some(lossy) = after.with_fault() {
-                    let step = releaser.on(ClaimEvent::Lost);
+                    let step = releaser.on_event(ClaimEvent::Lost);
                     let what = "releases, the answer is lost";
                     push_release(next, &lossy, index, what, releaser, step);
                 }
             }
             Err(row) => {
-                let step = releaser.on(ClaimEvent::Conflict(row));
+                let step = releaser.on_event(ClaimEvent::Conflict(row));
                 push_release(next, &after, index, "its release conflicts", releaser, step);
             }
         }
@@ -327,8 +327,8 @@
 }
 
 fn sent(state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
-    let record = Record::bare(RunOutcome::Done, 200);
-    let insert = claimer.ended(0, record).expect("it was sent");
+    let record = Record::status_only(RunOutcome::Done, 200);
+    let insert = claimer.outcome_write(0, record).expect("it was sent");
     let mut after = state.clone();
     after.requests[index] = Request::Over;
     let recorded = after.apply(&write_of(&insert)).is_ok();
@@ -337,7 +337,7 @@
     }
 }
 
-fn write_of(insert: &Insert) -> Write {
+fn write_of(insert: &ConditionalWrite) -> Write {
     Write {
         check: insert.check,
         value: insert.value.clone(),
@@ -363,11 +363,11 @@
         ClaimStep::ReadBack => Request::Reading(claimer),
         ClaimStep::Ready => Request::Ready(claimer),
         ClaimStep::Send => Request::Sent(claimer),
-        ClaimStep::Answer(ClaimAnswer::NotRun(releaser)) => {
+        ClaimStep::Respond(ClaimResult::NotRun(releaser)) => {
             after.told_not_run[index] = true;
             releaser.map_or(Request::Over, Request::ReleaseReading)
         }
-        ClaimStep::Answer(_) => Request::Over,
+        ClaimStep::Respond(_) => Request::Over,
         ClaimStep::Nothing => return,
     };
     push(next, Some(index), what, after);
--- a/crates/model/src/filing.rs
+++ b/crates/model/src/filing.rs
@@ -17,7 +17,6 @@
 };
 use filing::{
     Accepted,
-    Begin,
     Bounds,
     Draining,
     Guards,
@@ -29,6 +28,7 @@
     Record,
     Stopping,
     Ticket,
+    TicketDecision,
     WallClock, //
 };
 use std::{
@@ -83,7 +83,7 @@
 }
 
 impl Process {
-    fn begin(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         match self {
             Self::Open(ledger) => ledger.begin(ticket, now),
             Self::Draining(stopping) => stopping.begin(ticket, now),
@@ -92,7 +92,7 @@
         }
     }
 
-    fn refuse(&mut self, ticket: &Ticket, now: Now) -> Begin {
+    fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         match self {
             Self::Open(ledger) => ledger.refuse(ticket, now),
             Self::Draining(stopping) => stopping.refuse(ticket, now),
@@ -112,10 +112,10 @@
 
     fn unsent(&mut self, nonce: Nonce) {
         match self {
-            Self::Open(ledger) => ledger.unsent(nonce),
-            Self::Draining(stopping) => stopping.unsent(nonce),
-            Self::Offered(stopping) => stopping.unsent(nonce),
-            Self::HandedOver(stopping) => stopping.unsent(nonce),
+            Self::Open(ledger) => ledger.remove_unsent(nonce),
+            Self::Draining(stopping) => stopping.remove_unsent(nonce),
+            Self::Offered(stopping) => stopping.remove_unsent(nonce),
+            Self::HandedOver(stopping) => stopping.remove_unsent(nonce),
         }
     }
 
@@ -228,8 +228,8 @@
     fn process(&self, entry: usize, incarnation: Incarnation, wall_ms: u64, now: Now) -> Process {
         let bounds = Bounds {
             tickets_max: self.remembered_max,
-            life_max: Duration::from_millis(10),
-            margin: Duration::from_millis(MARGIN_MS),
+            lifetime_max: Duration::from_millis(10),
+            retention: Duration::from_millis(MARGIN_MS),
             offer_bytes_max: if self.offer_fits { usize::MAX } else { 0 },
             ..Bounds::default()
         };
@@ -365,7 +365,7 @@
     fn adopt(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         let mut after = state.clone();
         if let (Some(offer), Process::Open(ledger)) = (&state.offer, &mut after.processes[Y]) {
-            let adopted = ledger.adopt(offer);
+            let adopted = ledger.accept_offer(offer);
             let taken = adopted.is_ok();
             after.accepted = adopted.ok().or(after.accepted);
             next.push((TicketStep::Adopt(taken), after));
@@ -377,19 +377,19 @@
     Now::from_millis(state.now_ms)
 }
 
-fn describe(said: &Begin) -> String {
+fn describe(said: &TicketDecision) -> String {
     match said {
-        Begin::Run => "run".into(),
-        Begin::Wait => "wait".into(),
-        Begin::Replay(record) => format!("replay {}", record.outcome),
-        Begin::Refuse(reason) => format!("refuse {reason:?}, {}", reason.outcome()),
+        TicketDecision::Run => "run".into(),
+        TicketDecision::Wait => "wait".into(),
+        TicketDecision::Replay(record) => format!("replay {}", record.outcome),
+        TicketDecision::Refuse(reason) => format!("refuse {reason:?}, {}", reason.outcome()),
     }
 }
 
 /// Books what the ledger said on the entry and on the caller.
-fn take(state: &mut TicketState, entry: usize, nonce: Nonce, said: &Begin) {
+fn take(state: &mut TicketState, entry: usize, nonce: Nonce, said: &TicketDecision) {
     let outcome = match said {
-        Begin::Run => {
+        TicketDecision::Run => {
             let run = Run {
                 entry,
                 nonce,
@@ -398,9 +398,9 @@
             state.runs.insert(run);
             return;
         }
-        Begin::Wait => return,
-        Begin::Replay(record) => record.outcome,
-        Begin::Refuse(reason) => reason.outcome(),
+        TicketDecision::Wait => return,
+        TicketDecision::Replay(record) => record.outcome,
+        TicketDecision::Refuse(reason) => reason.outcome(),
     };
     if outcome == RunOutcome::NotRun {
         state.told_not_run.insert(nonce);
@@ -418,14 +418,14 @@
 fn finish(state: &TicketState, run: Run) -> (TicketStep, TicketState) {
     let mut after = state.clone();
     after.runs.remove(&run);
-    after.processes[run.entry].finish(run.nonce, Record::bare(RunOutcome::Done, 200));
+    after.processes[run.entry].finish(run.nonce, Record::status_only(RunOutcome::Done, 200));
     (TicketStep::Finish(run.entry, run.nonce), after)
 }
 
 fn refuse(state: &TicketState, run: Run) -> (TicketStep, TicketState) {
     let mut after = state.clone();
     after.runs.remove(&run);
-    after.processes[run.entry].finish(run.nonce, Record::bare(RunOutcome::NotRun, 503));
+    after.processes[run.entry].finish(run.nonce, Record::status_only(RunOutcome::NotRun, 503));
     after.told_not_run.insert(run.nonce);
     (TicketStep::Refuse(run.entry, run.nonce), after)
 }
--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -12,15 +12,15 @@
 use base::Now;
 use member::{
     Guards,
-    Holder,
     Identity,
-    Joined,
+    JoinProgress,
     Joining,
     LeaseEvent,
+    LeaseHolder,
+    LeaseObserver,
     LeaseRow,
     LeaseStep,
     LeaseTerms,
-    Observer,
     VersionedLease, //
 };
 use std::{
@@ -134,9 +134,9 @@
     faults_left: u8,
     table: Table,
     late: Vec<Write>,
-    holder: Holder,
+    holder: LeaseHolder,
     wait: Wait,
-    observer: Observer,
+    observer: LeaseObserver,
     read: Option<ReadUnderWay>,
     /// Whether the observer has called the first, unbroken lease lapsed.
     lapsed: bool,
@@ -158,7 +158,7 @@
     }
 
     fn deliver(mut self, event: LeaseEvent) -> Self {
-        let step = self.holder.on(event, self.holder_now());
+        let step = self.holder.on_event(event, self.holder_now());
         self.follow(&step);
         self
     }
@@ -221,7 +221,7 @@
         after.clone().deliver(event),
     );
     if let Some(lossy) = after.with_fault() {
-        let lossy = lossy.deliver(LeaseEvent::Lost);
+        let lossy = lossy.deliver(LeaseEvent::OutcomeUnknown);
         push(next, "the renewal takes effect, the answer is lost", lossy);
     }
     if let Some(slow) = after.with_fault() {
@@ -233,10 +233,14 @@
     }
     if let Some(down) = state.with_fault() {
         let mut late = down.clone();
-        push(next, "the platform is down", down.deliver(LeaseEvent::Down));
+        push(
+            next,
+            "the platform is down",
+            down.deliver(LeaseEvent::NotExecuted),
+        );
         late.late.push(write.clone());
         late.late.sort();
-        let late = late.deliver(LeaseEvent::Lost);
+        let late = late.deliver(LeaseEvent::OutcomeUnknown);
         push(next, "the renewal is under way, the answer is lost", late);
     }
 }
@@ -264,7 +268,7 @@
                 Some(row) => {
                     after.read = None;
                     let now = state.observer_now();
-                    after.observer.saw(row, read.sent_at, now);
+                    after.observer.record_read(row, read.sent_at, now);
                     push(next, "the observer gets the row", after);
                 }
             }
@@ -284,12 +288,14 @@
 
     fn start(&self) -> LeaseModelState {
         let joining = Joining::new(identity(), terms(), self.guards);
-        let Joined::Not(joining, step) = joining.on(LeaseEvent::Read(None), Now::ZERO) else {
+        let JoinProgress::Pending(joining, step) =
+            joining.on_event(LeaseEvent::Read(None), Now::ZERO)
+        else {
             unreachable!("a join writes before it holds");
         };
         let mut table = Table::default();
         let event = table.apply(&write_of(&step).expect("a commit"));
-        let Joined::Holder(holder) = joining.on(event, Now::ZERO) else {
+        let JoinProgress::Joined(holder) = joining.on_event(event, Now::ZERO) else {
             unreachable!("a committed join holds");
         };
         LeaseModelState {
@@ -299,7 +305,7 @@
             late: Vec::new(),
             holder,
             wait: Wait::Nothing,
-            observer: Observer::new(terms(), self.guards),
+            observer: LeaseObserver::new(terms(), self.guards),
             read: None,
             lapsed: false,
         }
@@ -342,7 +348,7 @@
 enum Process {
     Reading(Joining),
     Writing(Joining, Box<Write>),
-    Holding(Holder),
+    Holding(LeaseHolder),
 }
 
 /// State of the processes and the table.
@@ -364,12 +370,12 @@
     }
 
     fn deliver(mut self, index: usize, joining: &Joining, event: LeaseEvent) -> Self {
-        self.processes[index] = match joining.clone().on(event, Now::ZERO) {
-            Joined::Not(joining, step) => match write_of(&step) {
+        self.processes[index] = match joining.clone().on_event(event, Now::ZERO) {
+            JoinProgress::Pending(joining, step) => match write_of(&step) {
                 Some(write) => Process::Writing(joining, Box::new(write)),
                 None => Process::Reading(joining),
             },
-            Joined::Holder(holder) => Process::Holding(holder),
+            JoinProgress::Joined(holder) => Process::Holding(holder),
         };
         self
     }
@@ -391,13 +397,13 @@
             let lossy = after.with_fault();
             push("writes", after.deliver(index, joining, event));
             if let Some(lossy) = lossy {
-                let lossy = lossy.deliver(index, joining, LeaseEvent::Lost);
+                let lossy = lossy.deliver(index, joining, LeaseEvent::OutcomeUnknown);
                 push("writes, the answer is lost", lossy);
             }
             if let Some(mut late) = state.with_fault() {
                 late.late.push((**write).clone());
                 late.late.sort();
-                let late = late.deliver(index, joining, LeaseEvent::Lost);
+                let late = late.deliver(index, joining, LeaseEvent::OutcomeUnknown);
                 push("has its write under way, the answer is lost", late);
             }
         }
--- a/crates/model/src/picture.rs
+++ b/crates/model/src/picture.rs
@@ -14,7 +14,7 @@
 use ::picture::{
     Guards,
     ListedUpstream,
-    Picture,
+    RoutingView,
     UpstreamUpdate, //
 };
 use base::Now;
@@ -71,7 +71,7 @@
 /// One entry.
 #[derive(Clone, Debug)]
 struct Entry {
-    picture: Picture,
+    picture: RoutingView,
     /// Rows that it has read.
     read: usize,
     /// Version at which it knew without doubt that the upstream gets nothing more.
@@ -133,7 +133,7 @@
 impl Entry {
     fn new(guards: Guards) -> Self {
         Self {
-            picture: Picture::with_guards(guards),
+            picture: RoutingView::with_guards(guards),
             read: 0,
             sure_at: None,
         }
@@ -149,7 +149,7 @@
     fn read_next(&mut self, row: Row, after_outage: bool, now: Now) {
         let version = version(self.read);
         self.read += 1;
-        self.picture.note_read(version);
+        self.picture.advance_read_position(version);
         match row {
             Row::Listed | Row::Leaving => {
                 let leaving = row == Row::Leaving;
@@ -264,7 +264,7 @@
                 let mut next = state.clone();
                 next.messages_left -= 1;
                 // The other one says with its request how far it has read.
-                let after = state.entries[1 - number].picture.upstreams_read_to();
+                let after = state.entries[1 - number].picture.upstreams_read_position();
                 next.messages.push(Message {
                     to: 1 - number,
                     updates: entry.picture.upstream_updates(after, state.now()),
--- a/crates/model/src/share/apply.rs
+++ b/crates/model/src/share/apply.rs
@@ -16,7 +16,7 @@
     Action,
     Amounts,
     Member,
-    PoolBeat,
+    PoolHeartbeat,
     Row, //
 };
 use std::sync::Arc;
@@ -65,13 +65,13 @@
             Step::Beat(i, j) => {
                 let beat = self.beat(&mut next, i);
                 let now = self.clock(j, &next);
-                next.change(j, |member| member.on_beat(&beat, now));
+                next.change(j, |member| member.on_heartbeat(&beat, now));
             }
             Step::BeatAll(i) => {
                 let beat = self.beat(&mut next, i);
                 for j in (0..self.count()).filter(|j| self.reaches(i, *j)) {
                     let now = self.clock(j, &next);
-                    next.change(j, |member| member.on_beat(&beat, now));
+                    next.change(j, |member| member.on_heartbeat(&beat, now));
                 }
             }
             Step::KeepBeat(i, j) => {
@@ -81,7 +81,7 @@
             Step::LateBeat => {
                 let (j, beat) = next.late_beat.clone()?;
                 let now = self.clock(j, &next);
-                next.change(j, |member| member.on_beat(&beat, now));
+                next.change(j, |member| member.on_heartbeat(&beat, now));
             }
             Step::SendRow(i, j) => {
                 let row = Arc::clone(next.member(i).row()?);
@@ -147,13 +147,13 @@
         taken.then_some(seq)
     }
 
-    pub(super) fn beat(&self, world: &mut World, i: usize) -> PoolBeat {
+    pub(super) fn beat(&self, world: &mut World, i: usize) -> PoolHeartbeat {
         if !self.work {
             world.report_work(i);
         }
         let now = self.clock(i, world);
         let mut member = Member::clone(world.member(i));
-        let beat = member.beat(now);
+        let beat = member.heartbeat(now);
         world.nodes[i].cell = Cell::new(member);
         beat
     }
@@ -173,7 +173,7 @@
                         self.write(world, row);
                     }
                 }
-                Action::Give(give) => {
+                Action::Transfer(give) => {
                     if world.gives.len() < GIVES_KEPT {
                         world.gives.push(give);
                     }
@@ -208,7 +208,7 @@
         let to = (0..self.count()).find(|i| *world.member(*i).id() == give.to);
         if let Some(i) = to {
             let now = self.clock(i, world);
-            world.change(i, |member| member.on_give(&give, now));
+            world.change(i, |member| member.on_transfer(&give, now));
         }
     }
 
--- a/crates/model/src/share/mod.rs
+++ b/crates/model/src/share/mod.rs
@@ -293,7 +293,7 @@
                 let beat = self.beat(&mut world, i);
                 for j in (0..self.members).filter(|j| *j != i) {
                     let now = self.clock(j, &world);
-                    world.change(j, |member| member.on_beat(&beat, now));
+                    world.change(j, |member| member.on_heartbeat(&beat, now));
                 }
             }
         }
--- a/crates/model/src/share/world.rs
+++ b/crates/model/src/share/world.rs
@@ -4,11 +4,11 @@
 use foldhash::fast::FixedState;
 use share::{
     Amounts,
-    Give,
     Member,
-    PoolBeat,
+    PoolHeartbeat,
     ResourceId,
     Row, //
+    Transfer,
 };
 use std::{
     hash::{
@@ -73,8 +73,8 @@
     pub(super) now: u64,
     pub(super) row: Arc<Row>,
     pub(super) nodes: Vec<Node>,
-    pub(super) late_beat: Option<(usize, Arc<PoolBeat>)>,
-    pub(super) gives: Vec<Give>,
+    pub(super) late_beat: Option<(usize, Arc<PoolHeartbeat>)>,
+    pub(super) gives: Vec<Transfer>,
     /// What the verifier found in a row that was written.
     pub(super) finding: Option<String>,
 }
--- a/crates/model/tests/picture.rs
+++ b/crates/model/tests/picture.rs
@@ -41,8 +41,8 @@
     an_older_statement_that_counts: pictures, versions, "sends to it";
     /// Symptom: as above, at all entries at once. One entry, which the store served again just then,
     /// doubts the removal and tells its picture.
-    a_removal_in_doubt_told_as_a_listing: pictures, doubt, "sends to it";
+    a_removal_in_doubt_told_as_a_listing: pictures, unconfirmed_removals, "sends to it";
     /// Symptom: as above, at a process that has just started: it reads the table, in which the row is
     /// missing, and then hears of it from an entry that is behind.
-    an_unknown_upstream_taken_from_an_entry_behind: restarted, read_to, "has it open";
+    an_unknown_upstream_taken_from_an_entry_behind: restarted, read_position, "has it open";
 }
--- a/crates/model/tests/share.rs
+++ b/crates/model/tests/share.rs
@@ -73,15 +73,15 @@
     confirm_read: ShareModel { max_lease: vec![2, 2], late_writes: true, horizon: 2, ..plain() };
     listed_lease: ShareModel { max_lease: vec![2, 2], rows_by_peers: true, late_writes: true, horizon: 2, ..plain() };
     floor_bound: ShareModel { demands: vec![(1, 5)], tokens: 6, max_lease: vec![1, 2], horizon: 3, max_epoch: 2, ..plain() };
-    replaced_from_sight: restarted();
+    superseded_from_first_seen: restarted();
     witness_since: newcomers_alone();
     promise_kept: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..ShareModel::default() };
-    promise_from_ask: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], late_beats: true, horizon: 3, max_epoch: 2, ..ShareModel::default() };
+    promise_from_request: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], late_beats: true, horizon: 3, max_epoch: 2, ..ShareModel::default() };
     promise_same_epoch: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..ShareModel::default() };
     clip_on_adopt: jump_over_an_epoch();
-    give_once: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 1, max_epoch: 1, ..plain() };
-    give_same_epoch: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 2, ..plain() };
-    give_stops_first: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 1, work: true, terms: Terms { grace: Duration::from_secs(2), ..plain().terms }, ..plain() };
+    transfer_once: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 1, max_epoch: 1, ..plain() };
+    transfer_same_epoch: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 2, ..plain() };
+    transfer_stops_first: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 1, work: true, terms: Terms { grace: Duration::from_secs(2), ..plain().terms }, ..plain() };
     grace: reclaimed_beside_work();
     drift: ShareModel { horizon: 6, max_lease: vec![1, 2], max_epoch: 2, slow_clocks: vec![0], terms: Terms { drift_pct: 25, short_ttl: Duration::from_secs(4), long_ttl: Duration::from_secs(10), ..plain().terms }, ..plain() };
 }
--- a/crates/model/tests/share_walks.rs
+++ b/crates/model/tests/share_walks.rs
@@ -101,4 +101,4 @@
     )*};
 }
 
-found! { broken_chain confirm_read give_once give_same_epoch keep_minimum promise_kept promise_same_epoch wait_for_acks }
+found! { broken_chain confirm_read transfer_once transfer_same_epoch keep_minimum promise_kept promise_same_epoch wait_for_acks }
--- a/crates/overlay/src/follower.rs
+++ b/crates/overlay/src/follower.rs
@@ -29,7 +29,7 @@
 
 /// How rows that a hub forwards relate to the position.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Continuity {
     /// They continue what was read: apply them.
     Next,
     /// They contain nothing new.
@@ -40,7 +40,7 @@
 
 /// Position in one table, and the hubs that forward what they read of it.
 #[derive(Clone, Debug, Default)]
-pub struct Follow {
+pub struct TableFollower {
     guards: Guards,
     /// Version up to which all rows were read; `None` until the whole table was read once.
     position: Option<u64>,
@@ -50,7 +50,7 @@
     hubs: BTreeMap<InstanceId, Now>,
 }
 
-impl Follow {
+impl TableFollower {
     /// Creates the state before anything was read.
     pub fn new() -> Self {
         Self::with_guards(Guards::default())
@@ -72,44 +72,50 @@
     }
 
     /// Records that the whole table was read at `position`.
-    pub fn take_whole(&mut self, position: u64) {
+    pub fn on_table_read(&mut self, position: u64) {
         self.position = self.position.max(Some(position));
         self.gap = false;
     }
 
     /// Records that all changes from the position up to `position` were read from the store.
-    pub fn take_read(&mut self, position: u64) {
+    pub fn on_changes_read(&mut self, position: u64) {
         self.position = self.position.max(Some(position));
         self.gap = false;
     }
 
     /// Records how far a hub has read; from then on it forwards what it reads. A hub that is ahead of this entry does
     /// not count as forwarding, since it won't send what is missing here.
-    pub fn take_position(&mut self, hub: &InstanceId, position: u64, now: Now) {
+    pub fn on_hub_position(&mut self, hub: &InstanceId, position: u64, now: Now) {
         if self.position.is_some_and(|known| position <= known) {
             self.hubs.insert(hub.clone(), now);
         }
     }
 
     /// Handles the changes after `after` up to `position`, forwarded by a hub.
-    pub fn step(&mut self, hub: &InstanceId, after: u64, position: u64, now: Now) -> Step {
+    pub fn on_forwarded(
+        &mut self,
+        hub: &InstanceId,
+        after: u64,
+        position: u64,
+        now: Now,
+    ) -> Continuity {
         self.hubs.insert(hub.clone(), now);
         let Some(known) = self.position else {
-            return Step::Gap;
+            return Continuity::Gap;
         };
         if position <= known {
-            return Step::Known;
+            return Continuity::Known;
         }
         if after > known && self.guards.gap {
             self.gap = true;
-            return Step::Gap;
+            return Continuity::Gap;
         }
         self.position = Some(position);
-        Step::Next
+        Continuity::Next
     }
 
     /// Records that a hub can't read the store, or is lost.
-    pub fn stop(&mut self, hub: &InstanceId) {
+    pub fn remove_hub(&mut self, hub: &InstanceId) {
         self.hubs.remove(hub);
     }
 
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -29,14 +29,14 @@
 mod sums;
 
 pub use follower::{
-    Follow,
+    Continuity, //
     Guards,
-    Step, //
+    TableFollower,
 };
 pub use member::Member;
 pub use overlay::{
-    Down,
     Overlay, //
+    SessionEnd,
 };
 pub use roles::HUBS_PER_DOMAIN;
 pub use roster::{
@@ -47,5 +47,5 @@
 pub use sums::{
     Load,
     LoadKey,
-    Sums, //
+    LoadSums, //
 };
--- a/crates/overlay/src/live.rs
+++ b/crates/overlay/src/live.rs
@@ -75,7 +75,11 @@
 
     /// Returns the rosters of other hubs to forward to an entry, each with a number for its version. A hub's leaves get
     /// all. An entry of another domain that dialled a leaf gets those of the leaf's hubs.
-    pub fn forwarded(&self, to: &InstanceId, now: Now) -> impl Iterator<Item = (u64, &Roster)> {
+    pub fn forwarded_rosters(
+        &self,
+        to: &InstanceId,
+        now: Now,
+    ) -> impl Iterator<Item = (u64, &Roster)> {
         let is_leaf = self.leaves().any(|leaf| leaf == to);
         let forwards_own_hubs = !self.is_hub(now);
         let mut by_hub: BTreeMap<&InstanceId, &ReceivedRoster> = BTreeMap::new();
@@ -133,7 +137,7 @@
 
     /// Returns how many entries may be sending, this one included; an upper estimate where little is known of them.
     /// `None` until the store was read.
-    pub fn count(&self) -> Option<usize> {
+    pub fn sender_count(&self) -> Option<usize> {
         let registered = self.registered?;
         let live = &self.live.1;
         let lost = self.lost.keys().filter(|lost| !live.contains_key(*lost));
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -27,7 +27,7 @@
 
 /// How a session ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Down {
+pub enum SessionEnd {
     /// One side no longer needs it; the other entry is healthy.
     Unneeded,
     /// The other entry stopped, failed or can't be reached.
@@ -90,12 +90,12 @@
     }
 
     /// Returns a number that grows when an entry goes up or down or its callers' state changes.
-    pub fn number(&self) -> u64 {
+    pub fn version(&self) -> u64 {
         self.version
     }
 
     /// Replaces the entries that the store lists.
-    pub fn take_registered(&mut self, entries: impl IntoIterator<Item = Member>) {
+    pub fn set_registered(&mut self, entries: impl IntoIterator<Item = Member>) {
         let entries = entries.into_iter();
         let mut members: BTreeMap<InstanceId, Member> = entries
             .map(|member| (member.instance.clone(), member))
@@ -103,7 +103,7 @@
         self.registered = Some(members.len());
         // An entry with a session stays known even if it is missing in what was read from the store.
         for (instance, member) in &self.members {
-            let up = *instance == self.own.instance || self.is_up(instance);
+            let up = *instance == self.own.instance || self.is_connected(instance);
             if up && !members.contains_key(instance) {
                 members.insert(instance.clone(), member.clone());
             }
@@ -112,7 +112,7 @@
     }
 
     /// Handles an established session.
-    pub fn take_up(
+    pub fn on_session_up(
         &mut self,
         instance: &InstanceId,
         region: &RegionId,
@@ -135,13 +135,13 @@
     }
 
     /// Handles the end of a session.
-    pub fn take_down(&mut self, instance: &InstanceId, down: Down, now: Now) {
+    pub fn on_session_down(&mut self, instance: &InstanceId, down: SessionEnd, now: Now) {
         if let Some(session) = self.sessions.get_mut(instance) {
             session.up = false;
             session.callers = None;
             session.lost_at = now;
         }
-        if down == Down::Unneeded {
+        if down == SessionEnd::Unneeded {
             self.sessions.remove(instance);
         }
         for ((via, _), received) in &mut self.rosters {
@@ -153,7 +153,7 @@
     }
 
     /// Handles the state that an entry sends on its session; returns whether its callers' state changed.
-    pub fn take_state(
+    pub fn update_state(
         &mut self,
         member: Member,
         callers_addr: SocketAddr,
@@ -180,13 +180,13 @@
     }
 
     /// Sets where callers reach this entry and whether it takes new ones.
-    pub fn set_own(&mut self, callers_addr: SocketAddr, ready: bool) {
+    pub fn set_own_callers(&mut self, callers_addr: SocketAddr, ready: bool) {
         self.callers = Some((callers_addr, ready));
     }
 
     /// Handles a roster that arrived on a session.
-    pub fn take_roster(&mut self, via: &InstanceId, roster: Roster, now: Now) {
-        if roster.hub == self.own.instance || !self.is_up(via) {
+    pub fn update_roster(&mut self, via: &InstanceId, roster: Roster, now: Now) {
+        if roster.hub == self.own.instance || !self.is_connected(via) {
             return;
         }
         let key = (via.clone(), roster.hub.clone());
@@ -208,7 +208,7 @@
     }
 
     /// Records that the entry behind session `via` has lost `hub`.
-    pub fn drop_roster(&mut self, via: &InstanceId, hub: &InstanceId, now: Now) {
+    pub fn mark_roster_lost(&mut self, via: &InstanceId, hub: &InstanceId, now: Now) {
         if let Some(received) = self.rosters.get_mut(&(via.clone(), hub.clone())) {
             received.lost_at.get_or_insert(now);
         }
--- a/crates/overlay/src/roles.rs
+++ b/crates/overlay/src/roles.rs
@@ -24,7 +24,7 @@
 
 impl Overlay {
     /// Returns the entries to keep sessions to. Call it again after each change and at short intervals.
-    pub fn partners(&mut self, now: Now) -> Vec<Member> {
+    pub fn session_targets(&mut self, now: Now) -> Vec<Member> {
         let mut partners = self.hub_candidates(&self.own.failure_domain, now);
         if self.is_hub(now) {
             let domains: BTreeSet<&DomainId> = self
@@ -96,13 +96,13 @@
     }
 
     /// Returns the entries with an established session.
-    pub fn up(&self) -> impl Iterator<Item = &InstanceId> {
+    pub fn connected(&self) -> impl Iterator<Item = &InstanceId> {
         let up = self.sessions.iter().filter(|(_, session)| session.up);
         up.map(|(instance, _)| instance)
     }
 
     /// Returns whether a session is established.
-    pub fn is_up(&self, instance: &InstanceId) -> bool {
+    pub fn is_connected(&self, instance: &InstanceId) -> bool {
         let session = self.sessions.get(instance);
         session.is_some_and(|session| session.up)
     }
@@ -147,7 +147,7 @@
 
     /// Returns the entries that get this one's roster: the other hubs if it is a hub, and entries of other domains that
     /// dialled it because the hubs of its domain don't answer them.
-    pub fn advertised_to(&self, now: Now) -> impl Iterator<Item = &InstanceId> {
+    pub fn roster_receivers(&self, now: Now) -> impl Iterator<Item = &InstanceId> {
         let is_hub = self.is_hub(now);
         let up = self.sessions.iter().filter(|(_, session)| session.up);
         up.filter(move |(_, session)| {
@@ -158,7 +158,7 @@
     }
 
     /// Returns the hub that this leaf reports to; `None` for a hub, or while no hub is up.
-    pub fn primary(&self, now: Now) -> Option<&InstanceId> {
+    pub fn primary_hub(&self, now: Now) -> Option<&InstanceId> {
         if self.is_hub(now) {
             return None;
         }
--- a/crates/overlay/src/sums.rs
+++ b/crates/overlay/src/sums.rs
@@ -45,7 +45,7 @@
 
 /// Reports of other entries, and the sums derived from them.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct LoadSums {
     leaves: BTreeMap<InstanceId, Report>,
     hubs: BTreeMap<InstanceId, Report>,
     /// Sum over all entries, as this leaf's hub sent it.
@@ -54,9 +54,9 @@
     reported: [Vec<Load>; 2],
 }
 
-impl Sums {
+impl LoadSums {
     /// Records a leaf's report to this hub.
-    pub fn take_leaf(
+    pub fn record_leaf(
         &mut self,
         leaf: &InstanceId,
         loads: Vec<Load>,
@@ -68,7 +68,7 @@
     }
 
     /// Records another hub's sum over itself and its leaves.
-    pub fn take_hub(
+    pub fn record_hub(
         &mut self,
         hub: &InstanceId,
         loads: Vec<Load>,
@@ -80,24 +80,24 @@
     }
 
     /// Records the sum over all entries that this leaf's hub sent.
-    pub fn take_fleet(&mut self, loads: Vec<Load>, stale_after: Duration, now: Now) {
+    pub fn record_fleet(&mut self, loads: Vec<Load>, stale_after: Duration, now: Now) {
         self.fleet = Some(Report::new(loads, stale_after, now));
     }
 
     /// Records what this leaf reports now.
-    pub fn note_reported(&mut self, own: &[Load]) {
+    pub fn record_reported(&mut self, own: &[Load]) {
         self.reported.swap(0, 1);
         self.reported[0] = own.to_vec();
     }
 
     /// Drops the reports of an entry whose session has ended.
-    pub fn forget(&mut self, instance: &InstanceId) {
+    pub fn forget_session(&mut self, instance: &InstanceId) {
         self.leaves.remove(instance);
         self.hubs.remove(instance);
     }
 
     /// Returns the leaves that report to this hub.
-    pub fn reporting(&self, now: Now) -> impl Iterator<Item = &InstanceId> {
+    pub fn reporting_leaves(&self, now: Now) -> impl Iterator<Item = &InstanceId> {
         let leaves = self.leaves.iter();
         leaves
             .filter(move |(_, report)| report.is_fresh(now))
@@ -105,7 +105,7 @@
     }
 
     /// Returns what this hub sends to other hubs: its own requests and those of its leaves.
-    pub fn of_domain(&self, own: &[Load], now: Now) -> Vec<Load> {
+    pub fn domain_sums(&self, own: &[Load], now: Now) -> Vec<Load> {
         let mut sums = FastMap::default();
         add(&mut sums, own);
         add_fresh(&mut sums, &self.leaves, now);
@@ -113,7 +113,7 @@
     }
 
     /// Returns what this hub sends to its leaves: the requests of all entries.
-    pub fn of_fleet(&self, own: &[Load], now: Now) -> Vec<Load> {
+    pub fn fleet_sums(&self, own: &[Load], now: Now) -> Vec<Load> {
         let mut sums = FastMap::default();
         add(&mut sums, own);
         add_fresh(&mut sums, &self.leaves, now);
@@ -122,7 +122,7 @@
     }
 
     /// Returns the requests of all other entries, for a hub.
-    pub fn others_of_hub(&self, now: Now) -> FastMap<LoadKey, u32> {
+    pub fn others_for_hub(&self, now: Now) -> FastMap<LoadKey, u32> {
         let mut sums = FastMap::default();
         add_fresh(&mut sums, &self.leaves, now);
         add_fresh(&mut sums, &self.hubs, now);
@@ -133,7 +133,7 @@
     ///
     /// Of its own requests, only those in both of its last reports are subtracted: a request that has just begun must
     /// not hide another entry's.
-    pub fn others_of_leaf(&self, now: Now) -> Option<FastMap<LoadKey, u32>> {
+    pub fn others_for_leaf(&self, now: Now) -> Option<FastMap<LoadKey, u32>> {
         let fleet = self.fleet.as_ref().filter(|fleet| fleet.is_fresh(now))?;
         let mut sums = FastMap::default();
         add(&mut sums, &fleet.loads);
--- a/crates/overlay/tests/fleet.rs
+++ b/crates/overlay/tests/fleet.rs
@@ -5,10 +5,10 @@
     Now, //
 };
 use overlay::{
-    Down,
     Member,
     Overlay,
     Roster,
+    SessionEnd,
     HUBS_PER_DOMAIN, //
 };
 use std::{
@@ -141,18 +141,20 @@
                 .is_some_and(|at| now >= *at + SILENCE_TIMEOUT);
             if dead || cut {
                 self.sessions.remove(&(a, b));
-                self.end((a, b), Down::Lost);
+                self.end((a, b), SessionEnd::Lost);
             }
         }
     }
 
-    fn end(&mut self, (a, b): (usize, usize), down: Down) {
+    fn end(&mut self, (a, b): (usize, usize), down: SessionEnd) {
         for (entry, other) in [(a, b), (b, a)] {
             self.sent.remove(&(entry, other));
             let other = self.entries[other].member.instance.clone();
             if self.entries[entry].alive {
                 let now = self.now;
-                self.entries[entry].overlay.take_down(&other, down, now);
+                self.entries[entry]
+                    .overlay
+                    .on_session_down(&other, down, now);
             }
         }
     }
@@ -166,7 +168,7 @@
             let now = self.now;
             let overlay = &mut self.entries[index].overlay;
             overlay.sweep(now);
-            for partner in overlay.partners(now) {
+            for partner in overlay.session_targets(now) {
                 let other = partner.instance.strip_prefix("entry-").map(str::parse);
                 let other: usize = other
                     .expect("the name is `entry-NNN`")
@@ -183,7 +185,7 @@
                 .all(|by| !still_wanted.contains(by) && self.is_running(*by))
             {
                 self.sessions.remove(&pair);
-                self.end(pair, Down::Unneeded);
+                self.end(pair, SessionEnd::Unneeded);
             }
         }
         for ((a, b), by) in wanted {
@@ -196,7 +198,7 @@
                 for (entry, other) in [(a, b), (b, a)] {
                     let other = self.entries[other].member.clone();
                     let round_trip = Duration::from_millis(1);
-                    self.entries[entry].overlay.take_up(
+                    self.entries[entry].overlay.on_session_up(
                         &other.instance,
                         &other.region,
                         &other.failure_domain,
@@ -218,16 +220,16 @@
             for (from, to) in [(a, b), (b, a)] {
                 let is_hub = self.entries[from].overlay.is_hub(now);
                 let member = self.entries[from].member.clone();
-                self.entries[from].overlay.set_own(addr(from), true);
+                self.entries[from].overlay.set_own_callers(addr(from), true);
                 let overlay = &self.entries[from].overlay;
                 let to_name = &self.entries[to].member.instance;
                 let to_leaf = overlay.leaves().any(|leaf| leaf == to_name);
                 let mut rosters = Vec::new();
-                if to_leaf || overlay.advertised_to(now).any(|entry| entry == to_name) {
+                if to_leaf || overlay.roster_receivers(now).any(|entry| entry == to_name) {
                     rosters.push(overlay.own_roster());
                 }
                 if !rosters.is_empty() {
-                    let forwarded = overlay.forwarded(to_name, now);
+                    let forwarded = overlay.forwarded_rosters(to_name, now);
                     rosters.extend(forwarded.map(|(_, roster)| roster.clone()));
                 }
                 self.deliver(from, to, member, is_hub, rosters);
@@ -245,14 +247,14 @@
     ) {
         let via = member.instance.clone();
         let overlay = &mut self.entries[to].overlay;
-        overlay.take_state(member, addr(from), true, is_hub);
+        overlay.update_state(member, addr(from), true, is_hub);
         let hubs: BTreeSet<InstanceId> = rosters.iter().map(|roster| roster.hub.clone()).collect();
         for roster in rosters {
-            overlay.take_roster(&via, roster, self.now);
+            overlay.update_roster(&via, roster, self.now);
         }
         let before = self.sent.insert((from, to), hubs.clone());
         for gone in before.unwrap_or_default().difference(&hubs) {
-            overlay.drop_roster(&via, gone, self.now);
+            overlay.mark_roster_lost(&via, gone, self.now);
         }
     }
 
@@ -297,7 +299,7 @@
     fn most_sessions(&self) -> (usize, usize) {
         let mut most = (0, 0);
         for entry in self.entries.iter().filter(|entry| entry.alive) {
-            let sessions = entry.overlay.up().count();
+            let sessions = entry.overlay.connected().count();
             if entry.overlay.is_hub(self.now) {
                 most.1 = most.1.max(sessions);
             } else {
@@ -318,7 +320,7 @@
 
 fn new_overlay(own: &Member, members: &[Member]) -> Overlay {
     let mut overlay = Overlay::new(own.clone());
-    overlay.take_registered(members.to_vec());
+    overlay.set_registered(members.to_vec());
     overlay
 }
 
--- a/crates/overlay/tests/follow.rs
+++ b/crates/overlay/tests/follow.rs
@@ -5,9 +5,9 @@
     Now, //
 };
 use overlay::{
-    Follow,
+    Continuity, //
     Guards,
-    Step, //
+    TableFollower,
 };
 use std::{
     collections::BTreeSet,
@@ -26,14 +26,14 @@
 
 /// A leaf, and the changes of the store that it has applied.
 struct Leaf {
-    follow: Follow,
+    follow: TableFollower,
     applied: BTreeSet<u64>,
 }
 
 impl Leaf {
     fn new(guards: Guards) -> Self {
-        let mut follow = Follow::with_guards(guards);
-        follow.take_whole(0);
+        let mut follow = TableFollower::with_guards(guards);
+        follow.on_table_read(0);
         Self {
             follow,
             applied: BTreeSet::new(),
@@ -60,16 +60,16 @@
             continue;
         }
         let now = secs(1) + Duration::from_millis(number as u64 * 10);
-        match leaf.follow.step(&hub(hub_index), after, store, now) {
-            Step::Next => leaf.applied.extend(after + 1..=store),
-            Step::Known => {}
-            Step::Gap => {
+        match leaf.follow.on_forwarded(&hub(hub_index), after, store, now) {
+            Continuity::Next => leaf.applied.extend(after + 1..=store),
+            Continuity::Known => {}
+            Continuity::Gap => {
                 assert!(
                     !leaf.follow.is_forwarded(SILENCE, now),
                     "a call of the store is due"
                 );
                 leaf.applied.extend(1..=store);
-                leaf.follow.take_read(store);
+                leaf.follow.on_changes_read(store);
             }
         }
         if !leaf.is_complete() {
@@ -102,23 +102,26 @@
 /// Guards against a leaf that waits forever for a hub that went silent.
 #[test]
 fn a_silent_hub_does_not_count_as_forwarding() {
-    let mut follow = Follow::new();
+    let mut follow = TableFollower::new();
     assert!(
         !follow.is_forwarded(SILENCE, secs(0)),
         "the table was not read yet"
     );
-    follow.take_whole(5);
+    follow.on_table_read(5);
     assert!(!follow.is_forwarded(SILENCE, secs(0)), "no hub forwards");
-    assert_eq!(follow.step(&hub(0), 5, 5, secs(1)), Step::Known);
+    assert_eq!(
+        follow.on_forwarded(&hub(0), 5, 5, secs(1)),
+        Continuity::Known
+    );
     assert!(follow.is_forwarded(SILENCE, secs(6)));
     assert!(!follow.is_forwarded(SILENCE, secs(7)));
     let guards = Guards {
         silence: false,
         ..Guards::default()
     };
-    let mut unguarded = Follow::with_guards(guards);
-    unguarded.take_whole(5);
-    unguarded.step(&hub(0), 5, 5, secs(1));
+    let mut unguarded = TableFollower::with_guards(guards);
+    unguarded.on_table_read(5);
+    unguarded.on_forwarded(&hub(0), 5, 5, secs(1));
     assert!(
         unguarded.is_forwarded(SILENCE, secs(600)),
         "without the guard, a silent hub counts as forwarding"
@@ -128,29 +131,29 @@
 /// Guards against waiting for a hub that can't read the store or is lost.
 #[test]
 fn a_stopped_hub_does_not_count_as_forwarding() {
-    let mut follow = Follow::new();
-    follow.take_whole(5);
-    follow.step(&hub(0), 5, 5, secs(1));
-    follow.step(&hub(1), 5, 5, secs(1));
-    follow.stop(&hub(0));
+    let mut follow = TableFollower::new();
+    follow.on_table_read(5);
+    follow.on_forwarded(&hub(0), 5, 5, secs(1));
+    follow.on_forwarded(&hub(1), 5, 5, secs(1));
+    follow.remove_hub(&hub(0));
     assert!(
         follow.is_forwarded(SILENCE, secs(1)),
         "the other hub still forwards"
     );
-    follow.stop(&hub(1));
+    follow.remove_hub(&hub(1));
     assert!(!follow.is_forwarded(SILENCE, secs(1)));
 }
 
 /// Guards against waiting for a hub that has read further than this leaf: it won't forward what is missing.
 #[test]
 fn a_hub_that_is_ahead_does_not_count_as_forwarding() {
-    let mut follow = Follow::new();
-    follow.take_whole(5);
-    follow.take_position(&hub(0), 8, secs(1));
+    let mut follow = TableFollower::new();
+    follow.on_table_read(5);
+    follow.on_hub_position(&hub(0), 8, secs(1));
     assert!(!follow.is_forwarded(SILENCE, secs(1)));
-    follow.take_position(&hub(1), 5, secs(1));
+    follow.on_hub_position(&hub(1), 5, secs(1));
     assert!(follow.is_forwarded(SILENCE, secs(1)));
-    assert_eq!(follow.step(&hub(0), 8, 9, secs(1)), Step::Gap);
+    assert_eq!(follow.on_forwarded(&hub(0), 8, 9, secs(1)), Continuity::Gap);
     assert!(
         !follow.is_forwarded(SILENCE, secs(1)),
         "a call of the store is due"
@@ -160,11 +163,17 @@
 /// Rows forwarded before the whole table was read once do not make a table.
 #[test]
 fn rows_before_the_first_table_are_a_gap() {
-    let mut follow = Follow::new();
-    assert_eq!(follow.step(&hub(0), 3, 4, secs(1)), Step::Gap);
+    let mut follow = TableFollower::new();
+    assert_eq!(follow.on_forwarded(&hub(0), 3, 4, secs(1)), Continuity::Gap);
     assert!(!follow.is_forwarded(SILENCE, secs(1)));
-    follow.take_whole(9);
-    assert_eq!(follow.step(&hub(0), 4, 8, secs(1)), Step::Known);
-    assert_eq!(follow.step(&hub(0), 8, 12, secs(1)), Step::Next);
+    follow.on_table_read(9);
+    assert_eq!(
+        follow.on_forwarded(&hub(0), 4, 8, secs(1)),
+        Continuity::Known
+    );
+    assert_eq!(
+        follow.on_forwarded(&hub(0), 8, 12, secs(1)),
+        Continuity::Next
+    );
     assert_eq!(follow.position(), Some(12));
 }
--- a/crates/picture/src/lib.rs
+++ b/crates/picture/src/lib.rs
@@ -18,11 +18,11 @@
 pub use update::{
     Evacuation,
     ListedUpstream,
-    Reach,
     UpstreamUpdate, //
+    ViewVersions,
 };
 pub use view::{
     Applied,
     Guards,
-    Picture, //
+    RoutingView, //
 };
--- a/crates/picture/src/update.rs
+++ b/crates/picture/src/update.rs
@@ -65,7 +65,7 @@
 
 /// Newest version of each kind of row in a view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Reach {
+pub struct ViewVersions {
     /// Version of the routes in force.
     pub routes: Version,
     /// Newest version of an evacuation row.
--- a/crates/picture/src/view.rs
+++ b/crates/picture/src/view.rs
@@ -7,8 +7,8 @@
 use crate::update::{
     Evacuation,
     ListedUpstream,
-    Reach,
     UpstreamUpdate, //
+    ViewVersions,
 };
 use base::{
     DomainId,
@@ -60,9 +60,9 @@
     pub versions: bool,
     /// Give a removal precedence over a listing of the same version, and report an unconfirmed removal
     /// to other entries as neither.
-    pub doubt: bool,
+    pub unconfirmed_removals: bool,
     /// Treat an unknown row that is older than what was read from the store as gone.
-    pub read_to: bool,
+    pub read_position: bool,
     /// Treat a later start under the same name as another incarnation, which rows of an earlier one
     /// don't affect.
     pub incarnations: bool,
@@ -72,8 +72,8 @@
     fn default() -> Self {
         Self {
             versions: true,
-            doubt: true,
-            read_to: true,
+            unconfirmed_removals: true,
+            read_position: true,
             incarnations: true,
         }
     }
@@ -81,7 +81,7 @@
 
 /// An entry's view of routes, evacuations and upstreams.
 #[derive(Clone, Debug, Default)]
-pub struct Picture {
+pub struct RoutingView {
     guards: Guards,
     routes: Option<Arc<Routes>>,
     evacuations: BTreeMap<DomainId, Evacuation>,
@@ -103,7 +103,7 @@
     Unchanged,
 }
 
-impl Picture {
+impl RoutingView {
     /// Creates an empty view with the given guards.
     pub fn with_guards(guards: Guards) -> Self {
         Self {
@@ -183,7 +183,8 @@
         // must not restore the upstream.
         let newer = known.version < version;
         let same = known.version == version && known.closes_at.is_some();
-        let accepted = newer || !self.guards.versions || (same && !self.guards.doubt);
+        let accepted =
+            newer || !self.guards.versions || (same && !self.guards.unconfirmed_removals);
         if !accepted {
             return Applied::Unchanged;
         }
@@ -302,7 +303,7 @@
         for (version, upstream) in listed {
             self.apply_upstream(upstream, *version, now);
         }
-        self.note_read(position);
+        self.advance_read_position(position);
         let with_row: FastSet<&UpstreamId> = listed.iter().map(|(_, row)| &row.id).collect();
         let missing: Vec<UpstreamId> = self
             .upstreams
@@ -316,7 +317,7 @@
     }
 
     /// Records that all upstream rows up to `position` have been read from the store.
-    pub fn note_read(&mut self, position: u64) {
+    pub fn advance_read_position(&mut self, position: u64) {
         self.upstreams_read_position = self.upstreams_read_position.max(position);
     }
 
@@ -362,7 +363,7 @@
 
     /// Newest version of each kind of row that was applied. Unconfirmed removals don't count, so that
     /// entries with confirmed knowledge are asked.
-    pub fn reach(&self, now: Now) -> Reach {
+    pub fn versions(&self, now: Now) -> ViewVersions {
         let evacuations = self.evacuations.values().map(|known| known.version);
         let listed = self
             .upstreams
@@ -370,7 +371,7 @@
             .filter(|known| known.is_confirmed(now));
         let listed = listed.map(|known| known.version);
         let removed = self.removed.values().map(|(version, _)| *version);
-        Reach {
+        ViewVersions {
             routes: self.routes_version(),
             operator: evacuations.max().unwrap_or(0),
             upstreams: listed.chain(removed).max().unwrap_or(0),
@@ -386,14 +387,14 @@
     }
 
     /// Version up to which all upstream rows have been read from the store.
-    pub fn upstreams_read_to(&self) -> u64 {
+    pub fn upstreams_read_position(&self) -> u64 {
         self.upstreams_read_position
     }
 
     /// Updates to send to other entries: upstreams whose rows changed after a version.
     pub fn upstream_updates(&self, after: u64, now: Now) -> Vec<UpstreamUpdate> {
         // An unconfirmed removal is neither a listing nor a removal, so it is left out until confirmed.
-        let all = !self.guards.doubt;
+        let all = !self.guards.unconfirmed_removals;
         let changed = self.upstreams.values();
         let changed =
             changed.filter(|known| known.version > after && (all || known.is_confirmed(now)));
@@ -412,7 +413,8 @@
         let mut applied = Applied::Unchanged;
         for update in updates {
             let known = self.upstreams.contains_key(&update.listed.id);
-            if self.guards.read_to && !known && update.version <= self.upstreams_read_position {
+            if self.guards.read_position && !known && update.version <= self.upstreams_read_position
+            {
                 // The row was already gone at that position; the sender has not seen its removal yet.
                 continue;
             }
--- a/crates/picture/tests/view.rs
+++ b/crates/picture/tests/view.rs
@@ -5,7 +5,7 @@
     Applied,
     Guards,
     ListedUpstream,
-    Picture, //
+    RoutingView, //
 };
 use route::{
     CallerLimits,
@@ -51,7 +51,7 @@
 }
 
 /// Whether an upstream is open, closed or unknown.
-fn state(view: &Picture, id: &str, now: Now) -> &'static str {
+fn state(view: &RoutingView, id: &str, now: Now) -> &'static str {
     let mut upstreams = view.upstreams(now);
     match upstreams.find(|(listed, ..)| listed.id == id) {
         Some((_, false, _)) => "open",
@@ -62,7 +62,7 @@
 
 #[test]
 fn only_higher_routes_are_applied() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     assert_eq!(view.apply_routes(&Arc::new(routes(5))), Applied::Changed);
     assert_eq!(view.apply_routes(&Arc::new(routes(4))), Applied::Unchanged);
     assert_eq!(view.apply_routes(&Arc::new(routes(5))), Applied::Unchanged);
@@ -74,7 +74,7 @@
 /// update arrives from another source, or a later row of the same incarnation shows it as live.
 #[test]
 fn leaving_is_permanent() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 3, s(1));
     assert_eq!(state(&view, "u", s(1)), "open");
     view.apply_upstream(&leaving("u"), 7, s(2));
@@ -86,7 +86,7 @@
 /// A removed row closes its upstream at once; older updates don't reopen it, newer ones do.
 #[test]
 fn removed_row_closes_upstream() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 3, s(1));
     view.apply_removal(&"u".into(), 5, false, s(2));
     assert_eq!(state(&view, "u", s(2)), "closed");
@@ -104,7 +104,7 @@
 /// missing is a removal.
 #[test]
 fn rows_missing_after_outage_have_a_grace_period() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 3, s(1));
     view.apply_upstream(&row("v"), 4, s(1));
     view.apply_upstream(&leaving("w"), 4, s(1));
@@ -123,7 +123,7 @@
 /// Rows that are missing from a whole table are gone, except those newer than the table.
 #[test]
 fn whole_table_applies_up_to_its_position() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("old"), 3, s(1));
     view.apply_upstream(&row("new"), 12, s(1));
     view.apply_upstream_table(&[(4, row("listed"))], 10, false, s(2));
@@ -136,7 +136,7 @@
 /// say otherwise.
 #[test]
 fn evacuation_closes_domain_and_leaves_upstreams_cold() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 3, s(1));
     view.apply_evacuation(&"domain-a".into(), true, 5, s(2));
     assert_eq!(state(&view, "u", s(2)), "closed");
@@ -146,7 +146,7 @@
     );
     assert_eq!(state(&view, "u", s(3)), "closed");
     view.apply_evacuation(&"domain-a".into(), false, 6, s(4));
-    let cold_until = |view: &Picture| view.upstreams(s(4)).next().expect("one").2;
+    let cold_until = |view: &RoutingView| view.upstreams(s(4)).next().expect("one").2;
     assert!(cold_until(&view) > s(4));
     view.apply_upstream(&row("u"), 7, s(4));
     assert_eq!(cold_until(&view), Now::ZERO);
@@ -157,12 +157,12 @@
 /// upstream is after the end.
 #[test]
 fn row_older_than_evacuation_end_keeps_upstream_cold() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 3, s(1));
     view.apply_evacuation(&"domain-a".into(), true, 4, s(2));
     view.apply_evacuation(&"domain-a".into(), false, 6, s(4));
     view.apply_upstream(&row("u"), 5, s(4));
-    let cold_until = |view: &Picture| view.upstreams(s(4)).next().expect("one").2;
+    let cold_until = |view: &RoutingView| view.upstreams(s(4)).next().expect("one").2;
     assert!(cold_until(&view) > s(4));
     view.apply_upstream(&row("u"), 7, s(4));
     assert_eq!(cold_until(&view), Now::ZERO);
@@ -172,7 +172,7 @@
 /// it the removal of the row, so a new read of the whole table must also end what has no row.
 #[test]
 fn evacuation_without_row_has_ended() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     let with_row = ["domain-a".into()];
     view.apply_evacuation(&with_row[0], true, 5, s(1));
     view.end_evacuations_without_row(&with_row, 5, s(1));
@@ -186,8 +186,8 @@
 /// removal, which they took for a new row of the owner.
 #[test]
 fn unconfirmed_removal_is_not_reported() {
-    let mut certain = Picture::default();
-    let mut unconfirmed = Picture::default();
+    let mut certain = RoutingView::default();
+    let mut unconfirmed = RoutingView::default();
     for view in [&mut certain, &mut unconfirmed] {
         view.apply_upstream(&row("u"), 3, s(1));
     }
@@ -203,7 +203,7 @@
     );
     assert_eq!(state(&certain, "u", s(4)), "closed");
     // After the grace period the removal is reported.
-    let mut third = Picture::default();
+    let mut third = RoutingView::default();
     third.apply_upstream(&row("u"), 3, s(1));
     third.apply_upstream_updates(&unconfirmed.upstream_updates(0, s(5)), s(5));
     assert_eq!(state(&third, "u", s(5)), "closed");
@@ -213,8 +213,8 @@
 /// to be gone: an update of an entry without an outage must confirm the removal.
 #[test]
 fn certain_removal_confirms_unconfirmed_one() {
-    let mut certain = Picture::default();
-    let mut unconfirmed = Picture::default();
+    let mut certain = RoutingView::default();
+    let mut unconfirmed = RoutingView::default();
     for view in [&mut certain, &mut unconfirmed] {
         view.apply_upstream(&row("u"), 3, s(1));
     }
@@ -234,10 +234,10 @@
 /// compare the old update with. The search in `model` found this.
 #[test]
 fn rows_missing_from_whole_table_are_gone_whatever_the_source() {
-    let mut behind = Picture::default();
+    let mut behind = RoutingView::default();
     behind.apply_upstream(&row("u"), 3, s(1));
     behind.apply_evacuation(&"domain-a".into(), true, 4, s(1));
-    let mut started = Picture::default();
+    let mut started = RoutingView::default();
     started.apply_upstream_table(&[(6, row("v"))], 9, false, s(2));
     started.end_evacuations_without_row(&[], 9, s(2));
     let updates = behind.upstream_updates(0, s(2));
@@ -269,11 +269,11 @@
 /// between. The second removal must replace the version of the first. The search in `model` found this.
 #[test]
 fn listing_between_two_removals_is_outdated() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&row("u"), 1, s(1));
     view.apply_removal(&"u".into(), 2, false, s(2));
     view.apply_upstream_table(&[], 4, true, s(3));
-    let mut behind = Picture::default();
+    let mut behind = RoutingView::default();
     behind.apply_upstream(&row("u"), 3, s(3));
     view.apply_upstream_updates(&behind.upstream_updates(0, s(3)), s(3));
     assert_eq!(state(&view, "u", s(3)), "closed");
@@ -296,7 +296,7 @@
             let updates: &[(u64, Option<ListedUpstream>)] = &$updates;
             for first in 0..updates.len() {
                 for backwards in [false, true] {
-                    let mut view = Picture::default();
+                    let mut view = RoutingView::default();
                     let count = updates.len();
                     for step in 0..count {
                         let index = if backwards { first + count - step } else { first + step };
@@ -340,7 +340,7 @@
 /// A late write of an earlier incarnation doesn't affect the later one, and the next removal still closes it.
 #[test]
 fn late_write_of_earlier_incarnation_is_ignored() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     view.apply_upstream(&incarnation(20, false), 2, s(1));
     assert_eq!(
         view.apply_upstream(&incarnation(10, true), 3, s(1)),
@@ -354,7 +354,7 @@
 /// Without the check, the later incarnation stays closed.
 #[test]
 fn later_incarnation_stays_closed_without_its_guard() {
-    let mut view = Picture::with_guards(Guards {
+    let mut view = RoutingView::with_guards(Guards {
         incarnations: false,
         ..Guards::default()
     });
@@ -367,7 +367,7 @@
 /// sum of times overflows.
 #[test]
 fn huge_cold_time_in_row_does_not_overflow() {
-    let mut view = Picture::default();
+    let mut view = RoutingView::default();
     let upstream = ListedUpstream {
         cold_left: Duration::MAX,
         ..row("u")
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     message::{
-        Answer,
         BodyPart,
+        CallerResponse,
         Request,
         RequestBody, //
     },
@@ -107,13 +107,13 @@
 
     /// Whether a request may run concurrently with earlier ones on its connection, which may end up
     /// without a response.
-    fn may_overlap(&self, head: &Head) -> bool;
+    fn may_run_concurrently(&self, head: &Head) -> bool;
 
     /// Handles one request. The future is dropped if the caller has closed the connection.
-    fn answer(self: Rc<Self>, request: Request) -> impl Future<Output = Answer>;
+    fn handle(self: Rc<Self>, request: Request) -> impl Future<Output = CallerResponse>;
 
     /// Returns the response to a request that was not read completely.
-    fn refuse(&self, refusal: Refusal) -> Answer;
+    fn refuse(&self, refusal: Refusal) -> CallerResponse;
 }
 
 /// State shared by both halves of a connection.
@@ -199,7 +199,7 @@
     async fn read_request(&mut self) -> Result<bool, ReadEnd> {
         let head = self.read_head().await?;
         let received = Instant::now();
-        let concurrent = self.handler.may_overlap(&head);
+        let concurrent = self.handler.may_run_concurrently(&head);
         if self.has_body() && head.head().expect() && self.state.in_flight.get() == 0 {
             self.send_continue();
         }
@@ -215,7 +215,7 @@
             body,
             received,
         };
-        let task = ResponseTask::start(self.handler.clone().answer(request));
+        let task = ResponseTask::start(self.handler.clone().handle(request));
         let last = close || self.queue.is_closed();
         let body_read = Rc::new(Cell::new(remainder.is_none()));
         self.enqueue(QueuedResponse {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -31,25 +31,25 @@
     Refusal, //
 };
 pub use message::{
-    Answer,
-    AnswerBody,
     BodyPart,
+    CallerResponse,
     Request,
     RequestBody, //
+    ResponseBody,
 };
 pub use pool::{
-    Exchange,
     Failure,
     Pool,
     Target, //
+    UpstreamRequest,
 };
 pub use response::{
     BodyReader,
-    Response,
     TruncatedBody, //
+    UpstreamResponse,
 };
 pub use wire::{
-    forwardable,
+    end_to_end_headers,
     request_head,
     Framing, //
 };
--- a/crates/relay/src/message.rs
+++ b/crates/relay/src/message.rs
@@ -52,7 +52,7 @@
 
 /// Body of a response to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// The complete body.
     Whole(Bytes),
     /// No body, but possibly the length that it would have; for responses to HEAD.
@@ -71,24 +71,24 @@
 
 /// Response to a caller.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallerResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers, without those of the connection and of message framing.
     pub headers: HeaderMap,
     /// Body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// Whether to close the connection after the response.
     pub close: bool,
 }
 
-impl Answer {
+impl CallerResponse {
     /// Creates a response without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self {
             status,
             headers: HeaderMap::new(),
-            body: AnswerBody::Whole(Bytes::new()),
+            body: ResponseBody::Whole(Bytes::new()),
             close: false,
         }
     }
@@ -96,7 +96,7 @@
     /// Creates a response of the entry itself, with a text body.
     pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Self {
         Self {
-            body: AnswerBody::Whole(text.into()),
+            body: ResponseBody::Whole(text.into()),
             ..Self::empty(status)
         }
     }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -7,7 +7,7 @@
     },
     response::{
         HeadReader,
-        Response, //
+        UpstreamResponse, //
     },
     wire::encode_chunk, //
 };
@@ -62,7 +62,7 @@
 
 /// Encoded request to an upstream.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct UpstreamRequest {
     /// Head, encoded by [`crate::request_head`].
     pub head: Bytes,
     /// Body.
@@ -89,7 +89,7 @@
     /// The response is not valid HTTP, or it belongs to another request: the request may have run.
     Malformed(String),
     /// The body received from the caller was truncated; the upstream may have started the request.
-    BodyCut,
+    BodyTruncated,
     /// The deadline passed; the request may have run.
     Timeout,
 }
@@ -111,7 +111,7 @@
             }
             Self::Broken(why) => write!(f, "connection broke after the request was sent: {why}"),
             Self::Malformed(why) => write!(f, "malformed answer: {why}"),
-            Self::BodyCut => f.write_str("the body received from the caller was truncated"),
+            Self::BodyTruncated => f.write_str("the body received from the caller was truncated"),
             Self::Timeout => f.write_str("no answer before the deadline"),
         }
     }
@@ -143,9 +143,9 @@
     pub async fn exchange(
         &self,
         target: &Target,
-        request: Exchange,
+        request: UpstreamRequest,
         may_send: impl FnOnce() -> bool,
-    ) -> Result<Response, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let deadline = request.deadline.into();
         let stream = match self.check_out(target) {
             Some(stream) => stream,
@@ -239,9 +239,9 @@
         &self,
         mut stream: TcpStream,
         target: &Target,
-        request: Exchange,
+        request: UpstreamRequest,
         writer: &mut RequestWriter,
-    ) -> Result<Response, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         let mut reader = HeadReader::new(request.echo, request.head_only);
         let (mut read_half, mut write_half) = stream.split();
         let head = {
@@ -253,7 +253,7 @@
                     biased;
                     result = &mut sending, if sent.is_none() => match result {
                         Ok(()) => sent = Some(true),
-                        Err(WriteError::BodyCut) => return Err(Failure::BodyCut),
+                        Err(WriteError::BodyCut) => return Err(Failure::BodyTruncated),
                         // The response may have arrived before the connection broke.
                         Err(WriteError::Broken) => sent = Some(false),
                         Err(WriteError::NothingWritten(error)) => {
--- a/crates/relay/src/response.rs
+++ b/crates/relay/src/response.rs
@@ -60,7 +60,7 @@
 
 /// Head of an upstream's response, and a reader of its body.
 #[derive(Debug)]
-pub struct Response {
+pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers, unfiltered.
@@ -209,7 +209,7 @@
         pool: Pool,
         upstream: Target,
         reusable: bool,
-    ) -> Response {
+    ) -> UpstreamResponse {
         let stays_open = match head.connection_type() {
             ConnectionType::KeepAlive => head.version >= actix_http::Version::HTTP_11,
             _ => false,
@@ -222,7 +222,7 @@
             .and_then(parse_keep_alive_timeout);
         let length = head.headers.get(CONTENT_LENGTH);
         let length_bytes = length.and_then(|value| value.to_str().ok()?.trim().parse().ok());
-        Response {
+        UpstreamResponse {
             status: head.status,
             length_bytes,
             headers: head.headers.clone(),
--- a/crates/relay/src/response_writer.rs
+++ b/crates/relay/src/response_writer.rs
@@ -7,9 +7,9 @@
         Refusal, //
     },
     message::{
-        Answer,
-        AnswerBody,
         BodyPart, //
+        CallerResponse,
+        ResponseBody,
     },
     wire::{
         encode_chunk,
@@ -42,12 +42,12 @@
 
 /// Response to a request, available or still being produced; dropping it cancels the request.
 pub(crate) enum ResponseTask {
-    Ready(Box<Answer>),
+    Ready(Box<CallerResponse>),
     Running(AbortOnDrop),
 }
 
 /// Task that produces the response to one request, aborted on drop.
-pub(crate) struct AbortOnDrop(JoinHandle<Answer>);
+pub(crate) struct AbortOnDrop(JoinHandle<CallerResponse>);
 
 impl Drop for AbortOnDrop {
     fn drop(&mut self) {
@@ -56,7 +56,7 @@
 }
 
 impl ResponseTask {
-    pub(crate) fn start(response: impl Future<Output = Answer> + 'static) -> Self {
+    pub(crate) fn start(response: impl Future<Output = CallerResponse> + 'static) -> Self {
         Self::Running(AbortOnDrop(actix_rt::spawn(response)))
     }
 }
@@ -121,14 +121,14 @@
 
 async fn write_response(
     write_half: &mut OwnedWriteHalf,
-    response: Answer,
+    response: CallerResponse,
     head_only: bool,
     close: bool,
 ) -> io::Result<()> {
     let mut out = BytesMut::with_capacity(512);
     let (status, headers) = (response.status, response.headers);
     match response.body {
-        AnswerBody::Whole(body) => {
+        ResponseBody::Whole(body) => {
             let framing = response_framing(status, Some(body.len() as u64));
             put_response_head(&mut out, status, &headers, framing, close);
             if !head_only && framing != Framing::None {
@@ -136,12 +136,12 @@
             }
             write(write_half, &out).await
         }
-        AnswerBody::Omitted { length_bytes } => {
+        ResponseBody::Omitted { length_bytes } => {
             let framing = length_bytes.map_or(Framing::None, Framing::Length);
             put_response_head(&mut out, status, &headers, framing, close);
             write(write_half, &out).await
         }
-        AnswerBody::Stream {
+        ResponseBody::Stream {
             length_bytes,
             parts,
         } => {
--- a/crates/relay/src/wire.rs
+++ b/crates/relay/src/wire.rs
@@ -52,7 +52,7 @@
 }
 
 /// Headers to forward: all but the hop-by-hop ones, including those named by `Connection`.
-pub fn forwardable(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let connection_options: Vec<String> = headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
--- a/crates/rig/examples/measure/main.rs
+++ b/crates/rig/examples/measure/main.rs
@@ -111,7 +111,7 @@
             policy,
             daemon_folder: None,
         });
-        if policy == Policy::Ours && cli.earlier.is_some() {
+        if policy == Policy::LeastLoaded && cli.earlier.is_some() {
             contenders.push(Contender {
                 policy,
                 daemon_folder: cli.earlier.clone(),
--- a/crates/rig/examples/measure/table.rs
+++ b/crates/rig/examples/measure/table.rs
@@ -77,7 +77,7 @@
                 contender.policy,
                 if earlier { ", earlier" } else { "" }
             ),
-            is_baseline: contender.policy != Policy::Ours,
+            is_baseline: contender.policy != Policy::LeastLoaded,
             quick: match &plan.focus {
                 Some(region) => Latency::of(&report.class_regions, &format!("{quick}/{region}")),
                 None => Latency::of(&report.classes, quick),
--- a/crates/share/src/lib.rs
+++ b/crates/share/src/lib.rs
@@ -41,9 +41,9 @@
 pub use member::Member;
 pub use message::{
     Action,
-    Give,
     Limits,
-    PoolBeat, //
+    PoolHeartbeat, //
+    Transfer,
 };
 pub use plan::{
     plan,
--- a/crates/share/src/member/leases.rs
+++ b/crates/share/src/member/leases.rs
@@ -53,7 +53,7 @@
     /// its own.
     pub(super) fn observe_next_incarnation(&mut self, member: &MemberId, read_at: Now, now: Now) {
         for earlier in self.earlier_incarnations(member) {
-            if self.guards.replaced_from_sight {
+            if self.guards.superseded_from_first_seen {
                 self.record_lease(&earlier, SUPERSEDED, now);
             } else {
                 let last = self
--- a/crates/share/src/member/mod.rs
+++ b/crates/share/src/member/mod.rs
@@ -26,8 +26,8 @@
     },
     message::{
         Action,
-        Give,
-        PoolBeat, //
+        PoolHeartbeat, //
+        Transfer,
     },
     promise::PromisesMade,
     row::{
@@ -83,9 +83,9 @@
     pub(crate) peers: BTreeMap<MemberId, Peer>,
     pub(crate) promises_made: PromisesMade,
     /// Transfer that waits until the work in flight fits the remaining tokens.
-    pub(crate) pending_transfer: Option<Give>,
+    pub(crate) pending_transfer: Option<Transfer>,
     /// Transfers that are ready to be sent.
-    pub(crate) outgoing_transfers: Vec<Give>,
+    pub(crate) outgoing_transfers: Vec<Transfer>,
     pub(crate) transfer_seq: u64,
     /// Transfers applied in this epoch, by sender and sequence number.
     pub(crate) applied_transfers: BTreeSet<(MemberId, u64)>,
@@ -184,7 +184,7 @@
     }
 
     /// Handles another member's heartbeat.
-    pub fn on_beat(&mut self, heartbeat: &PoolBeat, now: Now) {
+    pub fn on_heartbeat(&mut self, heartbeat: &PoolHeartbeat, now: Now) {
         self.advance(now);
         if heartbeat.pool != self.pool || heartbeat.from == self.own_id {
             return;
@@ -208,7 +208,7 @@
     }
 
     /// Returns whether a heartbeat is answered with a promise to its sender.
-    fn may_promise(&self, heartbeat: &PoolBeat) -> bool {
+    fn may_promise(&self, heartbeat: &PoolHeartbeat) -> bool {
         let same_epoch = heartbeat.epoch == self.epoch() || !self.guards.promise_same_epoch;
         let enabled = !self.terms.promise_term.is_zero();
         enabled && same_epoch && !self.dead && self.lists(&heartbeat.from)
@@ -243,9 +243,9 @@
     }
 
     /// Returns the state to send to every other member.
-    pub fn beat(&mut self, now: Now) -> PoolBeat {
+    pub fn heartbeat(&mut self, now: Now) -> PoolHeartbeat {
         self.advance(now);
-        PoolBeat {
+        PoolHeartbeat {
             pool: self.pool.clone(),
             from: self.own_id.clone(),
             epoch: self.epoch(),
@@ -271,7 +271,7 @@
         let mut actions: Vec<Action> = self
             .outgoing_transfers
             .drain(..)
-            .map(Action::Give)
+            .map(Action::Transfer)
             .collect();
         actions.extend(self.rows_for_lagging_peers(now));
         actions.extend(self.proposal(now));
--- a/crates/share/src/member/peer.rs
+++ b/crates/share/src/member/peer.rs
@@ -1,7 +1,7 @@
 //! What a member records of another member's heartbeats.
 
 use crate::{
-    message::PoolBeat,
+    message::PoolHeartbeat,
     promise::promise_end,
     row::MemberId,
     terms::{
@@ -45,7 +45,7 @@
     pub(super) fn apply_heartbeat(
         &mut self,
         own_id: &MemberId,
-        heartbeat: &PoolBeat,
+        heartbeat: &PoolHeartbeat,
         now: Now,
         terms: &Terms,
         guards: &Guards,
@@ -80,7 +80,7 @@
     }
 
     /// Records which leases the sender has seen.
-    fn apply_seen_leases(&mut self, own_id: &MemberId, heartbeat: &PoolBeat, guards: &Guards) {
+    fn apply_seen_leases(&mut self, own_id: &MemberId, heartbeat: &PoolHeartbeat, guards: &Guards) {
         for (member, seq) in &heartbeat.seen {
             if member == own_id {
                 self.own_lease_seen = self.own_lease_seen.max(*seq);
--- a/crates/share/src/message.rs
+++ b/crates/share/src/message.rs
@@ -30,7 +30,7 @@
 /// Heartbeats may be lost, duplicated or delayed. Each field is a fact about the moment at which
 /// the heartbeat was made, so a late one is still correct.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct PoolBeat {
+pub struct PoolHeartbeat {
     /// The pool.
     pub pool: PoolId,
     /// The sender.
@@ -64,7 +64,7 @@
 
 /// Transfer of tokens from one member to another within an epoch.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Give {
+pub struct Transfer {
     /// The pool.
     pub pool: PoolId,
     /// The only epoch at which it is valid.
@@ -81,7 +81,7 @@
     pub seq: u64,
 }
 
-impl fmt::Display for Give {
+impl fmt::Display for Transfer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -102,7 +102,7 @@
         row: Row,
     },
     /// Send the transfer to its receiver.
-    Give(Give),
+    Transfer(Transfer),
     /// Send the row to a member at an earlier epoch, which may be cut off from the platform.
     SendRow {
         /// The receiver.
--- a/crates/share/src/promise.rs
+++ b/crates/share/src/promise.rs
@@ -73,6 +73,10 @@
 ///
 /// The answer may be late, so its time of arrival does not tell when the promise was made.
 pub(crate) fn promise_end(asked: Now, now: Now, terms: &Terms, guards: &Guards) -> Now {
-    let from = if guards.promise_from_ask { asked } else { now };
+    let from = if guards.promise_from_request {
+        asked
+    } else {
+        now
+    };
     from + terms.promise_term
 }
--- a/crates/share/src/terms.rs
+++ b/crates/share/src/terms.rs
@@ -83,7 +83,7 @@
     pub confirm_read: bool,
     /// The last lease of an earlier incarnation counts from when the newer incarnation was first
     /// seen.
-    pub replaced_from_sight: bool,
+    pub superseded_from_first_seen: bool,
     /// The lapse of a lease older than the one in the row is not conclusive.
     pub listed_lease: bool,
     /// A lapsed member keeps every floor that it may still be using.
@@ -93,17 +93,17 @@
     /// A witness has no promise to the lapsed member that still runs.
     pub promise_kept: bool,
     /// A promise counts from before it was asked for.
-    pub promise_from_ask: bool,
+    pub promise_from_request: bool,
     /// A promise is made only within one epoch.
     pub promise_same_epoch: bool,
     /// A member whose lease lapsed enters a new epoch with its floor at most.
     pub clip_on_adopt: bool,
     /// A transfer is applied once.
-    pub give_once: bool,
+    pub transfer_once: bool,
     /// A transfer is applied only within its epoch.
-    pub give_same_epoch: bool,
+    pub transfer_same_epoch: bool,
     /// The sender of a transfer stops using the tokens before it sends them.
-    pub give_stops_first: bool,
+    pub transfer_stops_first: bool,
     /// Observers allow for work that outlives its lease.
     pub grace: bool,
     /// Observers allow for clocks that run slow.
@@ -120,17 +120,17 @@
             lease_from_send: true,
             broken_chain: true,
             confirm_read: true,
-            replaced_from_sight: true,
+            superseded_from_first_seen: true,
             listed_lease: true,
             floor_bound: true,
             witness_since: true,
             promise_kept: true,
-            promise_from_ask: true,
+            promise_from_request: true,
             promise_same_epoch: true,
             clip_on_adopt: true,
-            give_once: true,
-            give_same_epoch: true,
-            give_stops_first: true,
+            transfer_once: true,
+            transfer_same_epoch: true,
+            transfer_stops_first: true,
             grace: true,
             drift: true,
         }
--- a/crates/share/src/transfer.rs
+++ b/crates/share/src/transfer.rs
@@ -9,7 +9,7 @@
         Member,
         Peer, //
     },
-    message::Give,
+    message::Transfer,
     row::{
         amount,
         total,
@@ -22,9 +22,9 @@
 
 impl Member {
     /// Handles a transfer. One that is not valid here is dropped together with its tokens.
-    pub fn on_give(&mut self, transfer: &Give, now: Now) {
+    pub fn on_transfer(&mut self, transfer: &Transfer, now: Now) {
         self.advance(now);
-        let same_epoch = transfer.epoch == self.epoch() || !self.guards.give_same_epoch;
+        let same_epoch = transfer.epoch == self.epoch() || !self.guards.transfer_same_epoch;
         let addressed_here = transfer.pool == self.pool && transfer.to == self.own_id;
         if self.dead || !addressed_here || !same_epoch || !self.lists(&transfer.from) {
             return;
@@ -32,7 +32,7 @@
         let first = self
             .applied_transfers
             .insert((transfer.from.clone(), transfer.seq));
-        if first || !self.guards.give_once {
+        if first || !self.guards.transfer_once {
             self.adjust_held(&transfer.resource, transfer.n, true);
         }
     }
@@ -53,7 +53,7 @@
             return;
         }
         self.transfer_seq += 1;
-        let transfer = Give {
+        let transfer = Transfer {
             pool: self.pool.clone(),
             epoch: self.epoch(),
             resource,
@@ -65,12 +65,12 @@
         self.start_transfer(transfer);
     }
 
-    fn start_transfer(&mut self, transfer: Give) {
+    fn start_transfer(&mut self, transfer: Transfer) {
         if let Some(peer) = self.peers.get_mut(&transfer.to) {
             peer.held += transfer.n;
         }
         self.adjust_held(&transfer.resource, transfer.n, false);
-        if self.guards.give_stops_first {
+        if self.guards.transfer_stops_first {
             self.in_flight_fresh = false;
             self.pending_transfer = Some(transfer);
         } else {
@@ -90,7 +90,7 @@
 
     /// Takes back the tokens of transfers that were never sent.
     pub(crate) fn cancel_unsent_transfers(&mut self) {
-        let pending: Vec<Give> = self.pending_transfer.take().into_iter().collect();
+        let pending: Vec<Transfer> = self.pending_transfer.take().into_iter().collect();
         for transfer in pending
             .into_iter()
             .chain(std::mem::take(&mut self.outgoing_transfers))
@@ -109,7 +109,7 @@
     /// The sender needs no protection, since the receiver is at the same epoch and has to be
     /// protected itself.
     fn can_transfer(&self) -> bool {
-        let fresh = self.in_flight_fresh || !self.guards.give_stops_first;
+        let fresh = self.in_flight_fresh || !self.guards.transfer_stops_first;
         self.settled && fresh && self.pending_transfer.is_none() && !self.dead
     }
 
@@ -126,7 +126,7 @@
     /// Returns the resource with the most idle tokens, and how many.
     fn most_idle(&self) -> Option<(ResourceId, u32)> {
         let idle = |(resource, n): (&ResourceId, &u32)| {
-            let used = if self.guards.give_stops_first {
+            let used = if self.guards.transfer_stops_first {
                 amount(&self.in_flight, resource)
             } else {
                 0
--- a/crates/share/tests/outage.rs
+++ b/crates/share/tests/outage.rs
@@ -110,10 +110,10 @@
         for action in member.tick(now) {
             self.execute(action, platform, now);
         }
-        let beat = self.members[i].beat(now);
+        let beat = self.members[i].heartbeat(now);
         for j in (0..ENTRIES).filter(|j| *j != i) {
             if self.is_running(j, second) {
-                self.members[j].on_beat(&beat, now);
+                self.members[j].on_heartbeat(&beat, now);
             }
         }
     }
@@ -141,12 +141,13 @@
                     self.row = Some(Arc::new(row));
                 }
             }
-            Action::Give(give) => {
+            Action::Transfer(give) => {
                 let to = self
                     .members
                     .iter_mut()
                     .find(|member| *member.id() == give.to);
-                to.expect("the receiver is a member").on_give(&give, now);
+                to.expect("the receiver is a member")
+                    .on_transfer(&give, now);
             }
             Action::SendRow { to, row } => {
                 let to = self.members.iter_mut().find(|member| *member.id() == to);
--- a/crates/steer/examples/choose_cost.rs
+++ b/crates/steer/examples/choose_cost.rs
@@ -12,31 +12,31 @@
 use steer::{
     BaselineLimits,
     Choose,
+    LoadReport,
     Policy,
-    Reported,
-    View, //
+    UpstreamView, //
 };
 
 const CHOICES: u32 = 2_000_000;
 
-fn view(index: u32) -> View {
-    View {
+fn view(index: u32) -> UpstreamView {
+    UpstreamView {
         usable: 3,
         in_flight: index % 3,
         latency: Duration::from_micros(9_000 + u64::from(index) * 37),
-        reported: Some(Reported {
+        reported: Some(LoadReport {
             in_flight: 4,
             queued: 0,
             slots: 9,
             age: Duration::from_millis(100),
         }),
-        ..View::default()
+        ..UpstreamView::default()
     }
 }
 
 fn main() {
     for upstreams in [5, 20] {
-        let views: Vec<View> = (0..upstreams).map(view).collect();
+        let views: Vec<UpstreamView> = (0..upstreams).map(view).collect();
         for policy in Policy::ALL {
             let mut chooser = policy.chooser(BaselineLimits::None);
             let started = Instant::now();
--- a/crates/steer/src/admission.rs
+++ b/crates/steer/src/admission.rs
@@ -27,9 +27,9 @@
     /// Queued requests.
     pub queued: u32,
     /// Smoothed service time of the class.
-    pub service: Duration,
+    pub service_time: Duration,
     /// Smoothed time between two completions of the service while it is busy; zero if unknown.
-    pub completion_gap: Duration,
+    pub completion_interval: Duration,
 }
 
 /// Admission decision for one request.
@@ -57,13 +57,13 @@
 /// miss its latency target or its deadline while queued is refused on arrival, not once its
 /// deadline has passed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Admit {
+pub struct AdmissionControl {
     targets: Vec<ClassTarget>,
     reserve_pct: Vec<u32>,
     queue_max: u32,
 }
 
-impl Admit {
+impl AdmissionControl {
     /// Creates admission control for the classes of `targets`, identified by their index.
     ///
     /// The queue holds at most `queue_max` requests.
@@ -85,7 +85,7 @@
     }
 
     /// Whether class `left` ranks above class `right`.
-    pub fn goes_before(&self, left: usize, right: usize) -> bool {
+    pub fn outranks(&self, left: usize, right: usize) -> bool {
         outranks(&self.targets[left], &self.targets[right])
     }
 
@@ -142,7 +142,9 @@
         deadline_left: Duration,
     ) -> Duration {
         let target_left = self.targets[class].latency_target.saturating_sub(waited);
-        target_left.min(deadline_left).saturating_sub(load.service)
+        target_left
+            .min(deadline_left)
+            .saturating_sub(load.service_time)
     }
 }
 
@@ -160,10 +162,10 @@
         .saturating_add(reserve + 1)
         .saturating_sub(free)
         .max(1);
-    let interval = if !load.completion_gap.is_zero() {
-        load.completion_gap
-    } else if !load.service.is_zero() {
-        load.service / load.slots.max(1)
+    let interval = if !load.completion_interval.is_zero() {
+        load.completion_interval
+    } else if !load.service_time.is_zero() {
+        load.service_time / load.slots.max(1)
     } else {
         DEFAULT_COMPLETION_INTERVAL
     };
--- a/crates/steer/src/choose/baseline.rs
+++ b/crates/steer/src/choose/baseline.rs
@@ -6,7 +6,7 @@
 use super::Choose;
 use crate::{
     seed,
-    view::View, //
+    view::UpstreamView, //
 };
 use base::Now;
 use serde::{
@@ -29,7 +29,7 @@
 }
 
 impl BaselineLimits {
-    fn permits(self, view: &View) -> bool {
+    fn permits(self, view: &UpstreamView) -> bool {
         let has_slot = match self {
             Self::None => true,
             Self::Owned => view.in_flight < view.limit(),
@@ -53,7 +53,7 @@
 }
 
 impl Choose for RoundRobin {
-    fn choose(&mut self, views: &[View], _now: Now, _seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], _now: Now, _seed: u64) -> Option<usize> {
         let start = self.next.checked_rem(views.len())?;
         let chosen = (start..views.len())
             .chain(0..start)
@@ -77,7 +77,7 @@
 }
 
 impl Choose for LeastReported {
-    fn choose(&mut self, views: &[View], _now: Now, seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], _now: Now, seed: u64) -> Option<usize> {
         let start = seed::below(seed, views.len());
         (start..views.len())
             .chain(0..start)
@@ -90,7 +90,7 @@
 }
 
 /// Load of an upstream by its report, or by the entry's own requests if there is none.
-fn reported_load(view: &View) -> f64 {
+fn reported_load(view: &UpstreamView) -> f64 {
     match view.reported {
         Some(reported) => {
             let work = reported.in_flight.saturating_add(reported.queued);
@@ -114,7 +114,7 @@
 }
 
 impl Choose for PowerOfTwo {
-    fn choose(&mut self, views: &[View], _now: Now, seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], _now: Now, seed: u64) -> Option<usize> {
         let permitted = |index: &usize| self.limits.permits(&views[*index]);
         let count = (0..views.len()).filter(permitted).count();
         if count == 0 {
@@ -177,7 +177,7 @@
 }
 
 impl Choose for HotCold {
-    fn choose(&mut self, views: &[View], _now: Now, seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], _now: Now, seed: u64) -> Option<usize> {
         let permitted = |index: &usize| self.limits.permits(&views[*index]);
         let count = (0..views.len()).filter(permitted).count();
         if count == 0 {
@@ -211,7 +211,7 @@
 }
 
 /// Requests in flight by a recent probe, but at least those of this entry.
-fn probed_in_flight(view: &View) -> u32 {
+fn probed_in_flight(view: &UpstreamView) -> u32 {
     match view.reported {
         Some(reported) if reported.age <= PROBE_AGE_MAX => {
             let work = reported.in_flight.saturating_add(reported.queued);
--- a/crates/steer/src/choose/least_loaded.rs
+++ b/crates/steer/src/choose/least_loaded.rs
@@ -3,7 +3,7 @@
 use super::Choose;
 use crate::{
     seed,
-    view::View, //
+    view::UpstreamView, //
 };
 use base::Now;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     }
 
     /// Cost of sending one more request to the upstream; lower is better.
-    fn cost(self, view: &View, limit: u32) -> f64 {
+    fn cost(self, view: &UpstreamView, limit: u32) -> f64 {
         let load = f64::from(view.in_flight + 1) / f64::from(limit);
         let latency = view.latency.max(LATENCY_FLOOR).as_secs_f64();
         match self.rank {
@@ -54,7 +54,7 @@
 }
 
 impl Choose for LeastLoaded {
-    fn choose(&mut self, views: &[View], _now: Now, seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], _now: Now, seed: u64) -> Option<usize> {
         let start = seed::below(seed, views.len());
         let mut best: Option<(bool, f64, usize)> = None;
         // Starts at a random index: among equals, all entries would otherwise prefer the first.
--- a/crates/steer/src/choose/mod.rs
+++ b/crates/steer/src/choose/mod.rs
@@ -17,7 +17,7 @@
     Rank, //
 };
 
-use crate::view::View;
+use crate::view::UpstreamView;
 use base::Now;
 use serde::{
     Deserialize,
@@ -33,7 +33,7 @@
     /// Index in `views` of the upstream for a request at `now`; `None` if none may be used.
     ///
     /// The `seed` should differ for each request: it breaks ties and selects random samples.
-    fn choose(&mut self, views: &[View], now: Now, seed: u64) -> Option<usize>;
+    fn choose(&mut self, views: &[UpstreamView], now: Now, seed: u64) -> Option<usize>;
 }
 
 /// Policies by their name in the settings.
@@ -45,7 +45,7 @@
     /// [`LeastLoaded`], the default.
     #[default]
     #[serde(rename = "ours")]
-    Ours,
+    LeastLoaded,
     /// [`RoundRobin`].
     RoundRobin,
     /// [`LeastReported`].
@@ -59,7 +59,7 @@
 impl Policy {
     /// Every policy, the default first.
     pub const ALL: [Self; 5] = [
-        Self::Ours,
+        Self::LeastLoaded,
         Self::RoundRobin,
         Self::LeastReported,
         Self::PowerOfTwo,
@@ -69,7 +69,7 @@
     /// Name in the settings.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Ours => "ours",
+            Self::LeastLoaded => "ours",
             Self::RoundRobin => "round-robin",
             Self::LeastReported => "least-reported",
             Self::PowerOfTwo => "power-of-two",
@@ -80,7 +80,7 @@
     /// Creates the policy; `limits` applies to the baselines only.
     pub fn chooser(self, limits: BaselineLimits) -> Chooser {
         match self {
-            Self::Ours => Chooser::LeastLoaded(LeastLoaded::default()),
+            Self::LeastLoaded => Chooser::LeastLoaded(LeastLoaded::default()),
             Self::RoundRobin => Chooser::RoundRobin(RoundRobin::new(limits)),
             Self::LeastReported => Chooser::LeastReported(LeastReported::new(limits)),
             Self::PowerOfTwo => Chooser::PowerOfTwo(PowerOfTwo::new(limits)),
@@ -139,7 +139,7 @@
 }
 
 impl Choose for Chooser {
-    fn choose(&mut self, views: &[View], now: Now, seed: u64) -> Option<usize> {
+    fn choose(&mut self, views: &[UpstreamView], now: Now, seed: u64) -> Option<usize> {
         match self {
             Self::LeastLoaded(policy) => policy.choose(views, now, seed),
             Self::RoundRobin(policy) => policy.choose(views, now, seed),
--- a/crates/steer/src/failure_detector.rs
+++ b/crates/steer/src/failure_detector.rs
@@ -2,8 +2,8 @@
 //! probes.
 
 use crate::{
-    latency::Seen,
-    slow_start::RampPhase, //
+    latency::WindowStats,
+    slow_start::SlowStartPhase, //
 };
 use base::Now;
 use std::{
@@ -13,7 +13,7 @@
 
 /// Parameters of failure detection and recovery.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct SuspectSettings {
+pub struct FailureDetectorSettings {
     /// Penalty from which an upstream is suspected.
     pub penalty_limit: u32,
     /// Penalty of one refused connection.
@@ -38,7 +38,7 @@
     pub backoff_max: Duration,
 }
 
-impl Default for SuspectSettings {
+impl Default for FailureDetectorSettings {
     fn default() -> Self {
         Self {
             penalty_limit: 3,
@@ -58,7 +58,7 @@
 
 /// Change in the suspicion of an upstream.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Suspicion {
+pub enum SuspicionChange {
     /// The upstream is suspected from now on.
     Raised,
     /// The upstream is trusted again; slow start follows.
@@ -71,8 +71,8 @@
 /// fast looks idle and would attract more and more of the work: callers would see errors while
 /// other upstreams have free slots. A suspected upstream is sent single probes with a backoff.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Suspect {
-    settings: SuspectSettings,
+pub struct FailureDetector {
+    settings: FailureDetectorSettings,
     state: State,
 }
 
@@ -81,7 +81,7 @@
     Trusted {
         penalty: u32,
         responses: u32,
-        window: Seen,
+        window: WindowStats,
     },
     Suspected {
         backoff: Duration,
@@ -94,8 +94,8 @@
 const TRUSTED: State = State::Trusted {
     penalty: 0,
     responses: 0,
-    window: Seen {
-        answers: 0,
+    window: WindowStats {
+        responses: 0,
         latency_sum: Duration::ZERO,
         timeouts: 0,
         refused: 0,
@@ -103,9 +103,9 @@
     },
 };
 
-impl Suspect {
+impl FailureDetector {
     /// Creates the detector of a trusted upstream.
-    pub fn trusted(settings: SuspectSettings) -> Self {
+    pub fn trusted(settings: FailureDetectorSettings) -> Self {
         Self {
             settings,
             state: TRUSTED,
@@ -129,10 +129,10 @@
     pub fn observe(
         &mut self,
         now: Now,
-        observed: &Seen,
+        observed: &WindowStats,
         sibling_latency: Option<Duration>,
-        phase: RampPhase,
-    ) -> Option<Suspicion> {
+        phase: SlowStartPhase,
+    ) -> Option<SuspicionChange> {
         let change = match &mut self.state {
             State::Trusted {
                 penalty,
@@ -140,9 +140,9 @@
                 window,
             } => {
                 let over_limit = update_penalty(&self.settings, penalty, responses, observed);
-                let slow = phase != RampPhase::Trickle
+                let slow = phase != SlowStartPhase::Probing
                     && is_slow(&self.settings, window, observed, sibling_latency);
-                (over_limit || slow).then_some(Suspicion::Raised)
+                (over_limit || slow).then_some(SuspicionChange::Raised)
             }
             State::Suspected {
                 backoff,
@@ -150,7 +150,7 @@
                 probe_in_flight,
                 successes,
             } => {
-                if !*probe_in_flight || (observed.answers == 0 && observed.failures() == 0) {
+                if !*probe_in_flight || (observed.responses == 0 && observed.failures() == 0) {
                     return None;
                 }
                 *probe_in_flight = false;
@@ -162,12 +162,12 @@
                     *backoff = (*backoff * 2).min(self.settings.backoff_max);
                     *next_probe_at = now + *backoff;
                 }
-                (*successes >= self.settings.probe_successes).then_some(Suspicion::Cleared)
+                (*successes >= self.settings.probe_successes).then_some(SuspicionChange::Cleared)
             }
         };
         match change {
-            Some(Suspicion::Raised) => self.mark_suspected(now),
-            Some(Suspicion::Cleared) => self.state = TRUSTED,
+            Some(SuspicionChange::Raised) => self.mark_suspected(now),
+            Some(SuspicionChange::Cleared) => self.state = TRUSTED,
             None => {}
         }
         change
@@ -196,14 +196,14 @@
     }
 
     /// Makes the next probe due now, as when a sibling that was also suspected has recovered.
-    pub fn hasten(&mut self, now: Now) {
+    pub fn make_probe_due(&mut self, now: Now) {
         if let State::Suspected { next_probe_at, .. } = &mut self.state {
             *next_probe_at = (*next_probe_at).min(now);
         }
     }
 
     /// Lower median of the nonzero `latencies`, which it sorts.
-    pub fn typical(latencies: &mut [Duration]) -> Option<Duration> {
+    pub fn median_latency(latencies: &mut [Duration]) -> Option<Duration> {
         latencies.sort_unstable();
         let known_from = latencies.partition_point(Duration::is_zero);
         let known = &latencies[known_from..];
@@ -223,13 +223,13 @@
 /// Updates the penalty: complete responses reduce it, failures add to it. Returns whether it has
 /// reached the limit.
 fn update_penalty(
-    settings: &SuspectSettings,
+    settings: &FailureDetectorSettings,
     penalty: &mut u32,
     responses: &mut u32,
-    observed: &Seen,
+    observed: &WindowStats,
 ) -> bool {
     let responses_per_penalty = settings.responses_per_penalty.max(1);
-    *responses = responses.saturating_add(observed.answers);
+    *responses = responses.saturating_add(observed.responses);
     *penalty = penalty.saturating_sub(*responses / responses_per_penalty);
     *responses %= responses_per_penalty;
     *penalty = penalty
@@ -245,13 +245,13 @@
 
 /// Collects responses until their latency can be compared with the siblings'.
 fn is_slow(
-    settings: &SuspectSettings,
-    window: &mut Seen,
-    observed: &Seen,
+    settings: &FailureDetectorSettings,
+    window: &mut WindowStats,
+    observed: &WindowStats,
     sibling_latency: Option<Duration>,
 ) -> bool {
     window.add(observed);
-    if window.answers < settings.slow_responses_min {
+    if window.responses < settings.slow_responses_min {
         return false;
     }
     let mean = std::mem::take(window).mean_latency();
@@ -264,8 +264,8 @@
 }
 
 fn is_successful(
-    settings: &SuspectSettings,
-    observed: &Seen,
+    settings: &FailureDetectorSettings,
+    observed: &WindowStats,
     sibling_latency: Option<Duration>,
 ) -> bool {
     if observed.failures() > 0 {
@@ -284,7 +284,7 @@
     latency.as_nanos() * 1000 <= sibling_latency.as_nanos() * u128::from(permille)
 }
 
-impl fmt::Display for Suspect {
+impl fmt::Display for FailureDetector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.state {
             State::Trusted { penalty, .. } => write!(f, "trusted (penalty {penalty})"),
--- a/crates/steer/src/latency.rs
+++ b/crates/steer/src/latency.rs
@@ -21,9 +21,9 @@
 
 /// Outcomes that an entry observed at one upstream in a time window, possibly of one response.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Seen {
+pub struct WindowStats {
     /// Complete responses.
-    pub answers: u32,
+    pub responses: u32,
     /// Sum of the latencies of the complete responses.
     pub latency_sum: Duration,
     /// Requests that timed out.
@@ -34,11 +34,11 @@
     pub truncated: u32,
 }
 
-impl Seen {
+impl WindowStats {
     /// Window of one complete response.
     pub fn response(latency: Duration) -> Self {
         Self {
-            answers: 1,
+            responses: 1,
             latency_sum: latency,
             ..Self::default()
         }
@@ -46,7 +46,7 @@
 
     /// Mean latency of the complete responses, if there were any.
     pub fn mean_latency(&self) -> Option<Duration> {
-        self.latency_sum.checked_div(self.answers)
+        self.latency_sum.checked_div(self.responses)
     }
 
     /// Requests that failed in any way.
@@ -58,7 +58,7 @@
 
     /// Adds the outcomes of another window.
     pub fn add(&mut self, other: &Self) {
-        self.answers = self.answers.saturating_add(other.answers);
+        self.responses = self.responses.saturating_add(other.responses);
         self.latency_sum = self.latency_sum.saturating_add(other.latency_sum);
         self.timeouts = self.timeouts.saturating_add(other.timeouts);
         self.refused = self.refused.saturating_add(other.refused);
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -45,7 +45,7 @@
 
 pub use admission::{
     Admission,
-    Admit,
+    AdmissionControl,
     Load, //
 };
 pub use choose::{
@@ -63,9 +63,9 @@
 };
 pub use displaced::place_displaced;
 pub use failure_detector::{
-    Suspect,
-    SuspectSettings,
-    Suspicion, //
+    FailureDetector,
+    FailureDetectorSettings,
+    SuspicionChange, //
 };
 pub use freshness::{
     Freshness,
@@ -78,7 +78,7 @@
 pub use latency::{
     smooth_latency,
     LatencyHistogram,
-    Seen, //
+    WindowStats, //
 };
 pub use occupancy::{
     least_occupied,
@@ -87,23 +87,23 @@
 pub use placement::{
     place,
     ClassTarget,
-    Estimate,
-    PlaceSettings,
     Placement,
-    Question, //
+    PlacementQuery, //
+    PlacementSettings,
+    RegionEstimate,
 };
 pub use retry::RetryBudget;
 pub use shift::{
     ShiftCap,
-    ShiftLimit,
+    ShiftLimiter,
     ShiftRefusal, //
 };
 pub use slow_start::{
-    Ramp,
-    RampCause,
-    RampPhase,
-    RampSettings,
-    Relief, //
+    SlowStart,
+    SlowStartCause,
+    SlowStartPhase,
+    SlowStartSettings,
+    StarvationDetector, //
 };
 pub use spill::{
     is_excess,
@@ -113,7 +113,7 @@
 pub use view::{
     due_probe,
     Capacity,
-    Reported,
-    View,
+    LoadReport,
+    UpstreamView,
     NO_LIMIT, //
 };
--- a/crates/steer/src/occupancy.rs
+++ b/crates/steer/src/occupancy.rs
@@ -18,7 +18,7 @@
 
 impl Occupancy {
     /// Work at this entry, by its own counts.
-    pub fn here(in_flight: u32, queued: u32, open: u32) -> Self {
+    pub fn local(in_flight: u32, queued: u32, open: u32) -> Self {
         Self {
             milli_slots: (u64::from(in_flight) + u64::from(queued)) * MILLI,
             open,
@@ -31,7 +31,7 @@
     /// The reported demand lags by one heartbeat. If it were used alone, all entries would forward
     /// their work to the entry that was last idle, and a queue of a second would build up there
     /// while their own are empty. The outstanding requests reflect that queue at once.
-    pub fn beside(reported_milli_slots: u64, open: u32, outstanding: u32, senders: u32) -> Self {
+    pub fn peer(reported_milli_slots: u64, open: u32, outstanding: u32, senders: u32) -> Self {
         let outstanding = u64::from(outstanding) * u64::from(senders) * MILLI;
         Self {
             milli_slots: reported_milli_slots.saturating_add(outstanding),
--- a/crates/steer/src/placement.rs
+++ b/crates/steer/src/placement.rs
@@ -18,31 +18,31 @@
 
 /// Expected state of one region for one class, as known to an entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Estimate {
+pub struct RegionEstimate {
     /// Expected wait for a slot.
     pub wait: Duration,
     /// Expected service time.
-    pub service: Duration,
+    pub service_time: Duration,
     /// Round-trip time from the local region; zero for the local region itself.
-    pub link: Duration,
+    pub round_trip: Duration,
     /// Free percentage of its open slots, see [`Capacity`](crate::Capacity).
     pub headroom_left_pct: u32,
     /// Whether an entry of the region admits work; false when the region is lost.
     pub admitting: bool,
     /// Whether this entry's part of the cap allows one more shift to the region.
-    pub shift_open: bool,
+    pub shift_allowed: bool,
     /// Freshness of this information.
     pub freshness: Freshness,
     /// Whether operators drain the region.
     pub drained: bool,
 }
 
-impl Estimate {
+impl RegionEstimate {
     /// Expected latency of a request sent there from the local region.
-    pub fn expected(&self) -> Duration {
+    pub fn expected_latency(&self) -> Duration {
         self.wait
-            .saturating_add(self.service)
-            .saturating_add(self.link)
+            .saturating_add(self.service_time)
+            .saturating_add(self.round_trip)
     }
 
     fn is_usable(&self) -> bool {
@@ -56,7 +56,7 @@
 
 /// Thresholds for shifting requests to another region, and bounds of the retry delay.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct PlaceSettings {
+pub struct PlacementSettings {
     /// Minimum gain that starts a shift, in thousandths of the local latency.
     pub gain_permille: u32,
     /// Minimum gain that keeps a shift going, in thousandths of the local latency.
@@ -69,7 +69,7 @@
     pub retry_max: Duration,
 }
 
-impl Default for PlaceSettings {
+impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
             gain_permille: 250,
@@ -83,19 +83,19 @@
 
 /// Input of [`place`] for one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct PlacementQuery<'a> {
     /// Index of this entry's region, or of the caller's region for a lookup.
-    pub here: usize,
+    pub local_region: usize,
     /// Region indices in the caller's order of preference, best first.
     pub preference: &'a [usize],
     /// Estimates by region index.
-    pub estimates: &'a [Estimate],
+    pub estimates: &'a [RegionEstimate],
     /// Target of the class.
     pub target: &'a ClassTarget,
     /// Region to which this entry's previous request of the class was shifted, if any.
     pub previous: Option<usize>,
     /// Whether the request exceeds the local headroom, see [`Demand`](crate::Demand).
-    pub excess: bool,
+    pub exceeds_headroom: bool,
     /// Time left until the caller's deadline.
     pub deadline_left: Duration,
 }
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Placement {
     /// The local region; its admission control makes the final decision.
-    Here,
+    Local,
     /// An entry of the region with this index; its admission control makes the final decision.
     Shift(usize),
     /// No region can take the request.
@@ -129,46 +129,46 @@
 ///   own region is drained or lost without a region.
 ///
 /// A request is never shifted to a region at or below the class's headroom target.
-pub fn place(question: &Question<'_>, settings: &PlaceSettings) -> Placement {
-    let local = question.estimates.get(question.here);
+pub fn place(question: &PlacementQuery<'_>, settings: &PlacementSettings) -> Placement {
+    let local = question.estimates.get(question.local_region);
     let Some(local) = local.filter(|local| local.is_usable()) else {
         return place_remote(question, settings);
     };
-    if !question.excess {
+    if !question.exceeds_headroom {
         return match faster_region(question, settings, local) {
             Some(region) => Placement::Shift(region),
-            None => Placement::Here,
+            None => Placement::Local,
         };
     }
     match best_remote(question, Freshness::allows_new_shift) {
         Some(region) => Placement::Shift(region),
-        None => Placement::Here,
+        None => Placement::Local,
     }
 }
 
 /// Region that is faster than the local one by the margin, for a request that may be shifted.
 fn faster_region(
-    question: &Question<'_>,
-    settings: &PlaceSettings,
-    local: &Estimate,
+    question: &PlacementQuery<'_>,
+    settings: &PlacementSettings,
+    local: &RegionEstimate,
 ) -> Option<usize> {
     if !question.target.idempotent {
         return None;
     }
     let region = best_remote(question, Freshness::allows_new_shift)?;
-    let remote = question.estimates[region].expected();
+    let remote = question.estimates[region].expected_latency();
     let permille = if question.previous == Some(region) {
         settings.keep_permille
     } else {
         settings.gain_permille
     };
-    let ratio = local.expected() / 1000 * permille;
+    let ratio = local.expected_latency() / 1000 * permille;
     let margin = ratio.max(settings.gain_min);
-    (remote.saturating_add(margin) < local.expected()).then_some(region)
+    (remote.saturating_add(margin) < local.expected_latency()).then_some(region)
 }
 
 /// Placement when the local region is drained or lost.
-fn place_remote(question: &Question<'_>, settings: &PlaceSettings) -> Placement {
+fn place_remote(question: &PlacementQuery<'_>, settings: &PlacementSettings) -> Placement {
     let fresh = best_remote(question, Freshness::allows_new_shift);
     // Missing updates alone must not leave a caller without a region: any region that was last
     // known to admit work is tried.
@@ -183,27 +183,27 @@
 /// Remote region with the lowest expected latency among the usable ones.
 ///
 /// `allows` tells whether a region's freshness suffices when nothing is shifted there yet.
-fn best_remote(question: &Question<'_>, allows: fn(Freshness) -> bool) -> Option<usize> {
+fn best_remote(question: &PlacementQuery<'_>, allows: fn(Freshness) -> bool) -> Option<usize> {
     question
         .preference
         .iter()
         .copied()
-        .filter(|&region| region != question.here)
+        .filter(|&region| region != question.local_region)
         .filter(|&region| {
             question.estimates.get(region).is_some_and(|estimate| {
                 let fresh_enough = allows(estimate.freshness) || question.previous == Some(region);
                 fresh_enough
                     && estimate.is_usable()
-                    && estimate.shift_open
+                    && estimate.shift_allowed
                     && estimate.has_room(question.target)
-                    && estimate.expected() <= question.deadline_left
+                    && estimate.expected_latency() <= question.deadline_left
             })
         })
-        .min_by_key(|&region| question.estimates[region].expected())
+        .min_by_key(|&region| question.estimates[region].expected_latency())
 }
 
 /// Shortest wait among the regions that may admit later, within the bounds of the settings.
-fn retry_after(question: &Question<'_>, settings: &PlaceSettings) -> Duration {
+fn retry_after(question: &PlacementQuery<'_>, settings: &PlacementSettings) -> Duration {
     let usable = question
         .estimates
         .iter()
--- a/crates/steer/src/retry.rs
+++ b/crates/steer/src/retry.rs
@@ -32,7 +32,7 @@
     }
 
     /// Counts one offered request that is not itself a retry.
-    pub fn offer(&mut self) {
+    pub fn record_request(&mut self) {
         let credit = self.credit + u64::from(self.ratio_permille);
         self.credit = credit.min(SAVED_RETRIES_MAX * RETRY_COST);
     }
@@ -48,7 +48,7 @@
     /// With two separate budgets, one would stay unused while the other is exhausted: copies warm
     /// an upstream that returns cold at times when no requests fail.
     #[must_use]
-    pub fn take_spare(&mut self) -> bool {
+    pub fn take_for_probe(&mut self) -> bool {
         self.take_above(RETRY_RESERVE * RETRY_COST)
     }
 
--- a/crates/steer/src/shift.rs
+++ b/crates/steer/src/shift.rs
@@ -44,7 +44,7 @@
 /// window of a second or more, the bytes let through stay within the cap, for chunks of up to a
 /// sixteenth of one second's bytes.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct ShiftLimit {
+pub struct ShiftLimiter {
     cap: ShiftCap,
     in_flight: u32,
     limit_milli: u64,
@@ -55,7 +55,7 @@
     refilled_at: Now,
 }
 
-impl ShiftLimit {
+impl ShiftLimiter {
     /// Creates a limiter with nothing in flight for the part `cap`.
     pub fn new(now: Now, cap: ShiftCap) -> Self {
         let mut limiter = Self {
@@ -129,7 +129,7 @@
     }
 
     /// Returns `bytes` that were booked but not transferred.
-    pub fn give_back(&mut self, now: Now, bytes: u64) {
+    pub fn refund(&mut self, now: Now, bytes: u64) {
         self.refill(now);
         let returned = i128::from(bytes) * NANOS_PER_S_SIGNED;
         self.balance = (self.balance + returned).min(self.burst());
@@ -161,7 +161,7 @@
     }
 
     /// Records that a request is no longer in flight.
-    pub fn finish(&mut self, now: Now) {
+    pub fn release(&mut self, now: Now) {
         self.update_limit(now);
         debug_assert!(self.in_flight > 0);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -170,7 +170,7 @@
     /// Books `bytes` to be transferred; returns how long they must be delayed.
     ///
     /// A delay of [`Duration::MAX`] means that the part allows no bytes at all.
-    pub fn pass(&mut self, now: Now, bytes: u64) -> Duration {
+    pub fn book_bytes(&mut self, now: Now, bytes: u64) -> Duration {
         self.refill(now);
         let refill = self.refill_per_s();
         if refill == 0 {
@@ -238,7 +238,7 @@
     }
 }
 
-impl fmt::Display for ShiftLimit {
+impl fmt::Display for ShiftLimiter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let open = self.limit_milli / MILLI;
         let cap = self.cap.in_flight;
--- a/crates/steer/src/slow_start.rs
+++ b/crates/steer/src/slow_start.rs
@@ -4,7 +4,7 @@
     freshness::Freshness,
     latency::{
         smooth_latency,
-        Seen, //
+        WindowStats, //
     },
     view::NO_LIMIT, //
 };
@@ -17,7 +17,7 @@
 
 /// Reason for a slow start.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum RampCause {
+pub enum SlowStartCause {
     /// The upstream started, or its cache is cold for the coming work.
     ColdStart,
     /// No report or response was received for a long time.
@@ -28,9 +28,9 @@
 
 /// Phase of the slow start of an upstream.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum RampPhase {
+pub enum SlowStartPhase {
     /// Only a few probes are sent, with a minimum interval between them.
-    Trickle,
+    Probing,
     /// Slots are opened one at a time.
     Opening,
     /// Not limited by slow start.
@@ -42,7 +42,7 @@
 
 /// Parameters of slow start.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct RampSettings {
+pub struct SlowStartSettings {
     /// Minimum time between two probes in the probing phase.
     pub probe_interval: Duration,
     /// Time without a response after which an upstream in the opening phase is sent a probe.
@@ -66,7 +66,7 @@
     pub reset_warm_after: Duration,
 }
 
-impl RampSettings {
+impl SlowStartSettings {
     /// Default parameters.
     pub const DEFAULT: Self = Self {
         // Must be below the 100 ms between two offers of a probe, or each probe would wait for a
@@ -84,7 +84,7 @@
     };
 }
 
-impl Default for RampSettings {
+impl Default for SlowStartSettings {
     fn default() -> Self {
         Self::DEFAULT
     }
@@ -98,12 +98,12 @@
 /// stay near the warm latency without failures, and never exceeds the proven number of slots by
 /// more than one step.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ramp {
-    settings: RampSettings,
-    phase: RampPhase,
+pub struct SlowStart {
+    settings: SlowStartSettings,
+    phase: SlowStartPhase,
     limit: u32,
     warm: Option<Duration>,
-    window: Seen,
+    window: WindowStats,
     /// Latencies of recent probes, oldest first.
     probes: VecDeque<Duration>,
     probing_allowed: bool,
@@ -113,15 +113,15 @@
     last_step_at: Now,
 }
 
-impl Ramp {
+impl SlowStart {
     /// Creates the state of an upstream that is not limited.
-    pub fn warm(settings: RampSettings) -> Self {
+    pub fn warm(settings: SlowStartSettings) -> Self {
         Self {
             settings,
-            phase: RampPhase::Warm,
+            phase: SlowStartPhase::Warm,
             limit: NO_LIMIT,
             warm: None,
-            window: Seen::default(),
+            window: WindowStats::default(),
             probes: VecDeque::new(),
             probing_allowed: false,
             has_alternative: false,
@@ -140,14 +140,14 @@
     pub fn restart(
         &mut self,
         now: Now,
-        cause: RampCause,
+        cause: SlowStartCause,
         sibling_latency: Option<Duration>,
         has_alternative: bool,
     ) {
         self.warm = self.warm.or(sibling_latency);
         self.has_alternative = has_alternative;
-        self.probing_allowed = has_alternative && cause != RampCause::Silence;
-        self.window = Seen::default();
+        self.probing_allowed = has_alternative && cause != SlowStartCause::Silence;
+        self.window = WindowStats::default();
         self.next_probe_at = now;
         self.growth_paused_until = now;
         self.last_step_at = now;
@@ -162,16 +162,16 @@
     ///
     /// `usable` is the number of slots that this entry owns: slow start ends when all are open.
     /// Nothing grows on old information.
-    pub fn observe(&mut self, now: Now, observed: &Seen, usable: u32, freshness: Freshness) {
+    pub fn observe(&mut self, now: Now, observed: &WindowStats, usable: u32, freshness: Freshness) {
         match self.phase {
-            RampPhase::Trickle => self.evaluate_probes(now, observed, freshness),
-            RampPhase::Opening => {
-                if observed.answers > 0 {
+            SlowStartPhase::Probing => self.evaluate_probes(now, observed, freshness),
+            SlowStartPhase::Opening => {
+                if observed.responses > 0 {
                     self.next_probe_at = now + self.settings.idle_probe_interval;
                 }
                 self.evaluate_window(now, observed, usable, freshness);
             }
-            RampPhase::Warm => self.update_warm_latency(observed),
+            SlowStartPhase::Warm => self.update_warm_latency(observed),
         }
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Current phase.
-    pub fn phase(&self) -> RampPhase {
+    pub fn phase(&self) -> SlowStartPhase {
         self.phase
     }
 
@@ -191,14 +191,14 @@
     /// make it look slow, so that it is sent no requests and no newer latency is ever observed. The
     /// symptom is an upstream that idles next to busy ones and stays at the same few open slots.
     pub fn probe_due(&self, now: Now) -> bool {
-        self.phase != RampPhase::Warm && now >= self.next_probe_at
+        self.phase != SlowStartPhase::Warm && now >= self.next_probe_at
     }
 
     /// Records that a probe was sent, which delays the next one.
     pub fn probe_sent(&mut self, now: Now) {
         let interval = match self.phase {
-            RampPhase::Trickle => self.settings.probe_interval,
-            RampPhase::Opening | RampPhase::Warm => self.settings.idle_probe_interval,
+            SlowStartPhase::Probing => self.settings.probe_interval,
+            SlowStartPhase::Opening | SlowStartPhase::Warm => self.settings.idle_probe_interval,
         };
         self.next_probe_at = now + interval;
     }
@@ -213,24 +213,24 @@
     /// When all other upstreams are full or cold themselves, holding work back would refuse
     /// requests that a slow response would still serve in time; the symptom is refusals while slots
     /// idle. [`Relief`] decides when to call this; the open slots stay within the owned ones.
-    pub fn relieve(&mut self, now: Now) {
+    pub fn force_step(&mut self, now: Now) {
         self.last_step_at = now;
         match self.phase {
-            RampPhase::Trickle => self.start_opening(),
-            RampPhase::Opening => self.limit = self.limit.saturating_add(1),
-            RampPhase::Warm => {}
+            SlowStartPhase::Probing => self.start_opening(),
+            SlowStartPhase::Opening => self.limit = self.limit.saturating_add(1),
+            SlowStartPhase::Warm => {}
         }
     }
 
     fn start_probing(&mut self) {
-        self.phase = RampPhase::Trickle;
+        self.phase = SlowStartPhase::Probing;
         self.probes.clear();
         self.limit = 1;
     }
 
     fn start_opening(&mut self) {
-        self.window = Seen::default();
-        self.phase = RampPhase::Opening;
+        self.window = WindowStats::default();
+        self.phase = SlowStartPhase::Opening;
         self.limit = self.settings.initial_limit.max(1);
     }
 
@@ -238,7 +238,7 @@
     ///
     /// Probes are few. With consecutive full windows, a window that still contains the last cold
     /// probes would delay the end of the probing phase by seconds.
-    fn evaluate_probes(&mut self, now: Now, observed: &Seen, freshness: Freshness) {
+    fn evaluate_probes(&mut self, now: Now, observed: &WindowStats, freshness: Freshness) {
         if observed.failures() > 0 {
             self.start_probing();
             return;
@@ -247,7 +247,7 @@
             return;
         };
         let window_len = self.settings.probe_window.max(1);
-        for _ in 0..observed.answers.min(window_len) {
+        for _ in 0..observed.responses.min(window_len) {
             self.probes.push_back(latency);
         }
         if self.probes.len() >= SINGLE_PROBES {
@@ -270,14 +270,20 @@
         }
     }
 
-    fn evaluate_window(&mut self, now: Now, observed: &Seen, usable: u32, freshness: Freshness) {
+    fn evaluate_window(
+        &mut self,
+        now: Now,
+        observed: &WindowStats,
+        usable: u32,
+        freshness: Freshness,
+    ) {
         self.window.add(observed);
         if self.window.failures() > 0 {
             self.shrink(now);
             return;
         }
         let needed = self.limit.saturating_mul(self.settings.responses_per_slot);
-        if self.window.answers < needed {
+        if self.window.responses < needed {
             return;
         }
         let Some(mean) = self.window.mean_latency() else {
@@ -289,7 +295,7 @@
         } else if self.may_grow(now, mean, freshness) {
             self.grow(now, usable);
         }
-        self.window = Seen::default();
+        self.window = WindowStats::default();
     }
 
     fn may_grow(&self, now: Now, mean: Duration, freshness: Freshness) -> bool {
@@ -301,7 +307,7 @@
     fn grow(&mut self, now: Now, usable: u32) {
         self.last_step_at = now;
         if self.limit >= usable {
-            self.phase = RampPhase::Warm;
+            self.phase = SlowStartPhase::Warm;
             self.limit = NO_LIMIT;
         } else {
             self.limit += 1;
@@ -309,7 +315,7 @@
     }
 
     fn shrink(&mut self, now: Now) {
-        self.window = Seen::default();
+        self.window = WindowStats::default();
         self.growth_paused_until = now + self.settings.growth_pause;
         if self.limit <= self.settings.initial_limit && self.probing_allowed {
             self.start_probing();
@@ -319,7 +325,7 @@
     }
 
     /// Updates the warm latency of an upstream in the warm phase.
-    fn update_warm_latency(&mut self, observed: &Seen) {
+    fn update_warm_latency(&mut self, observed: &WindowStats) {
         if let Some(mean) = observed.mean_latency() {
             self.warm = Some(smooth_latency(self.warm.unwrap_or_default(), mean));
         }
@@ -358,11 +364,11 @@
 ///
 /// A single bad tick may be random variation, or a shift that is still growing.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Relief {
+pub struct StarvationDetector {
     ticks: u32,
 }
 
-impl Relief {
+impl StarvationDetector {
     /// Processes one tick: the arrivals at this entry, and how many of them waited or were refused.
     ///
     /// Returns true when [`Ramp::relieve`] is due. Intended for ticks of 100 ms.
@@ -376,12 +382,12 @@
     }
 }
 
-impl fmt::Display for Ramp {
+impl fmt::Display for SlowStart {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.phase {
-            RampPhase::Trickle => f.write_str("trickle")?,
-            RampPhase::Opening => write!(f, "opening at {}", self.limit)?,
-            RampPhase::Warm => f.write_str("warm")?,
+            SlowStartPhase::Probing => f.write_str("trickle")?,
+            SlowStartPhase::Opening => write!(f, "opening at {}", self.limit)?,
+            SlowStartPhase::Warm => f.write_str("warm")?,
         }
         match self.warm {
             Some(warm) => write!(f, " (warm latency {warm:?})"),
--- a/crates/steer/src/view.rs
+++ b/crates/steer/src/view.rs
@@ -9,7 +9,7 @@
 ///
 /// The report may be stale or wrong, so it can lower the upstream's limit but never raise it.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Reported {
+pub struct LoadReport {
     /// Requests being processed.
     pub in_flight: u32,
     /// Requests queued for a slot at the upstream.
@@ -22,11 +22,11 @@
 
 /// One upstream as seen by this entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct View {
+pub struct UpstreamView {
     /// Slots of the upstream that this entry owns and may use.
     pub usable: u32,
     /// Slots opened by slow start, or [`NO_LIMIT`].
-    pub ramp_limit: u32,
+    pub slow_start_limit: u32,
     /// Requests of this entry in flight at the upstream.
     pub in_flight: u32,
     /// Smoothed latency observed by this entry; zero when none was observed.
@@ -34,7 +34,7 @@
     /// Errors recently observed by this entry.
     pub errors: u32,
     /// Last load report of the upstream.
-    pub reported: Option<Reported>,
+    pub reported: Option<LoadReport>,
     /// Suspected of having failed; receives only probes.
     pub suspect: bool,
     /// In the probing phase of slow start; receives only probes.
@@ -47,11 +47,11 @@
     pub probe_due: bool,
 }
 
-impl Default for View {
+impl Default for UpstreamView {
     fn default() -> Self {
         Self {
             usable: 0,
-            ramp_limit: NO_LIMIT,
+            slow_start_limit: NO_LIMIT,
             in_flight: 0,
             latency: Duration::ZERO,
             errors: 0,
@@ -65,11 +65,11 @@
     }
 }
 
-impl View {
+impl UpstreamView {
     /// Requests that this entry may have in flight: the minimum of owned slots and slow start,
     /// lowered by the load report.
     pub fn limit(&self) -> u32 {
-        let open = self.usable.min(self.ramp_limit);
+        let open = self.usable.min(self.slow_start_limit);
         match self.reported {
             Some(reported) => reported.lower(open),
             None => open,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Reported {
+impl LoadReport {
     /// Reduces `limit` by the fraction of the upstream's requests that are reported as queued.
     ///
     /// At least one slot remains. An upstream that reports an endless queue would otherwise never
@@ -111,8 +111,8 @@
 /// of an idempotent class is therefore routed as usual, with `probe_due` false in its views, and a
 /// copy goes to this upstream if a [`RetryBudget`](crate::RetryBudget) allows one. The response to
 /// the copy is only measured.
-pub fn due_probe(views: &[View]) -> Option<usize> {
-    views.iter().position(View::accepts_probe)
+pub fn due_probe(views: &[UpstreamView]) -> Option<usize> {
+    views.iter().position(UpstreamView::accepts_probe)
 }
 
 /// Slots of one service that an entry may use now, and those in use.
@@ -131,7 +131,7 @@
 
 impl Capacity {
     /// Sum over the upstreams that accept new requests.
-    pub fn of(views: &[View]) -> Self {
+    pub fn of(views: &[UpstreamView]) -> Self {
         let mut sum = Self::default();
         for view in views.iter().filter(|view| !view.leaving) {
             let limit = view.limit();
--- a/crates/steer/tests/properties.rs
+++ b/crates/steer/tests/properties.rs
@@ -7,27 +7,27 @@
 
 type Bits = (u8, u8, u8, u16, Option<(u8, u8)>, u8);
 
-fn view(&(usable, slow_start, in_flight, latency_ms, report, flags): &Bits) -> View {
-    View {
+fn view(&(usable, slow_start, in_flight, latency_ms, report, flags): &Bits) -> UpstreamView {
+    UpstreamView {
         usable: u32::from(usable % 10),
-        ramp_limit: if slow_start > 200 {
+        slow_start_limit: if slow_start > 200 {
             NO_LIMIT
         } else {
             u32::from(slow_start % 10)
         },
         in_flight: u32::from(in_flight % 12),
         latency: Duration::from_millis(latency_ms.into()),
-        reported: report.map(|(in_flight, queued)| Reported {
+        reported: report.map(|(in_flight, queued)| LoadReport {
             in_flight: in_flight.into(),
             queued: queued.into(),
-            ..Reported::default()
+            ..LoadReport::default()
         }),
         suspect: flags & 1 != 0,
         cold: flags & 2 != 0,
         leaving: flags & 4 != 0,
         fresh: flags & 8 != 0,
         probe_due: flags & 16 != 0,
-        ..View::default()
+        ..UpstreamView::default()
     }
 }
 
@@ -37,12 +37,12 @@
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<Bits>, u64)>()
         .for_each(|(bits, seed)| {
-            let views: Vec<View> = bits.iter().map(view).collect();
+            let views: Vec<UpstreamView> = bits.iter().map(view).collect();
             let chosen = LeastLoaded::default().choose(&views, Duration::ZERO, *seed);
-            let open = |view: &View| {
+            let open = |view: &UpstreamView| {
                 let probe = view.probe_due && view.in_flight == 0;
                 !view.leaving
-                    && view.in_flight < view.usable.min(view.ramp_limit)
+                    && view.in_flight < view.usable.min(view.slow_start_limit)
                     && view.in_flight < view.limit()
                     && (probe || !(view.suspect || view.cold))
             };
@@ -69,7 +69,7 @@
         .with_type::<Bits>()
         .for_each(|bits| {
             let with = view(bits);
-            let without = View {
+            let without = UpstreamView {
                 reported: None,
                 ..with
             };
@@ -85,18 +85,18 @@
         .with_type::<(Vec<(u8, u8, bool)>, u8)>()
         .for_each(|(windows, usable)| {
             let warm = Duration::from_millis(100);
-            let mut slow_start = Ramp::warm(RampSettings::default());
-            slow_start.restart(Duration::ZERO, RampCause::Silence, Some(warm), true);
+            let mut slow_start = SlowStart::warm(SlowStartSettings::default());
+            slow_start.restart(Duration::ZERO, SlowStartCause::Silence, Some(warm), true);
             let mut now = Duration::ZERO;
             for &(answers, latency_ms, fresh) in windows {
                 now += Duration::from_millis(10);
                 let latency = Duration::from_millis(u64::from(latency_ms % 126));
                 let answers = u32::from(answers);
                 let latency_sum = latency * answers;
-                let stats = Seen {
-                    answers,
+                let stats = WindowStats {
+                    responses: answers,
                     latency_sum,
-                    ..Seen::default()
+                    ..WindowStats::default()
                 };
                 let freshness = if fresh {
                     Freshness::Fresh
@@ -104,11 +104,11 @@
                     Freshness::Old
                 };
                 let before = slow_start.limit();
-                let was_warm = slow_start.phase() == RampPhase::Warm;
+                let was_warm = slow_start.phase() == SlowStartPhase::Warm;
                 slow_start.observe(now, &stats, u32::from(*usable), freshness);
                 assert!(slow_start.limit() >= before);
                 let grown = slow_start.limit().saturating_sub(before);
-                assert!(grown <= 1 || slow_start.phase() == RampPhase::Warm);
+                assert!(grown <= 1 || slow_start.phase() == SlowStartPhase::Warm);
                 assert!(fresh || grown == 0 || was_warm);
             }
         });
@@ -124,7 +124,7 @@
             let (mut offered, mut retries) = (0, 0);
             for &is_offer in events {
                 if is_offer {
-                    budget.offer();
+                    budget.record_request();
                     offered += 1;
                 } else if budget.take() {
                     retries += 1;
@@ -141,15 +141,15 @@
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<(u16, u8, u8)>, Option<u8>, u8, bool, bool)>()
         .for_each(|(regions, previous, headroom_pct, idempotent, excess)| {
-            let estimates: Vec<Estimate> = regions
+            let estimates: Vec<RegionEstimate> = regions
                 .iter()
-                .map(|&(wait_ms, left, flags)| Estimate {
+                .map(|&(wait_ms, left, flags)| RegionEstimate {
                     wait: Duration::from_millis(wait_ms.into()),
-                    service: Duration::from_millis(10),
-                    link: Duration::from_millis(50),
+                    service_time: Duration::from_millis(10),
+                    round_trip: Duration::from_millis(50),
                     headroom_left_pct: u32::from(left % 101),
                     admitting: flags & 1 != 0,
-                    shift_open: flags & 2 != 0,
+                    shift_allowed: flags & 2 != 0,
                     freshness: if flags & 4 != 0 {
                         Freshness::Fresh
                     } else {
@@ -165,20 +165,22 @@
                 priority: None,
             };
             let preference: Vec<usize> = (0..estimates.len()).collect();
-            let question = Question {
-                here: 0,
+            let question = PlacementQuery {
+                local_region: 0,
                 preference: &preference,
                 estimates: &estimates,
                 target: &target,
-                excess: *excess,
+                exceeds_headroom: *excess,
                 previous: previous.map(usize::from),
                 deadline_left: Duration::from_secs(1),
             };
-            match place(&question, &PlaceSettings::default()) {
-                Placement::Here => assert!(estimates[0].admitting && !estimates[0].drained),
+            match place(&question, &PlacementSettings::default()) {
+                Placement::Local => assert!(estimates[0].admitting && !estimates[0].drained),
                 Placement::Shift(region) => {
                     let there = &estimates[region];
-                    assert!(region != 0 && there.admitting && there.shift_open && !there.drained);
+                    assert!(
+                        region != 0 && there.admitting && there.shift_allowed && !there.drained
+                    );
                     assert!(there.headroom_left_pct > target.headroom_pct);
                 }
                 Placement::Refuse { retry_after } => {
@@ -208,14 +210,14 @@
                     latency_target: Duration::from_secs(9),
                     ..strict
                 };
-                let admit = Admit::new(vec![strict, lenient], 8);
+                let admit = AdmissionControl::new(vec![strict, lenient], 8);
                 let load = Load {
                     slots: slots.into(),
                     in_flight: in_flight.into(),
                     queued_ahead: queued.into(),
                     queued: queued.into(),
-                    service: Duration::from_millis(10),
-                    completion_gap: Duration::from_millis(3),
+                    service_time: Duration::from_millis(10),
+                    completion_interval: Duration::from_millis(3),
                 };
                 let deadline_left = Duration::from_millis(deadline_left_ms.into());
                 match admit.admit(1, &load, Duration::ZERO, deadline_left, 1) {
@@ -225,7 +227,7 @@
                         assert!(kept || load.slots == left + 1);
                     }
                     Admission::Queue { expected_wait } => {
-                        assert!(queued < 8 && expected_wait + load.service <= deadline_left);
+                        assert!(queued < 8 && expected_wait + load.service_time <= deadline_left);
                     }
                     Admission::Refuse { retry_after } => assert!(!retry_after.is_zero()),
                 }
@@ -246,15 +248,15 @@
         .with_type::<Vec<(u8, u8, u16)>>()
         .for_each(|events| {
             let mut now = Duration::ZERO;
-            let mut shift = ShiftLimit::new(now, cap);
+            let mut shift = ShiftLimiter::new(now, cap);
             let mut passed: Vec<(Duration, u64)> = Vec::new();
             for &(wait_ms, kind, bytes) in events {
                 now += Duration::from_millis(wait_ms.into());
                 match kind % 8 {
-                    0 if shift.in_flight() > 0 => shift.finish(now),
+                    0 if shift.in_flight() > 0 => shift.release(now),
                     1..=4 => {
                         let bytes = u64::from(bytes).min(cap.bytes_per_s / 16);
-                        passed.push((now + shift.pass(now, bytes), bytes));
+                        passed.push((now + shift.book_bytes(now, bytes), bytes));
                     }
                     _ => {
                         let checked = shift.check(now, Freshness::Fresh);
@@ -284,7 +286,7 @@
         growth_per_s: 10,
     };
     let ms = Duration::from_millis;
-    let mut shift = ShiftLimit::new(ms(0), cap);
+    let mut shift = ShiftLimiter::new(ms(0), cap);
     let admitted = (0..2000).filter(|&at| shift.admit(ms(at), Freshness::Fresh).is_ok());
     assert_eq!(admitted.count(), 6);
     assert_eq!(
@@ -292,7 +294,7 @@
         Err(ShiftRefusal::InFlight)
     );
     let until: Vec<_> = (0..100)
-        .map(|_| ms(2000) + shift.pass(ms(2000), 5000))
+        .map(|_| ms(2000) + shift.book_bytes(ms(2000), 5000))
         .collect();
     for from in &until {
         let within = until
@@ -302,7 +304,7 @@
     }
     let last = until.last().unwrap();
     assert!(*last < ms(2000) + ms(5500), "{last:?}");
-    shift.finish(ms(2000));
+    shift.release(ms(2000));
     assert_eq!(
         shift.admit(ms(2000), Freshness::Fresh),
         Err(ShiftRefusal::Bytes)
@@ -318,7 +320,7 @@
         in_flight: 40,
         growth_per_s: 10,
     };
-    let mut shift = ShiftLimit::new(Duration::ZERO, cap);
+    let mut shift = ShiftLimiter::new(Duration::ZERO, cap);
     assert_eq!(shift.admit(Duration::ZERO, Freshness::Fresh), Ok(()));
     for second in 1..60 {
         let admitted = shift.admit(Duration::from_secs(second), Freshness::Old);
--- a/crates/steer/tests/scenes.rs
+++ b/crates/steer/tests/scenes.rs
@@ -40,10 +40,10 @@
         print(&scenario, policy.as_str(), &results);
         results
     };
-    let least_loaded = run(Policy::Ours);
+    let least_loaded = run(Policy::LeastLoaded);
     for rank in [Rank::Load, Rank::Latency] {
         let chooser = Chooser::LeastLoaded(LeastLoaded::new(rank));
-        let results = Sim::run(scenario, Policy::Ours, &chooser);
+        let results = Sim::run(scenario, Policy::LeastLoaded, &chooser);
         print(&scenario, &format!("ours by {rank:?}"), &results);
     }
     (
@@ -95,8 +95,8 @@
     });
     let warm = Sim::run(
         STEADY,
-        Policy::Ours,
-        &Policy::Ours.chooser(BaselineLimits::None),
+        Policy::LeastLoaded,
+        &Policy::LeastLoaded.chooser(BaselineLimits::None),
     );
     let local =
         least_loaded.local_quantile(990).as_secs_f64() / warm.local_quantile(990).as_secs_f64();
--- a/crates/steer/tests/sim/mod.rs
+++ b/crates/steer/tests/sim/mod.rs
@@ -125,22 +125,22 @@
     busy_slots: u32,
     queue: VecDeque<usize>,
     served: u32,
-    reports: VecDeque<Reported>,
+    reports: VecDeque<LoadReport>,
 }
 
 struct Entry {
     chooser: Chooser,
-    views: Vec<View>,
-    slow_starts: Vec<Ramp>,
-    detectors: Vec<Suspect>,
+    views: Vec<UpstreamView>,
+    slow_starts: Vec<SlowStart>,
+    detectors: Vec<FailureDetector>,
     queue: VecDeque<usize>,
     service: Duration,
     completion_gap: Duration,
     last_completion_at: Duration,
     counts: Counts,
-    starvation: Relief,
+    starvation: StarvationDetector,
     copies: RetryBudget,
-    shift: ShiftLimit,
+    shift: ShiftLimiter,
     previous: Option<usize>,
 }
 
@@ -151,7 +151,7 @@
     carried: u32,
     shifted: u32,
     unserved: u32,
-    stats: Seen,
+    stats: WindowStats,
 }
 
 /// State that the entries of a region share with each other and the other region at each tick.
@@ -168,7 +168,7 @@
 pub(crate) struct Sim {
     scenario: Scenario,
     policy: Policy,
-    admit: Admit,
+    admit: AdmissionControl,
     now: Duration,
     seed: u64,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
@@ -197,16 +197,19 @@
             views: (0..UPSTREAMS)
                 .map(|upstream| owned_slots(index, upstream))
                 .collect(),
-            slow_starts: vec![Ramp::warm(RampSettings::default()); UPSTREAMS],
-            detectors: vec![Suspect::trusted(SuspectSettings::default()); UPSTREAMS],
+            slow_starts: vec![SlowStart::warm(SlowStartSettings::default()); UPSTREAMS],
+            detectors: vec![
+                FailureDetector::trusted(FailureDetectorSettings::default());
+                UPSTREAMS
+            ],
             queue: VecDeque::new(),
             service: Duration::from_millis(10),
             completion_gap: Duration::ZERO,
             last_completion_at: Duration::ZERO,
             counts: Counts::default(),
-            starvation: Relief::default(),
+            starvation: StarvationDetector::default(),
             copies: RetryBudget::default(),
-            shift: ShiftLimit::new(
+            shift: ShiftLimiter::new(
                 Duration::ZERO,
                 ShiftCap {
                     bytes_per_s: 1 << 30,
@@ -225,7 +228,7 @@
         let mut sim = Self {
             scenario,
             policy,
-            admit: Admit::new(vec![TARGET], 64),
+            admit: AdmissionControl::new(vec![TARGET], 64),
             now: Duration::ZERO,
             seed: 1,
             events: BinaryHeap::new(),
@@ -262,7 +265,7 @@
         for entry in &mut self.entries[..ENTRIES] {
             for slow_start in &mut entry.slow_starts[..cold_upstreams] {
                 let has_alternative = cold_upstreams < UPSTREAMS;
-                let cause = RampCause::RegionReturn;
+                let cause = SlowStartCause::RegionReturn;
                 slow_start.restart(Duration::ZERO, cause, sibling_latency, has_alternative);
             }
         }
@@ -333,7 +336,7 @@
         });
         self.results.offered += u32::from(region == 0);
         let id = self.requests.len() - 1;
-        if self.policy != Policy::Ours {
+        if self.policy != Policy::LeastLoaded {
             return self.send(id);
         }
         self.copy_to_due_probe(id);
@@ -359,7 +362,7 @@
         let request = self.requests[id];
         self.refresh(request.entry, true);
         let entry = &mut self.entries[request.entry];
-        entry.copies.offer();
+        entry.copies.record_request();
         let Some(upstream) = due_probe(&entry.views) else {
             return;
         };
@@ -396,14 +399,14 @@
         let spill = arriving.spill_permille(*open, TARGET.headroom_pct, allowance);
         let excess = is_excess(spill, seed);
         let shift_open = entry.shift.check(self.now, Freshness::Fresh).is_ok();
-        let estimates = [0, 1].map(|region| Estimate {
+        let estimates = [0, 1].map(|region| RegionEstimate {
             wait: if region == here {
                 self.admit.expected_wait(0, &load)
             } else {
                 HOP
             },
-            service: entry.service,
-            link: if region == here {
+            service_time: entry.service,
+            round_trip: if region == here {
                 Duration::ZERO
             } else {
                 self.round_trip()
@@ -412,20 +415,20 @@
                 .carrying
                 .headroom_left_pct(self.regions[region].open),
             admitting: true,
-            shift_open,
+            shift_allowed: shift_open,
             freshness: Freshness::Fresh,
             drained: false,
         });
-        let question = Question {
-            here,
+        let question = PlacementQuery {
+            local_region: here,
             preference: &[here, 1 - here],
             estimates: &estimates,
             target: &TARGET,
             previous: entry.previous,
-            excess,
+            exceeds_headroom: excess,
             deadline_left: DEADLINE,
         };
-        place(&question, &PlaceSettings::default())
+        place(&question, &PlacementSettings::default())
     }
 
     fn load(&self, entry: usize, queued_ahead: usize) -> Load {
@@ -436,8 +439,8 @@
             in_flight: capacity.in_flight,
             queued_ahead: queued_ahead as u32,
             queued: entry.queue.len() as u32,
-            service: entry.service,
-            completion_gap: entry.completion_gap,
+            service_time: entry.service,
+            completion_interval: entry.completion_gap,
         }
     }
 
@@ -453,10 +456,10 @@
         for (upstream, view) in views.iter_mut().enumerate() {
             let server = &self.upstreams[region_of(entry) * UPSTREAMS + upstream];
             view.reported = server.reports.front().copied();
-            if self.policy == Policy::Ours {
-                view.ramp_limit = slow_starts[upstream].limit();
+            if self.policy == Policy::LeastLoaded {
+                view.slow_start_limit = slow_starts[upstream].limit();
                 view.suspect = detectors[upstream].is_suspected();
-                view.cold = slow_starts[upstream].phase() == RampPhase::Trickle;
+                view.cold = slow_starts[upstream].phase() == SlowStartPhase::Probing;
                 view.probe_due = probes
                     && (slow_starts[upstream].probe_due(now) || detectors[upstream].probe_due(now));
             }
@@ -492,7 +495,7 @@
         let Request { home, entry, .. } = self.requests[id];
         self.entries[entry].counts.unserved += 1;
         if home != entry {
-            self.entries[home].shift.finish(self.now);
+            self.entries[home].shift.release(self.now);
         }
         self.results.refused += u32::from(region_of(home) == 0);
     }
@@ -565,7 +568,7 @@
         let mut latency = self.now - request.arrived_at;
         if shifted {
             latency += self.round_trip() / 2;
-            self.entries[request.home].shift.finish(self.now);
+            self.entries[request.home].shift.release(self.now);
         }
         if region == 0 {
             self.results.completed += u32::from(latency <= DEADLINE);
@@ -574,7 +577,7 @@
                 self.results.local_latencies.push(latency);
             }
         }
-        if self.policy == Policy::Ours {
+        if self.policy == Policy::LeastLoaded {
             self.drain_queue(request.entry);
         }
     }
@@ -590,21 +593,26 @@
         view.latency = smooth_latency(view.latency, latency);
         if !request.copy {
             entry.service = smooth_latency(entry.service, latency);
-            entry.counts.stats.add(&Seen::response(latency));
+            entry.counts.stats.add(&WindowStats::response(latency));
             let gap = now - entry.last_completion_at;
             entry.completion_gap = smooth_latency(entry.completion_gap, gap);
             entry.last_completion_at = now;
         }
         let mut others: Vec<_> = entry.views.iter().map(|view| view.latency).collect();
         others.swap_remove(upstream);
-        let sibling_latency = Suspect::typical(&mut others);
-        let stats = Seen::response(latency);
+        let sibling_latency = FailureDetector::median_latency(&mut others);
+        let stats = WindowStats::response(latency);
         let usable = entry.views[upstream].usable;
         let phase = entry.slow_starts[upstream].phase();
         entry.slow_starts[upstream].observe(now, &stats, usable, Freshness::Fresh);
         let change = entry.detectors[upstream].observe(now, &stats, sibling_latency, phase);
-        if change == Some(Suspicion::Cleared) {
-            entry.slow_starts[upstream].restart(now, RampCause::Silence, sibling_latency, true);
+        if change == Some(SuspicionChange::Cleared) {
+            entry.slow_starts[upstream].restart(
+                now,
+                SlowStartCause::Silence,
+                sibling_latency,
+                true,
+            );
         }
     }
 
@@ -633,7 +641,7 @@
                 entry
                     .slow_starts
                     .iter_mut()
-                    .for_each(|slow_start| slow_start.relieve(self.now));
+                    .for_each(|slow_start| slow_start.force_step(self.now));
             }
             sum.arrived += counts.arrived;
             sum.carried += counts.carried;
@@ -688,7 +696,7 @@
                 (server.busy_slots, server.queue.len() as u32)
             };
             let (slots, age) = (SLOTS, self.scenario.report_lag);
-            server.reports.push_back(Reported {
+            server.reports.push_back(LoadReport {
                 in_flight,
                 queued,
                 slots,
@@ -708,12 +716,12 @@
 }
 
 /// Fixed share of an upstream's slots; the remaining slots are distributed round robin.
-fn owned_slots(entry: usize, upstream: usize) -> View {
+fn owned_slots(entry: usize, upstream: usize) -> UpstreamView {
     let position = (entry + upstream) % ENTRIES;
     let remainder = SLOTS as usize % ENTRIES;
     let usable = SLOTS / ENTRIES as u32 + u32::from(position < remainder);
-    View {
+    UpstreamView {
         usable,
-        ..View::default()
+        ..UpstreamView::default()
     }
 }
