--- a/crates/steer/tests/tables.rs
+++ b/crates/steer/tests/tables.rs
@@ -14,16 +14,16 @@
     Duration::from_millis(millis)
 }
 
-fn view(usable: u32, in_flight: u32, latency_ms: u64) -> View {
-    View {
+fn view(usable: u32, in_flight: u32, latency_ms: u64) -> UpstreamView {
+    UpstreamView {
         usable,
         in_flight,
         latency: ms(latency_ms),
-        ..View::default()
+        ..UpstreamView::default()
     }
 }
 
-fn least_loaded(views: &[View]) -> Option<usize> {
+fn least_loaded(views: &[UpstreamView]) -> Option<usize> {
     let chosen: Vec<_> = (0..16)
         .map(|seed| LeastLoaded::default().choose(views, ms(0), seed))
         .collect();
@@ -31,22 +31,22 @@
     chosen[0]
 }
 
-fn suspect(probe_due: bool) -> View {
-    View {
+fn suspect(probe_due: bool) -> UpstreamView {
+    UpstreamView {
         suspect: true,
         probe_due,
         ..view(3, 0, 1)
     }
 }
 
-fn reported(in_flight: u32, queued: u32) -> View {
-    let report = Reported {
+fn reported(in_flight: u32, queued: u32) -> UpstreamView {
+    let report = LoadReport {
         in_flight,
         queued,
         slots: 9,
         age: ms(100),
     };
-    View {
+    UpstreamView {
         reported: Some(report),
         ..view(8, 3, 10)
     }
@@ -59,62 +59,106 @@
     choose_fast_before_idle: least_loaded(&[view(3, 0, 80), view(3, 2, 10)]) => Some(1);
     choose_never_above_usable: least_loaded(&[view(3, 3, 1), view(1, 0, 900)]) => Some(1);
     choose_none_when_full: least_loaded(&[view(3, 3, 1), view(0, 0, 1)]) => None;
-    choose_never_above_slow_start: least_loaded(&[View { ramp_limit: 1, ..view(3, 1, 1) }]) => None;
-    choose_never_leaving: least_loaded(&[View { leaving: true, ..view(3, 0, 1) }]) => None;
-    choose_fresh_first: least_loaded(&[View { fresh: false, ..view(3, 0, 1) }, view(3, 2, 50)]) => Some(1);
-    choose_stale_alone: least_loaded(&[View { fresh: false, ..view(3, 0, 1) }]) => Some(0);
+    choose_never_above_slow_start: least_loaded(&[UpstreamView { slow_start_limit: 1, ..view(3, 1, 1) }]) => None;
+    choose_never_leaving: least_loaded(&[UpstreamView { leaving: true, ..view(3, 0, 1) }]) => None;
+    choose_fresh_first: least_loaded(&[UpstreamView { fresh: false, ..view(3, 0, 1) }, view(3, 2, 50)]) => Some(1);
+    choose_stale_alone: least_loaded(&[UpstreamView { fresh: false, ..view(3, 0, 1) }]) => Some(0);
     choose_no_suspect: least_loaded(&[suspect(false), view(3, 2, 50)]) => Some(1);
     choose_no_suspect_alone: least_loaded(&[suspect(false)]) => None;
     choose_due_probe: least_loaded(&[suspect(true), view(3, 0, 50)]) => Some(0);
-    choose_one_probe: least_loaded(&[View { in_flight: 1, ..suspect(true) }, view(3, 0, 9)]) => Some(1);
+    choose_one_probe: least_loaded(&[UpstreamView { in_flight: 1, ..suspect(true) }, view(3, 0, 9)]) => Some(1);
     report_of_idle_does_not_raise: reported(0, 0).limit() => 8;
     report_of_queue_lowers: reported(9, 3).limit() => 6;
     report_of_endless_queue_leaves_one: reported(0, 9999).limit() => 1;
 }
 
-const SIX_PROBES: RampSettings = RampSettings {
+const SIX_PROBES: SlowStartSettings = SlowStartSettings {
     probe_window: 6,
-    ..RampSettings::DEFAULT
+    ..SlowStartSettings::DEFAULT
 };
 
 /// Guards against a latency peak when a cold region takes load again, which occurs if slots are
 /// opened faster than the cache warms: a cold start with slow probes, fast probes, then full windows.
 #[test]
 fn slow_start_follows_latency() {
-    let mut slow_start = Ramp::warm(SIX_PROBES);
-    slow_start.observe(ms(0), &Seen::response(ms(10)), 3, Freshness::Fresh);
-    slow_start.restart(ms(0), RampCause::ColdStart, None, true);
+    let mut slow_start = SlowStart::warm(SIX_PROBES);
+    slow_start.observe(ms(0), &WindowStats::response(ms(10)), 3, Freshness::Fresh);
+    slow_start.restart(ms(0), SlowStartCause::ColdStart, None, true);
     assert!(slow_start.probe_due(ms(0)));
     slow_start.probe_sent(ms(0));
     assert!(!slow_start.probe_due(ms(49)) && slow_start.probe_due(ms(50)));
-    let step = |slow_start: &mut Ramp, at, latency, answers| {
+    let step = |slow_start: &mut SlowStart, at, latency, answers| {
         for _ in 0..answers {
-            slow_start.observe(ms(at), &Seen::response(ms(latency)), 3, Freshness::Fresh);
+            slow_start.observe(
+                ms(at),
+                &WindowStats::response(ms(latency)),
+                3,
+                Freshness::Fresh,
+            );
         }
         (slow_start.phase(), slow_start.limit())
     };
-    assert_eq!(step(&mut slow_start, 250, 50, 12), (RampPhase::Trickle, 2));
-    assert_eq!(step(&mut slow_start, 500, 11, 6), (RampPhase::Opening, 2));
-    assert_eq!(step(&mut slow_start, 510, 11, 3), (RampPhase::Opening, 2));
-    assert_eq!(step(&mut slow_start, 510, 11, 1), (RampPhase::Opening, 3));
-    assert_eq!(step(&mut slow_start, 520, 14, 6), (RampPhase::Opening, 3));
-    assert_eq!(step(&mut slow_start, 530, 16, 6), (RampPhase::Opening, 1));
-    assert_eq!(step(&mut slow_start, 540, 10, 40), (RampPhase::Opening, 1));
-    assert_eq!(step(&mut slow_start, 1031, 10, 2), (RampPhase::Opening, 2));
-    assert_eq!(step(&mut slow_start, 1040, 10, 4), (RampPhase::Opening, 3));
+    assert_eq!(
+        step(&mut slow_start, 250, 50, 12),
+        (SlowStartPhase::Probing, 2)
+    );
+    assert_eq!(
+        step(&mut slow_start, 500, 11, 6),
+        (SlowStartPhase::Opening, 2)
+    );
+    assert_eq!(
+        step(&mut slow_start, 510, 11, 3),
+        (SlowStartPhase::Opening, 2)
+    );
+    assert_eq!(
+        step(&mut slow_start, 510, 11, 1),
+        (SlowStartPhase::Opening, 3)
+    );
+    assert_eq!(
+        step(&mut slow_start, 520, 14, 6),
+        (SlowStartPhase::Opening, 3)
+    );
+    assert_eq!(
+        step(&mut slow_start, 530, 16, 6),
+        (SlowStartPhase::Opening, 1)
+    );
+    assert_eq!(
+        step(&mut slow_start, 540, 10, 40),
+        (SlowStartPhase::Opening, 1)
+    );
+    assert_eq!(
+        step(&mut slow_start, 1031, 10, 2),
+        (SlowStartPhase::Opening, 2)
+    );
+    assert_eq!(
+        step(&mut slow_start, 1040, 10, 4),
+        (SlowStartPhase::Opening, 3)
+    );
     assert_eq!(
         step(&mut slow_start, 1050, 10, 6),
-        (RampPhase::Warm, NO_LIMIT)
+        (SlowStartPhase::Warm, NO_LIMIT)
+    );
+    slow_start.restart(ms(2000), SlowStartCause::RegionReturn, None, true);
+    assert_eq!(
+        step(&mut slow_start, 2000, 10, 6),
+        (SlowStartPhase::Opening, 2)
+    );
+    assert_eq!(
+        step(&mut slow_start, 2010, 16, 4),
+        (SlowStartPhase::Probing, 1)
+    );
+    assert_eq!(
+        step(&mut slow_start, 2020, 50, 1),
+        (SlowStartPhase::Probing, 1)
+    );
+    assert_eq!(
+        step(&mut slow_start, 2030, 50, 1),
+        (SlowStartPhase::Probing, 2)
     );
-    slow_start.restart(ms(2000), RampCause::RegionReturn, None, true);
-    assert_eq!(step(&mut slow_start, 2000, 10, 6), (RampPhase::Opening, 2));
-    assert_eq!(step(&mut slow_start, 2010, 16, 4), (RampPhase::Trickle, 1));
-    assert_eq!(step(&mut slow_start, 2020, 50, 1), (RampPhase::Trickle, 1));
-    assert_eq!(step(&mut slow_start, 2030, 50, 1), (RampPhase::Trickle, 2));
     slow_start.observe(ms(2040), &failed(1, 0, 0), 3, Freshness::Fresh);
     assert_eq!(
         (slow_start.phase(), slow_start.limit()),
-        (RampPhase::Trickle, 1)
+        (SlowStartPhase::Probing, 1)
     );
 }
 
@@ -122,30 +166,35 @@
 /// probes are evaluated in one window that is found slow and then dropped as a whole.
 #[test]
 fn probing_ends_six_probes_after_the_last_cold_one() {
-    let mut slow_start = Ramp::warm(SIX_PROBES);
-    slow_start.observe(ms(0), &Seen::response(ms(10)), 3, Freshness::Fresh);
-    slow_start.restart(ms(0), RampCause::ColdStart, None, true);
+    let mut slow_start = SlowStart::warm(SIX_PROBES);
+    slow_start.observe(ms(0), &WindowStats::response(ms(10)), 3, Freshness::Fresh);
+    slow_start.restart(ms(0), SlowStartCause::ColdStart, None, true);
     let mut probe = |latency| {
-        slow_start.observe(ms(0), &Seen::response(ms(latency)), 3, Freshness::Fresh);
+        slow_start.observe(
+            ms(0),
+            &WindowStats::response(ms(latency)),
+            3,
+            Freshness::Fresh,
+        );
         slow_start.phase()
     };
-    let phases: Vec<RampPhase> = [50; 5].into_iter().chain([11; 6]).map(&mut probe).collect();
-    assert_eq!(phases[..10], [RampPhase::Trickle; 10]);
-    assert_eq!(phases[10], RampPhase::Opening);
+    let phases: Vec<SlowStartPhase> = [50; 5].into_iter().chain([11; 6]).map(&mut probe).collect();
+    assert_eq!(phases[..10], [SlowStartPhase::Probing; 10]);
+    assert_eq!(phases[10], SlowStartPhase::Opening);
 }
 
 /// Guards against an upstream that idles next to busy ones while its slots open. It occurs if the
 /// latencies observed while it was cold make it look slow, and no newer ones are ever observed.
 #[test]
 fn idle_upstream_gets_probes_while_opening() {
-    let mut slow_start = Ramp::warm(RampSettings::default());
-    slow_start.observe(ms(0), &Seen::response(ms(10)), 9, Freshness::Fresh);
+    let mut slow_start = SlowStart::warm(SlowStartSettings::default());
+    slow_start.observe(ms(0), &WindowStats::response(ms(10)), 9, Freshness::Fresh);
     assert!(
         !slow_start.probe_due(ms(9000)),
         "a warm upstream needs no probe"
     );
-    slow_start.restart(ms(0), RampCause::Silence, None, true);
-    slow_start.observe(ms(100), &Seen::response(ms(10)), 9, Freshness::Fresh);
+    slow_start.restart(ms(0), SlowStartCause::Silence, None, true);
+    slow_start.observe(ms(100), &WindowStats::response(ms(10)), 9, Freshness::Fresh);
     assert!(!slow_start.probe_due(ms(399)) && slow_start.probe_due(ms(400)));
     slow_start.probe_sent(ms(400));
     assert!(!slow_start.probe_due(ms(699)) && slow_start.probe_due(ms(700)));
@@ -156,18 +205,18 @@
 /// latency that none of its upstreams can reach.
 #[test]
 fn slow_start_opens_by_count_without_an_alternative() {
-    let mut slow_start = Ramp::warm(RampSettings::default());
-    slow_start.restart(ms(0), RampCause::RegionReturn, Some(ms(10)), false);
-    let stats = |answers| Seen {
-        answers,
+    let mut slow_start = SlowStart::warm(SlowStartSettings::default());
+    slow_start.restart(ms(0), SlowStartCause::RegionReturn, Some(ms(10)), false);
+    let stats = |answers| WindowStats {
+        responses: answers,
         latency_sum: ms(40) * answers,
-        ..Seen::default()
+        ..WindowStats::default()
     };
     for (answers, limit) in [(3, 2), (1, 3), (6, 4)] {
         slow_start.observe(ms(0), &stats(answers), 9, Freshness::Fresh);
         assert_eq!(
             (slow_start.phase(), slow_start.limit()),
-            (RampPhase::Opening, limit)
+            (SlowStartPhase::Opening, limit)
         );
     }
     slow_start.observe(ms(0), &failed(1, 0, 0), 9, Freshness::Fresh);
@@ -178,13 +227,13 @@
 /// others are cold, and slow start waits for the requests that it holds back.
 #[test]
 fn slow_start_opens_slots_for_unserved_work() {
-    let mut slow_start = Ramp::warm(RampSettings::default());
-    slow_start.restart(ms(0), RampCause::RegionReturn, Some(ms(10)), true);
+    let mut slow_start = SlowStart::warm(SlowStartSettings::default());
+    slow_start.restart(ms(0), SlowStartCause::RegionReturn, Some(ms(10)), true);
     for limit in 2..5 {
-        slow_start.relieve(ms(0));
+        slow_start.force_step(ms(0));
         assert_eq!(
             (slow_start.phase(), slow_start.limit()),
-            (RampPhase::Opening, limit)
+            (SlowStartPhase::Opening, limit)
         );
     }
 }
@@ -193,37 +242,37 @@
 /// machine and cannot reach its old warm latency any more.
 #[test]
 fn slow_start_adapts_to_a_slower_machine() {
-    let mut slow_start = Ramp::warm(RampSettings::default());
-    slow_start.restart(ms(0), RampCause::Silence, Some(ms(10)), true);
+    let mut slow_start = SlowStart::warm(SlowStartSettings::default());
+    slow_start.restart(ms(0), SlowStartCause::Silence, Some(ms(10)), true);
     for second in 0..60 {
-        let stats = Seen {
-            answers: 8,
+        let stats = WindowStats {
+            responses: 8,
             latency_sum: ms(160),
-            ..Seen::default()
+            ..WindowStats::default()
         };
         slow_start.observe(ms(1000 * second), &stats, 2, Freshness::Fresh);
     }
-    assert_eq!(slow_start.phase(), RampPhase::Warm);
+    assert_eq!(slow_start.phase(), SlowStartPhase::Warm);
 }
 
-fn raised(stats: Seen, times: u32) -> bool {
-    raised_in(RampPhase::Warm, stats, times)
+fn raised(stats: WindowStats, times: u32) -> bool {
+    raised_in(SlowStartPhase::Warm, stats, times)
 }
 
-fn raised_in(phase: RampPhase, stats: Seen, times: u32) -> bool {
-    let mut detector = Suspect::trusted(SuspectSettings::default());
+fn raised_in(phase: SlowStartPhase, stats: WindowStats, times: u32) -> bool {
+    let mut detector = FailureDetector::trusted(FailureDetectorSettings::default());
     for _ in 0..times {
         let _ = detector.observe(ms(0), &stats, Some(ms(10)), phase);
     }
     detector.is_suspected()
 }
 
-fn failed(timeouts: u32, refused: u32, truncated: u32) -> Seen {
-    Seen {
+fn failed(timeouts: u32, refused: u32, truncated: u32) -> WindowStats {
+    WindowStats {
         timeouts,
         refused,
         truncated,
-        ..Seen::default()
+        ..WindowStats::default()
     }
 }
 
@@ -232,48 +281,48 @@
     suspect_one_timeout: raised(failed(1, 0, 0), 1) => false;
     suspect_two_timeouts: raised(failed(1, 0, 0), 2) => true;
     suspect_two_truncated: raised(failed(0, 0, 1), 2) => true;
-    suspect_slow: raised(Seen::response(ms(31)), 8) => true;
-    suspect_slow_while_opening: raised_in(RampPhase::Opening, Seen::response(ms(31)), 8) => true;
-    suspect_slow_while_probing: raised_in(RampPhase::Trickle, Seen::response(ms(40)), 99) => false;
-    suspect_failed_while_probing: raised_in(RampPhase::Trickle, failed(0, 1, 0), 1) => true;
-    suspect_not_slow: raised(Seen::response(ms(29)), 99) => false;
-    suspect_penalty_decreases: raised(Seen { answers: 16, latency_sum: ms(160), ..failed(1, 0, 0) }, 9) => false;
-    median_latency_skips_unknown: Suspect::typical(&mut [ms(0), ms(9), ms(1), ms(5)]) => Some(ms(5));
-    median_latency_of_none: Suspect::typical(&mut [ms(0)]) => None;
+    suspect_slow: raised(WindowStats::response(ms(31)), 8) => true;
+    suspect_slow_while_opening: raised_in(SlowStartPhase::Opening, WindowStats::response(ms(31)), 8) => true;
+    suspect_slow_while_probing: raised_in(SlowStartPhase::Probing, WindowStats::response(ms(40)), 99) => false;
+    suspect_failed_while_probing: raised_in(SlowStartPhase::Probing, failed(0, 1, 0), 1) => true;
+    suspect_not_slow: raised(WindowStats::response(ms(29)), 99) => false;
+    suspect_penalty_decreases: raised(WindowStats { responses: 16, latency_sum: ms(160), ..failed(1, 0, 0) }, 9) => false;
+    median_latency_skips_unknown: FailureDetector::median_latency(&mut [ms(0), ms(9), ms(1), ms(5)]) => Some(ms(5));
+    median_latency_of_none: FailureDetector::median_latency(&mut [ms(0)]) => None;
 }
 
 /// Guards against requests that fail at a recovering upstream, which occurs if several probes are
 /// in flight or probes have no backoff: a refused connection, a failed probe, then successful ones.
 #[test]
 fn suspect_recovers_by_single_probes() {
-    let mut detector = Suspect::trusted(SuspectSettings::default());
+    let mut detector = FailureDetector::trusted(FailureDetectorSettings::default());
     let sibling_latency = Some(ms(10));
     let refused = failed(0, 1, 0);
-    let raised = detector.observe(ms(0), &refused, sibling_latency, RampPhase::Warm);
-    assert_eq!(raised, Some(Suspicion::Raised));
+    let raised = detector.observe(ms(0), &refused, sibling_latency, SlowStartPhase::Warm);
+    assert_eq!(raised, Some(SuspicionChange::Raised));
     // Late responses to requests sent before the suspicion do not count as probes.
     assert_eq!(
         detector.observe(
             ms(1),
-            &Seen::response(ms(9)),
+            &WindowStats::response(ms(9)),
             sibling_latency,
-            RampPhase::Warm
+            SlowStartPhase::Warm
         ),
         None
     );
     assert!(!detector.probe_due(ms(499)) && detector.probe_due(ms(500)));
     detector.probe_sent();
     assert!(!detector.probe_due(ms(5000)));
-    let _ = detector.observe(ms(600), &refused, sibling_latency, RampPhase::Warm);
+    let _ = detector.observe(ms(600), &refused, sibling_latency, SlowStartPhase::Warm);
     assert!(!detector.probe_due(ms(1599)) && detector.probe_due(ms(1600)));
-    for (at, want) in [(1600, None), (1601, Some(Suspicion::Cleared))] {
+    for (at, want) in [(1600, None), (1601, Some(SuspicionChange::Cleared))] {
         assert!(detector.probe_due(ms(at)));
         detector.probe_sent();
         let change = detector.observe(
             ms(at),
-            &Seen::response(ms(11)),
+            &WindowStats::response(ms(11)),
             sibling_latency,
-            RampPhase::Warm,
+            SlowStartPhase::Warm,
         );
         assert_eq!(change, want);
     }
@@ -290,83 +339,83 @@
     ..QUICK
 };
 
-fn region(expected_ms: u64, headroom_left_pct: u32) -> Estimate {
-    Estimate {
+fn region(expected_ms: u64, headroom_left_pct: u32) -> RegionEstimate {
+    RegionEstimate {
         wait: ms(0),
-        service: ms(expected_ms),
-        link: ms(0),
+        service_time: ms(expected_ms),
+        round_trip: ms(0),
         headroom_left_pct,
         admitting: true,
-        shift_open: true,
+        shift_allowed: true,
         freshness: Freshness::Fresh,
         drained: false,
     }
 }
 
-fn drained(estimate: Estimate) -> Estimate {
-    Estimate {
+fn drained(estimate: RegionEstimate) -> RegionEstimate {
+    RegionEstimate {
         drained: true,
         ..estimate
     }
 }
 
-fn lost(estimate: Estimate) -> Estimate {
-    Estimate {
+fn lost(estimate: RegionEstimate) -> RegionEstimate {
+    RegionEstimate {
         admitting: false,
         ..estimate
     }
 }
 
-fn old(estimate: Estimate) -> Estimate {
-    Estimate {
+fn old(estimate: RegionEstimate) -> RegionEstimate {
+    RegionEstimate {
         freshness: Freshness::Old,
         ..estimate
     }
 }
 
-fn capped(estimate: Estimate) -> Estimate {
-    Estimate {
-        shift_open: false,
+fn capped(estimate: RegionEstimate) -> RegionEstimate {
+    RegionEstimate {
+        shift_allowed: false,
         ..estimate
     }
 }
 
 /// Places a request in region 0 whose caller prefers the regions in index order.
-fn placed(target: ClassTarget, previous: Option<usize>, estimates: &[Estimate]) -> Placement {
-    let question = Question {
-        excess: estimates[0].headroom_left_pct <= target.headroom_pct,
-        here: 0,
+fn placed(target: ClassTarget, previous: Option<usize>, estimates: &[RegionEstimate]) -> Placement {
+    let question = PlacementQuery {
+        exceeds_headroom: estimates[0].headroom_left_pct <= target.headroom_pct,
+        local_region: 0,
         preference: &[0, 1, 2][..estimates.len()],
         estimates,
         target: &target,
         previous,
         deadline_left: ms(1000),
     };
-    place(&question, &PlaceSettings::default())
+    place(&question, &PlacementSettings::default())
 }
 
-use Placement::{Here, Refuse, Shift};
+use Placement::{Local, Refuse, Shift};
 
 cases! {
-    place_local: placed(QUICK, None, &[region(10, 50), region(120, 90)]) => Here;
-    place_small_gain_stays: placed(QUICK, None, &[region(100, 50), region(80, 90)]) => Here;
+    place_local: placed(QUICK, None, &[region(10, 50), region(120, 90)]) => Local;
+    place_small_gain_stays: placed(QUICK, None, &[region(100, 50), region(80, 90)]) => Local;
     place_gain_shifts: placed(QUICK, None, &[region(100, 50), region(70, 90)]) => Shift(1);
-    place_not_idempotent_stays: placed(NOT_IDEMPOTENT, None, &[region(100, 50), region(70, 90)]) => Here;
+    place_not_idempotent_stays: placed(NOT_IDEMPOTENT, None, &[region(100, 50), region(70, 90)]) => Local;
     place_small_gain_keeps_shift: placed(QUICK, Some(1), &[region(100, 50), region(87, 90)]) => Shift(1);
-    place_too_small_gain_ends_shift: placed(QUICK, Some(1), &[region(100, 50), region(88, 90)]) => Here;
-    place_small_gain_starts_no_shift: placed(QUICK, None, &[region(100, 50), region(87, 90)]) => Here;
+    place_too_small_gain_ends_shift: placed(QUICK, Some(1), &[region(100, 50), region(88, 90)]) => Local;
+    place_small_gain_starts_no_shift: placed(QUICK, None, &[region(100, 50), region(87, 90)]) => Local;
     place_spill: placed(NOT_IDEMPOTENT, None, &[region(10, 20), region(120, 90)]) => Shift(1);
     place_spill_to_best: placed(QUICK, None, &[region(10, 9), region(120, 90), region(60, 30)]) => Shift(2);
-    place_no_spill_without_room: placed(QUICK, None, &[region(10, 9), region(120, 20)]) => Here;
-    place_no_spill_past_cap: placed(QUICK, None, &[region(10, 9), capped(region(120, 90))]) => Here;
-    place_no_spill_past_deadline: placed(QUICK, None, &[region(10, 9), region(1200, 90)]) => Here;
-    place_no_new_shift_on_old: placed(QUICK, None, &[region(10, 9), old(region(120, 90))]) => Here;
+    place_no_spill_without_room: placed(QUICK, None, &[region(10, 9), region(120, 20)]) => Local;
+    place_no_spill_past_cap: placed(QUICK, None, &[region(10, 9), capped(region(120, 90))]) => Local;
+    place_no_spill_past_deadline: placed(QUICK, None, &[region(10, 9), region(1200, 90)]) => Local;
+    place_no_new_shift_on_old: placed(QUICK, None, &[region(10, 9), old(region(120, 90))]) => Local;
     place_old_shift_goes_on: placed(QUICK, Some(1), &[region(10, 9), old(region(120, 90))]) => Shift(1);
     place_drained_local: placed(NOT_IDEMPOTENT, None, &[drained(region(10, 99)), region(120, 90)]) => Shift(1);
     place_lost_local_old_remote: placed(QUICK, None, &[lost(region(10, 99)), old(region(120, 90))]) => Shift(1);
     place_no_region: placed(QUICK, None, &[lost(region(10, 99)), drained(region(120, 90))])
         => Refuse { retry_after: ms(10_000) };
-    place_retry_from_wait: placed(QUICK, None, &[drained(region(10, 99)), Estimate { wait: ms(400), ..region(120, 5) }])
+    place_retry_from_wait: placed(QUICK, None, &[drained(region(10, 99)), RegionEstimate { wait: ms(400), ..region(120, 5) }])
         => Refuse { retry_after: ms(400) };
 }
 
@@ -390,7 +439,7 @@
     displaced_to_none: steer::place_displaced(&[], 25, 7) => None;
 }
 
-fn admit() -> Admit {
+fn admit() -> AdmissionControl {
     let lenient = ClassTarget {
         latency_target: ms(30_000),
         headroom_pct: 10,
@@ -401,7 +450,7 @@
         headroom_pct: 30,
         ..lenient
     };
-    Admit::new(vec![QUICK, lenient, ranked], 4)
+    AdmissionControl::new(vec![QUICK, lenient, ranked], 4)
 }
 
 fn load(in_flight: u32, queued: u32) -> Load {
@@ -411,8 +460,8 @@
         in_flight,
         queued_ahead: queued,
         queued,
-        service,
-        completion_gap,
+        service_time: service,
+        completion_interval: completion_gap,
     }
 }
 
@@ -484,7 +533,7 @@
     allowance_of_room: allowance(0, 60).milli_slots() / 100 => 74;
     allowance_grows_on_use: allowance(10, 60).milli_slots() / 100 => 174;
     allowance_shrinks_past_headroom: allowance(10, 90).milli_slots() / 100 => 24;
-    unserved_after_three_ticks: { let mut r = Relief::default(); [6, 6, 6, 5, 6].map(|n| r.tick(100, n)) }
+    unserved_after_three_ticks: { let mut r = StarvationDetector::default(); [6, 6, 6, 5, 6].map(|n| r.tick(100, n)) }
         => [false, false, true, false, false];
     spill_fraction: (0..1000).filter(|&seed| is_excess(250, seed)).count() / 50 => 5;
 }
@@ -493,9 +542,9 @@
 ///
 /// Each peer is given by its reported busy slots, its open slots and the requests outstanding there.
 fn least_occupied_peer(queued: u32, others: &[(u64, u32, u32)]) -> Option<usize> {
-    let local = Occupancy::here(15, queued, 15);
+    let local = Occupancy::local(15, queued, 15);
     let others = others.iter().map(|&(reported, open, outstanding)| {
-        Occupancy::beside(reported * 1000, open, outstanding, 2)
+        Occupancy::peer(reported * 1000, open, outstanding, 2)
     });
     least_occupied(&local, others)
 }
@@ -525,7 +574,7 @@
 #[test]
 fn retry_budget_saves_ten() {
     let mut budget = RetryBudget::new(50);
-    (0..1000).for_each(|_| budget.offer());
+    (0..1000).for_each(|_| budget.record_request());
     assert_eq!((0..99).filter(|_| budget.take()).count(), 10);
 }
 
@@ -534,8 +583,8 @@
 #[test]
 fn copies_leave_half_of_the_saved_retries() {
     let mut budget = RetryBudget::new(50);
-    (0..1000).for_each(|_| budget.offer());
-    assert_eq!((0..99).filter(|_| budget.take_spare()).count(), 5);
+    (0..1000).for_each(|_| budget.record_request());
+    assert_eq!((0..99).filter(|_| budget.take_for_probe()).count(), 5);
     assert_eq!((0..99).filter(|_| budget.take()).count(), 5);
 }
 
@@ -553,7 +602,7 @@
     assert!((ms(95)..ms(115)).contains(&delay), "{delay:?}");
     assert_eq!(hedge.delay(&NOT_IDEMPOTENT, &latencies), None);
     let mut budget = RetryBudget::new(99);
-    (0..11).for_each(|_| budget.offer());
+    (0..11).for_each(|_| budget.record_request());
     assert!(!hedge.take(&QUICK, 40, &mut budget));
     assert!(hedge.take(&QUICK, 41, &mut budget));
     assert!(!hedge.take(&QUICK, 41, &mut budget));
