--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`Health`] that this entry observed.
 //!
 //! Limits that apply to all entries combined are divided into shares that each entry enforces on its own:
-//! [`RetryBudget`] limits the sends after a request's first, and [`ShiftBound`] limits how fast the share of requests
+//! [`RetryBudget`] limits the sends after a request's first, and [`ShiftLimiter`] limits how fast the share of requests
 //! that leave their region may change. The rate that a cold upstream accepts is too low to divide: the entry that holds
 //! the upstream's lease may use all of it ([`ColdStartLimiter`]), and the other entries may use none.
 //!
--- a/crates/balance/src/rendezvous.rs
+++ b/crates/balance/src/rendezvous.rs
@@ -16,7 +16,7 @@
     hasher.finish()
 }
 
-/// Returns the score of an upstream for a key, both given as hashes by [`affinity`]. The highest score is preferred.
+/// Returns the score of an upstream for a key, both given as hashes by [`affinity_hash`]. The highest score is preferred.
 pub fn rendezvous_score(key: u64, upstream: u64) -> u64 {
     let mut hasher = FixedState::default().build_hasher();
     hasher.write_u64(key);
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Work leaves its region only through the entry of the other one, and each entry may send no
 //! more than its escrowed part of the cap between the two. Control sets the part and reads what is
-//! in flight through atomics; traffic threads meter what they send in a [`steer::ShiftLimit`]. The
+//! in flight through atomics; traffic threads meter what they send in a [`steer::ShiftLimiter`]. The
 //! lock around that is taken by traffic threads alone and held for a few instructions.
 
 use crate::process::slots::{
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`RowReader`], the names of headers and paths as [`Dialect`], the rest as [`Settings`].
 //!
 //! - `control` runs on the main thread: it follows the store's feeds and the other entries, keeps
-//!   the [`Picture`](picture::Picture), and publishes a [`Snapshot`] for each change.
+//!   the [`Picture`](picture::RoutingView), and publishes a [`Snapshot`] for each change.
 //! - `traffic` runs on a thread of its own: callers' requests, look-ups, readiness, metrics. It
 //!   reads the newest snapshot and never waits for the store, another entry or control.
 //!
--- a/crates/entry/src/message.rs
+++ b/crates/entry/src/message.rs
@@ -199,7 +199,7 @@
 /// An affinity key that an upstream had.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct WarmKey(
-    /// Hash of the upstream's name, as [`balance::affinity`] makes it.
+    /// Hash of the upstream's name, as [`balance::affinity_hash`] makes it.
     pub(crate) u64,
     /// Hash of the key, made likewise.
     pub(crate) u64,
--- a/crates/filing/src/batch.rs
+++ b/crates/filing/src/batch.rs
@@ -72,7 +72,7 @@
 pub struct Batch {
     queued: VecDeque<ConditionalWrite>,
     in_flight: Vec<ConditionalWrite>,
-    /// Writes of [`NO_CALLER`] that failed, until [`Batch::unpark`].
+    /// Writes of [`NO_CALLER`] that failed, until [`Batch::retry_deferred`].
     deferred: VecDeque<ConditionalWrite>,
     size_max: usize,
 }
@@ -113,7 +113,7 @@
         self.queued.append(&mut self.deferred);
     }
 
-    /// Number of writes deferred until [`Batch::unpark`].
+    /// Number of writes deferred until [`Batch::retry_deferred`].
     pub fn deferred(&self) -> usize {
         self.deferred.len()
     }
--- a/crates/filing/src/handover.rs
+++ b/crates/filing/src/handover.rs
@@ -270,7 +270,7 @@
 }
 
 impl<S> Stopping<S> {
-    /// See [`Ledger::begin`]; never returns [`Begin::Run`].
+    /// See [`Ledger::begin`]; never returns [`TicketDecision::Run`].
     pub fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         self.ledger.begin(ticket, now)
     }
@@ -285,7 +285,7 @@
         self.ledger.finish(nonce, record);
     }
 
-    /// See [`Ledger::unsent`].
+    /// See [`Ledger::remove_unsent`].
     pub fn remove_unsent(&mut self, nonce: Nonce) {
         self.ledger.remove_unsent(nonce);
     }
@@ -295,7 +295,7 @@
         self.ledger.expire(now)
     }
 
-    /// See [`Ledger::written`].
+    /// See [`Ledger::mark_written`].
     pub fn mark_written(&mut self, nonces: &[Nonce]) {
         self.ledger.mark_written(nonces);
     }
--- a/crates/filing/src/ledger.rs
+++ b/crates/filing/src/ledger.rs
@@ -32,7 +32,7 @@
 /// What to do with a request that carries a ticket.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum TicketDecision {
-    /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::unsent`] frees
+    /// Run it. Only one call of `begin` for a nonce returns this, unless [`Ledger::remove_unsent`] frees
     /// the nonce again.
     Run,
     /// A copy is running: wait until it ends, then call `begin` again.
@@ -52,8 +52,8 @@
 
 /// State of each ticket that this process may run.
 ///
-/// Invariant: a nonce is removed from `tickets` only by [`Ledger::unsent`], when nothing was sent,
-/// or once its ticket has expired by `clock` and the retention time [`Bounds::margin`] has passed.
+/// Invariant: a nonce is removed from `tickets` only by [`Ledger::remove_unsent`], when nothing was sent,
+/// or once its ticket has expired by `clock` and the retention time [`Bounds::retention`] has passed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ledger {
     pub(crate) instance: InstanceId,
@@ -105,7 +105,7 @@
     ///
     /// Refusing a filing without this call would leave its ticket valid: the caller, told
     /// `not-run`, files again with a new ticket, and a late copy of the first one runs as well.
-    /// Never returns [`Begin::Run`]; returns [`Begin::Replay`] with a `not-run` record if the
+    /// Never returns [`TicketDecision::Run`]; returns [`TicketDecision::Replay`] with a `not-run` record if the
     /// ticket was invalidated.
     pub fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
         if let Some(decision) = self.fixed_decision(ticket, now) {
@@ -148,7 +148,7 @@
     }
 
     /// Removes outcomes whose tickets expired longer ago than the retention time
-    /// [`Bounds::margin`], and returns their number.
+    /// [`Bounds::retention`], and returns their number.
     ///
     /// Running filings are kept.
     pub fn expire(&mut self, now: Now) -> usize {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -8,7 +8,7 @@
 //! version of the row, which is after the write took effect. If views differ, no entry holds the lease for a while, but
 //! never more than one does.
 //!
-//! Start with [`Leases`]. [`Leases::want`] sets the subjects whose leases are wanted, and [`Leases::due`] returns the
+//! Start with [`Leases`]. [`Leases::set_wanted`] sets the subjects whose leases are wanted, and [`Leases::take_due`] returns the
 //! claims to write. [`Leases::granted`] or [`Leases::refused`] then takes their outcome; if the outcome is unknown,
 //! neither is called.
 //!
--- a/crates/member/src/holder.rs
+++ b/crates/member/src/holder.rs
@@ -29,7 +29,7 @@
 ///
 /// Invariant: `valid_until` is the send time of a renewal that is known to have taken effect, plus
 /// the time for which a holder relies on it. Only the clock ends a lease, so a process that was
-/// paused gets a correct answer when it calls [`Holder::is_valid`] again after it resumes.
+/// paused gets a correct answer when it calls [`LeaseHolder::is_valid`] again after it resumes.
 ///
 /// One step is in progress at a time. Each step gets exactly one event; a step that timed out counts
 /// as one whose answer was lost.
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -3,12 +3,12 @@
 //! The crate has three independent parts.
 //!
 //! The *lease* of an instance is a row of the platform's table. [`Joining`] takes it with the next
-//! incarnation. [`Holder`] renews it and counts its validity from before each renewal was sent.
-//! [`Observer`] determines by its own clock whether the lease of another instance has lapsed. Other
+//! incarnation. [`LeaseHolder`] renews it and counts its validity from before each renewal was sent.
+//! [`LeaseObserver`] determines by its own clock whether the lease of another instance has lapsed. Other
 //! instances may take over what the holder had only once the lease has lapsed for them, which is
 //! after it lapsed for the holder.
 //!
-//! The *view* ([`Picture`]) is what one daemon knows of instances and upstreams. Its sources are
+//! The *view* ([`MembershipView`]) is what one daemon knows of instances and upstreams. Its sources are
 //! heartbeats, summaries relayed by other daemons, and the platform's list, which is only a hint.
 //! Each record carries a lower bound of the time at which it was true at its source; its
 //! [`Freshness`] restricts what it is used for. Leaving is irreversible within an incarnation,
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -8,9 +8,9 @@
 //!
 //! - [`Overlay`] determines which entries to dial and which are up: each hub advertises the entries that it has
 //!   sessions to as a [`Roster`], and hubs forward each other's rosters to their leaves.
-//! - [`Sums`] adds up requests in flight at upstreams: leaves report to one hub, and hubs exchange the sums of their
+//! - [`LoadSums`] adds up requests in flight at upstreams: leaves report to one hub, and hubs exchange the sums of their
 //!   leaves.
-//! - [`Follow`] tracks how far an entry has read a table of the store, by its own calls or through others: one hub of
+//! - [`TableFollower`] tracks how far an entry has read a table of the store, by its own calls or through others: one hub of
 //!   each region is a *reader* and forwards what it reads to all hubs, which forward it to their leaves.
 //!
 //! In a domain with no more than [`HUBS_PER_DOMAIN`] entries, all are hubs; if this holds of all domains, the overlay
--- a/crates/picture/src/lib.rs
+++ b/crates/picture/src/lib.rs
@@ -1,9 +1,9 @@
 //! An entry's view of routes, evacuations and upstreams, merged from the store and from other entries.
 //!
-//! Start with [`Picture`]. It applies single rows of the store's tables, whole tables, and updates from
+//! Start with [`RoutingView`]. It applies single rows of the store's tables, whole tables, and updates from
 //! other entries ([`UpstreamUpdate`]), and determines which upstreams get work. Every update carries the
 //! version of the row that it is based on, so updates may arrive in any order and from any source.
-//! [`Reach`] summarises the versions that a view contains; an entry that learns of a more recent view
+//! [`ViewVersions`] summarises the versions that a view contains; an entry that learns of a more recent view
 //! requests it.
 //!
 //! Invariants: no clock, socket or randomness; `now` is an argument. A version of the routes is replaced
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Start with [`serve`], which serves one caller's connection: it decodes requests, including
 //! pipelined ones, passes each to a [`Handler`] and writes the responses in order. Towards
-//! upstreams, [`Pool::exchange`] sends one request and returns the head of the [`Response`] as soon
+//! upstreams, [`Pool::exchange`] sends one request and returns the head of the [`UpstreamResponse`] as soon
 //! as it arrives, even while the request's body is still being sent. The [`BodyReader`] of the
 //! response tells a complete body from a truncated one.
 //!
--- a/crates/steer/src/admission.rs
+++ b/crates/steer/src/admission.rs
@@ -91,7 +91,7 @@
 
     /// Expected wait of a request of class `class`; zero when a slot is free for it.
     ///
-    /// Serves as the wait in the [`Estimate`](crate::Estimate) of the local region.
+    /// Serves as the wait in the [`Estimate`](crate::RegionEstimate) of the local region.
     pub fn expected_wait(&self, class: usize, load: &Load) -> Duration {
         let reserve = reserved_slots(load.slots, self.reserve_pct[class]);
         let free = load.slots.saturating_sub(load.in_flight);
--- a/crates/steer/src/choose/least_loaded.rs
+++ b/crates/steer/src/choose/least_loaded.rs
@@ -25,7 +25,7 @@
 
 /// Selects the upstream with the least load on the owned slots, weighted by observed latency.
 ///
-/// Upstreams that are leaving or have no free slot within [`View::limit`] are never returned. A
+/// Upstreams that are leaving or have no free slot within [`UpstreamView::limit`] are never returned. A
 /// suspect or cold upstream is returned only for a probe that is due, while no request of this
 /// entry is in flight there. Such a probe takes precedence: otherwise, as long as slots are free
 /// elsewhere, a recovered upstream would never be probed. An upstream without recent information is
--- a/crates/steer/src/failure_detector.rs
+++ b/crates/steer/src/failure_detector.rs
@@ -120,7 +120,7 @@
     /// Processes the outcomes observed by this entry since the last call.
     ///
     /// `sibling_latency` is the median latency of the service's other upstreams, see
-    /// [`Suspect::typical`]; `phase` is the upstream's phase of slow start.
+    /// [`FailureDetector::median_latency`]; `phase` is the upstream's phase of slow start.
     ///
     /// In the probing phase, probes are slow because the upstream is cold, and the phase lasts until
     /// their latency has fallen. If that latency raised a suspicion, probes would be sent with a
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -4,25 +4,25 @@
 //!
 //! 1. [`place`]: selects the region. A request stays in the local region, unless another region is
 //!    faster including the round trip, or the request exceeds the class's headroom target
-//!    ([`Demand`]). A shift also needs capacity in [`ShiftLimit`], this entry's part of the cap
+//!    ([`Demand`]). A shift also needs capacity in [`ShiftLimiter`], this entry's part of the cap
 //!    between the two regions.
-//! 2. [`Admit`]: sends the request now, queues it in the entry's short queue, or refuses it at
+//! 2. [`AdmissionControl`]: sends the request now, queues it in the entry's short queue, or refuses it at
 //!    once with a retry delay that reflects the expected wait.
 //! 3. [`Choose`]: selects the upstream, among the slots that this entry owns. [`LeastLoaded`] is
 //!    the default policy; the [`baseline`](RoundRobin) policies exist for comparison.
 //!
-//! Outside the request path, the control task feeds the outcomes observed by this entry ([`Seen`])
-//! to the state machines that limit the use of one upstream: [`Ramp`] (slow start) and [`Suspect`]
+//! Outside the request path, the control task feeds the outcomes observed by this entry ([`WindowStats`])
+//! to the state machines that limit the use of one upstream: [`SlowStart`] (slow start) and [`FailureDetector`]
 //! (failure detection, with recovery by single probes). [`RetryBudget`] and [`HedgePolicy`] bound
 //! the requests that the entry adds to the offered load.
 //!
 //! Invariants of the crate:
 //!
 //! - [`LeastLoaded`] never returns an upstream that is leaving, nor one whose requests in flight
-//!   have reached [`View::limit`]. Where several threads count requests in flight, the count must
+//!   have reached [`UpstreamView::limit`]. Where several threads count requests in flight, the count must
 //!   be raised by compare-and-exchange against the same limit, and the choice repeated when it
 //!   fails.
-//! - The load that an upstream reports ([`Reported`]) can only lower what it is sent.
+//! - The load that an upstream reports ([`LoadReport`]) can only lower what it is sent.
 //! - Missing updates reduce the use of an upstream or region (see [`Freshness`]) but never to zero.
 //! - There is no clock, socket or randomness: `now` and seeds are arguments. Nothing on the
 //!   request path allocates.
--- a/crates/steer/src/shift.rs
+++ b/crates/steer/src/shift.rs
@@ -135,7 +135,7 @@
         self.balance = (self.balance + returned).min(self.burst());
     }
 
-    /// Admits one request, which is then in flight until [`ShiftLimit::finish`].
+    /// Admits one request, which is then in flight until [`ShiftLimiter::release`].
     ///
     /// `freshness` is that of the information about the other region: the shift does not grow on
     /// old information.
--- a/crates/steer/src/slow_start.rs
+++ b/crates/steer/src/slow_start.rs
@@ -212,7 +212,7 @@
     ///
     /// When all other upstreams are full or cold themselves, holding work back would refuse
     /// requests that a slow response would still serve in time; the symptom is refusals while slots
-    /// idle. [`Relief`] decides when to call this; the open slots stay within the owned ones.
+    /// idle. [`StarvationDetector`] decides when to call this; the open slots stay within the owned ones.
     pub fn force_step(&mut self, now: Now) {
         self.last_step_at = now;
         match self.phase {
@@ -371,7 +371,7 @@
 impl StarvationDetector {
     /// Processes one tick: the arrivals at this entry, and how many of them waited or were refused.
     ///
-    /// Returns true when [`Ramp::relieve`] is due. Intended for ticks of 100 ms.
+    /// Returns true when [`SlowStart::force_step`] is due. Intended for ticks of 100 ms.
     pub fn tick(&mut self, arrivals: u32, unserved: u32) -> bool {
         if unserved.saturating_mul(UNSERVED_DIVISOR) > arrivals {
             self.ticks = self.ticks.saturating_add(1);
