--- a/crates/peer/src/accept.rs
+++ b/crates/peer/src/accept.rs
@@ -1,9 +1,9 @@
-//! Connections that others open.
+//! Incoming connections.
 
 use crate::{
-    opening::listen,
+    opening::accept_session,
     refusal::Refusal,
-    session::carry,
+    session::run_session,
     shared::{
         Phase,
         Shared, //
@@ -27,46 +27,51 @@
     time::sleep, //
 };
 
-/// Wait after a failed accept, as when the process is out of descriptors; without it the loop
-/// would spin on the control thread.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when the process is out of file descriptors; without
+/// it the loop would spin on the control thread.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts until the mesh closes.
-pub(crate) async fn accept(shared: Rc<Shared>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(shared.options.max_handshakes));
+/// Accepts connections until the mesh closes.
+pub(crate) async fn accept_loop(shared: Rc<Shared>, listener: TcpListener) {
+    let handshake_slots = Arc::new(Semaphore::new(shared.options.max_handshakes));
     loop {
         let accepted = tokio::select! {
-            () = shared.reached(Phase::Closing) => return,
+            () = shared.wait_for_phase(Phase::Closing) => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, addr)) => begin(&shared, &places, stream, addr),
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Ok((stream, addr)) => start_handshake(&shared, &handshake_slots, stream, addr),
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Begins a handshake if there is a place for it.
-fn begin(shared: &Rc<Shared>, places: &Arc<Semaphore>, stream: TcpStream, addr: SocketAddr) {
-    match places.clone().try_acquire_owned() {
-        Ok(place) => shared.spawn(welcome(shared.clone(), stream, addr, place)),
-        Err(_) => shared.refuse(addr, Refusal::Busy),
+/// Starts a handshake if the limit of concurrent handshakes allows it.
+fn start_handshake(
+    shared: &Rc<Shared>,
+    handshake_slots: &Arc<Semaphore>,
+    stream: TcpStream,
+    addr: SocketAddr,
+) {
+    match handshake_slots.clone().try_acquire_owned() {
+        Ok(slot) => shared.spawn(handle_connection(shared.clone(), stream, addr, slot)),
+        Err(_) => shared.report_refused(addr, Refusal::Busy),
     }
 }
 
-/// Handshake and session of one connection.
-async fn welcome(
+/// Runs the handshake and the session of one connection.
+async fn handle_connection(
     shared: Rc<Shared>,
     stream: TcpStream,
     addr: SocketAddr,
-    place: OwnedSemaphorePermit,
+    slot: OwnedSemaphorePermit,
 ) {
-    let result = listen(&shared, stream).await;
-    drop(place);
+    let result = accept_session(&shared, stream).await;
+    drop(slot);
     match result {
         Ok(opened) => {
-            carry(&shared, opened).await;
+            run_session(&shared, opened).await;
         }
-        Err(why) => shared.refuse(addr, why),
+        Err(refusal) => shared.report_refused(addr, refusal),
     }
 }
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,8 +1,8 @@
-//! Bytes to frames and back.
+//! CBOR encoding and decoding of frames.
 //!
-//! Decoding never panics, and a length that a frame claims reserves at most the 1 MiB that `serde`
-//! allows before the bytes themselves have come. Trailing bytes are an error, so that one message
-//! is exactly one frame.
+//! Decoding never panics. A length claimed by a frame preallocates at most the 1 MiB that `serde`
+//! allows before the bytes themselves have been read. Trailing bytes are an error, so that one
+//! message is exactly one frame.
 
 use crate::frame::Frame;
 use bytes::Bytes;
@@ -20,21 +20,22 @@
 };
 use std::fmt;
 
-/// Nesting that no frame of ours reaches; deeper input is refused before it can exhaust the stack.
+/// Nesting limit, above that of any valid frame; deeper input is rejected before it can exhaust the
+/// stack.
 const MAX_DEPTH: usize = 32;
 
-/// Why bytes are no frame, or a value no bytes.
+/// Error of encoding or decoding.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum CodecError {
-    /// The bytes end too early.
+    /// The input ends too early.
     Truncated,
-    /// Not CBOR; the byte where it showed.
+    /// The input is not CBOR; holds the byte offset of the error.
     Syntax(usize),
-    /// CBOR, but not of the expected fields and types.
+    /// The input is CBOR, but without the expected fields and types.
     Shape,
-    /// Nested too deep.
+    /// The input is nested too deeply.
     Depth,
-    /// Bytes after the frame.
+    /// The input goes on after the frame; holds the number of extra bytes.
     Trailing(usize),
     /// The value cannot be written as CBOR.
     Unwritable,
@@ -43,10 +44,10 @@
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Truncated => f.write_str("ends too early"),
-            Self::Syntax(place) => write!(f, "not CBOR at byte {place}"),
+            Self::Truncated => f.write_str("unexpected end of input"),
+            Self::Syntax(offset) => write!(f, "not CBOR at byte {offset}"),
             Self::Shape => f.write_str("unexpected fields or types"),
-            Self::Depth => f.write_str("nested too deep"),
+            Self::Depth => f.write_str("nested too deeply"),
             Self::Trailing(count) => write!(f, "{count} bytes after the end"),
             Self::Unwritable => f.write_str("cannot be written as CBOR"),
         }
@@ -55,7 +56,7 @@
 
 impl std::error::Error for CodecError {}
 
-/// What one message holds.
+/// Content of one message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decoded {
     /// A frame.
@@ -70,7 +71,7 @@
     }
 }
 
-/// Kind of a frame as read.
+/// Kind of a frame that is being decoded.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
@@ -94,12 +95,12 @@
     Note,
     /// [`Frame::Goodbye`].
     Goodbye,
-    /// Anything else.
+    /// Any other kind.
     #[serde(other)]
     Unknown,
 }
 
-/// Reads the map of one entry.
+/// Decodes a map with one entry, from a frame's kind to its fields.
 struct DecodedVisitor;
 
 impl<'de> Visitor<'de> for DecodedVisitor {
@@ -126,61 +127,61 @@
             Kind::Goodbye => Frame::Goodbye(map.next_value()?),
             Kind::Unknown => {
                 map.next_value::<IgnoredAny>()?;
-                end_of_map(&mut map)?;
+                expect_end_of_map(&mut map)?;
                 return Ok(Decoded::UnknownKind);
             }
         };
-        end_of_map(&mut map)?;
+        expect_end_of_map(&mut map)?;
         Ok(Decoded::Frame(frame))
     }
 }
 
-/// Refuses a second entry.
-fn end_of_map<'de, A: MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
+/// Rejects a second entry.
+fn expect_end_of_map<'de, A: MapAccess<'de>>(map: &mut A) -> Result<(), A::Error> {
     match map.next_key::<IgnoredAny>()? {
         Some(_) => Err(A::Error::custom("second entry")),
         None => Ok(()),
     }
 }
 
-/// Writes `frame`.
+/// Encodes `frame`.
 ///
 /// # Errors
 ///
-/// [`CodecError::Unwritable`], which no frame of this build gives.
+/// [`CodecError::Unwritable`]; does not happen for frames of this build.
 pub fn encode(frame: &Frame) -> Result<Bytes, CodecError> {
     to_payload(frame)
 }
 
-/// Reads one frame from the whole of `bytes`.
+/// Decodes one frame, which has to take up all of `bytes`.
 ///
 /// # Errors
 ///
-/// Any [`CodecError`] but [`CodecError::Unwritable`].
+/// Any [`CodecError`] except [`CodecError::Unwritable`].
 pub fn decode(bytes: &[u8]) -> Result<Decoded, CodecError> {
     from_payload(bytes)
 }
 
-/// Writes `value` as CBOR, for the opaque payloads of frames.
+/// Encodes `value` as CBOR, for the opaque payloads of frames.
 ///
 /// # Errors
 ///
-/// [`CodecError::Unwritable`] when the type's own `Serialize` refuses.
+/// [`CodecError::Unwritable`] if the type's `Serialize` implementation fails.
 pub fn to_payload<T: Serialize>(value: &T) -> Result<Bytes, CodecError> {
     let mut out = Vec::new();
     ciborium::into_writer(value, &mut out).map_err(|_| CodecError::Unwritable)?;
     Ok(out.into())
 }
 
-/// Reads one value from the whole of `bytes`.
+/// Decodes one value, which has to take up all of `bytes`.
 ///
 /// # Errors
 ///
-/// Any [`CodecError`] but [`CodecError::Unwritable`].
+/// Any [`CodecError`] except [`CodecError::Unwritable`].
 pub fn from_payload<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
-        .map_err(CodecError::from_read)?;
+        .map_err(CodecError::from_ciborium)?;
     if rest.is_empty() {
         Ok(value)
     } else {
@@ -189,8 +190,8 @@
 }
 
 impl CodecError {
-    /// The library's error without its text, which may quote what a stranger sent.
-    fn from_read<E>(error: ciborium::de::Error<E>) -> Self {
+    /// Converts the library's error without its text, which may quote unauthenticated input.
+    fn from_ciborium<E>(error: ciborium::de::Error<E>) -> Self {
         match error {
             ciborium::de::Error::Io(_) => Self::Truncated,
             ciborium::de::Error::Syntax(place) => Self::Syntax(place),
--- a/crates/peer/src/config.rs
+++ b/crates/peer/src/config.rs
@@ -1,4 +1,4 @@
-//! Configurations in parts that fit into frames.
+//! Splitting configurations into frames and reassembling them.
 
 use crate::frame::ConfigBody;
 use base::Version;
@@ -10,7 +10,7 @@
 
 /// Bytes of a configuration in one frame.
 ///
-/// Heartbeats and pings wait for at most one such part, so it is well under the frame's limit.
+/// Heartbeats and pings wait behind at most one part, so it is well below the frame size limit.
 pub const CONFIG_PART_BYTES: usize = 256 * 1024;
 
 /// Splits a configuration into frames, in order; the parts share the body's memory.
@@ -21,7 +21,7 @@
         .map(|start| ConfigBody {
             version,
             head: head.clone(),
-            // A length in memory always fits into 64 bits.
+            // The length of a buffer always fits in 64 bits.
             offset: start as u64,
             total: total as u64,
             body: body.slice(start..total.min(start + CONFIG_PART_BYTES)),
@@ -29,85 +29,86 @@
         .collect()
 }
 
-/// A configuration received whole; its digest is not checked yet.
+/// A completely received configuration; its digest is not yet verified.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WholeConfig {
-    /// Version as the sender named it.
+    /// Version as stated by the sender.
     pub version: Version,
-    /// The head's text.
+    /// Text of the head.
     pub head: ByteString,
     /// The body.
     pub body: Bytes,
 }
 
-/// Why a part did not fit; what was collected is dropped.
+/// Why a part was rejected; the parts collected so far are discarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AssemblyError {
-    /// The whole would be longer than the receiver takes.
+    /// The configuration exceeds the receiver's size limit.
     TooLarge,
-    /// A part is missing before this one, as after a reopened session: ask again.
+    /// The part does not follow the previous one, as after a reopened session; the configuration
+    /// has to be requested again.
     Gap,
 }
 
-/// Collects the parts that one peer sends.
+/// Reassembles the parts sent by one peer.
 ///
-/// Parts of one session arrive in order. A part at offset 0 starts afresh, so that a sender may
-/// start over at any time.
+/// Parts of one session arrive in order. A part at offset 0 restarts the assembly, so that a
+/// sender may start over at any time.
 #[derive(Clone, Debug)]
 pub struct ConfigAssembly {
-    /// Longest body taken, in bytes.
+    /// Longest accepted body, in bytes.
     max_bytes: u64,
-    /// What came so far.
-    begun: Option<Begun>,
+    /// Parts received so far.
+    partial: Option<PartialConfig>,
 }
 
-/// A configuration whose end is missing.
+/// An incomplete configuration.
 #[derive(Clone, Debug)]
-struct Begun {
+struct PartialConfig {
     /// Version of the first part.
     version: Version,
     /// Head of the first part.
     head: ByteString,
-    /// Length of the whole, in bytes.
+    /// Length of the complete body, in bytes.
     total: u64,
-    /// The parts so far.
+    /// Content of the parts so far.
     body: BytesMut,
 }
 
 impl ConfigAssembly {
-    /// Takes bodies of up to `max_bytes`.
+    /// Assembly for bodies of up to `max_bytes`.
     pub fn new(max_bytes: u64) -> Self {
         Self {
             max_bytes,
-            begun: None,
+            partial: None,
         }
     }
 
-    /// Adds a part; gives the whole once its last part is in.
+    /// Adds a part; returns the configuration once it is complete.
     ///
     /// # Errors
     ///
-    /// A body that is too long, or a part that does not follow the one before.
+    /// The body is too long, or the part does not follow the previous one.
     pub fn push(&mut self, part: ConfigBody) -> Result<Option<WholeConfig>, AssemblyError> {
         if part.total > self.max_bytes {
-            self.begun = None;
+            self.partial = None;
             return Err(AssemblyError::TooLarge);
         }
         if part.offset == 0 {
-            self.begun = Some(Begun::new(&part));
+            self.partial = Some(PartialConfig::new(&part));
         }
-        let mut begun = self.begun.take().ok_or(AssemblyError::Gap)?;
-        begun.add(&part)?;
-        if begun.is_whole() {
-            return Ok(Some(begun.finish()));
+        let mut partial = self.partial.take().ok_or(AssemblyError::Gap)?;
+        partial.append(&part)?;
+        if partial.is_complete() {
+            return Ok(Some(partial.into_config()));
         }
-        self.begun = Some(begun);
+        self.partial = Some(partial);
         Ok(None)
     }
 }
 
-impl Begun {
-    /// Nothing yet of the configuration that `part` belongs to.
+impl PartialConfig {
+    /// Empty assembly of the configuration that `part` belongs to.
     fn new(part: &ConfigBody) -> Self {
         Self {
             version: part.version,
@@ -117,27 +118,27 @@
         }
     }
 
-    /// Appends `part`, if it is the next one.
-    fn add(&mut self, part: &ConfigBody) -> Result<(), AssemblyError> {
-        let have = self.body.len() as u64;
-        let same = part.version == self.version && part.total == self.total;
-        let fits = part.body.len() as u64 <= self.total - have;
-        // An empty part of a body that is not empty would never end.
-        let moves = !part.body.is_empty() || self.total == 0;
-        if !(same && part.offset == have && fits && moves) {
+    /// Appends `part` if it is the next one.
+    fn append(&mut self, part: &ConfigBody) -> Result<(), AssemblyError> {
+        let received = self.body.len() as u64;
+        let same_config = part.version == self.version && part.total == self.total;
+        let fits = part.body.len() as u64 <= self.total - received;
+        // Empty parts of a non-empty body would never complete it.
+        let makes_progress = !part.body.is_empty() || self.total == 0;
+        if !(same_config && part.offset == received && fits && makes_progress) {
             return Err(AssemblyError::Gap);
         }
         self.body.extend_from_slice(&part.body);
         Ok(())
     }
 
-    /// Whether the last part is in.
-    fn is_whole(&self) -> bool {
+    /// Whether all parts have been received.
+    fn is_complete(&self) -> bool {
         self.body.len() as u64 == self.total
     }
 
-    /// The whole.
-    fn finish(self) -> WholeConfig {
+    /// Converts the assembled parts.
+    fn into_config(self) -> WholeConfig {
         WholeConfig {
             version: self.version,
             head: self.head,
--- a/crates/peer/src/counters.rs
+++ b/crates/peer/src/counters.rs
@@ -1,18 +1,18 @@
-//! Counters that other threads may read at any time.
+//! Counters of a mesh, readable from any thread.
 
 use std::sync::atomic::{
     AtomicU64,
     Ordering, //
 };
 
-/// A number that grows.
+/// Monotonic counter.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Value now.
+    /// Current value.
     pub fn get(&self) -> u64 {
-        // Counters order nothing: each is read for itself.
+        // Counters are independent, so no ordering between them is needed.
         self.0.load(Ordering::Relaxed)
     }
 
@@ -27,37 +27,37 @@
     }
 }
 
-/// What one mesh did since its start.
+/// Counters of one mesh since its start.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Bytes written to sockets, handshakes included.
+    /// Bytes written to sockets, including handshakes.
     pub sent_bytes: Counter,
-    /// Bytes read from sockets, handshakes included.
+    /// Bytes read from sockets, including handshakes.
     pub received_bytes: Counter,
     /// Frames written.
     pub sent_frames: Counter,
-    /// Frames passed to the owner.
+    /// Frames delivered to the owner.
     pub received_frames: Counter,
-    /// Frames of kinds that this build does not know, skipped.
+    /// Frames ignored because this build does not know their kind.
     pub unknown_frames: Counter,
-    /// Frames of proven peers that were no frames or had no place; each closed its session.
+    /// Malformed or unexpected messages of authenticated peers; each closed its session.
     pub bad_frames: Counter,
-    /// Beats dropped for newer frames because a queue was full.
+    /// Heartbeats dropped in favour of newer frames because a queue was full.
     pub dropped_beats: Counter,
-    /// Frames not taken because a queue was full of other frames than beats.
+    /// Frames rejected because a queue was full and held no heartbeat to drop.
     pub refused_frames: Counter,
-    /// Dials begun.
+    /// Dial attempts.
     pub dials: Counter,
-    /// Dials that led to no session.
+    /// Dial attempts that did not establish a session.
     pub failed_dials: Counter,
-    /// Sessions that were proven, duplicates included.
+    /// Authenticated sessions, including duplicates.
     pub sessions: Counter,
     /// Sessions closed as duplicates of another one.
     pub duplicate_sessions: Counter,
-    /// Sessions given up because a pong did not come.
+    /// Sessions closed because a pong did not arrive in time.
     pub silent_sessions: Counter,
-    /// Peers whose lost session was replaced in time.
+    /// Lost sessions that were replaced in time.
     pub reopened: Counter,
-    /// Connections refused before they were proven.
+    /// Connections refused before they were authenticated.
     pub strangers: Counter,
 }
--- a/crates/peer/src/counted.rs
+++ b/crates/peer/src/counting_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts its bytes.
+//! TCP stream that counts the bytes it transfers.
 
 use crate::counters::Counters;
 use std::{
@@ -19,17 +19,17 @@
     net::TcpStream, //
 };
 
-/// Stream with the counters of its mesh.
-pub(crate) struct Counted {
+/// TCP stream that adds to the byte counters of its mesh.
+pub(crate) struct CountingStream {
     /// The stream.
     stream: TcpStream,
-    /// Where its bytes are counted.
+    /// Counters of the mesh.
     counters: Arc<Counters>,
 }
 
-impl Counted {
-    /// Counts the bytes of `stream`, and turns off the kernel's gathering of small writes: a beat
-    /// or a pong that waits 40 ms for an acknowledgement would spoil the measured round trip.
+impl CountingStream {
+    /// Wraps `stream` and disables Nagle's algorithm: a heartbeat or pong that is held back for
+    /// 40 ms until an acknowledgement arrives would distort the measured round trip.
     pub(crate) fn new(stream: TcpStream, counters: &Arc<Counters>) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self {
@@ -39,7 +39,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -53,7 +53,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/peer/src/dial.rs
+++ b/crates/peer/src/dial.rs
@@ -1,4 +1,4 @@
-//! Keeping a session to one partner.
+//! Dialling and reconnection to one partner.
 
 use crate::{
     handshake::SessionId,
@@ -6,10 +6,10 @@
     opening::{
         dial,
         DialError,
-        Opened, //
+        OpenedSession, //
     },
     refusal::Refusal,
-    session::carry,
+    session::run_session,
     shared::{
         Phase,
         Shared, //
@@ -32,20 +32,20 @@
     }, //
 };
 
-/// Doublings after which the wait no longer grows, so that the shift below cannot overflow.
+/// Maximum number of doublings of the delay, so that the shift below cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Waits between dials: doubling, with jitter, so that instances that lost the same partner do not
-/// all come back to it at one moment.
+/// Exponential backoff between dials, with jitter so that instances that lost the same partner do
+/// not all redial it at the same moment.
 struct Backoff {
-    /// First wait.
+    /// Initial delay.
     min: Duration,
-    /// Longest wait.
+    /// Maximum delay.
     max: Duration,
-    /// Dials since the last session that lasted.
+    /// Dials since the last long-lived session.
     attempts: u32,
     /// Source of the jitter.
-    random: StdRng,
+    rng: StdRng,
 }
 
 impl Backoff {
@@ -60,68 +60,75 @@
             min: shared.options.backoff_min,
             max: shared.options.backoff_max,
             attempts: 0,
-            random: StdRng::from_seed(seed),
+            rng: StdRng::from_seed(seed),
         }
     }
 
-    /// Wait before the next dial; none before the first.
+    /// Delay before the next dial; zero before the first.
     fn next(&mut self) -> Duration {
         let doublings = self.attempts.min(MAX_DOUBLINGS);
         self.attempts += 1;
         if doublings == 0 {
             return Duration::ZERO;
         }
-        let full = self.min.saturating_mul(1 << (doublings - 1)).min(self.max);
-        full.mul_f64(self.random.random_range(0.5..1.0))
+        let delay = self.min.saturating_mul(1 << (doublings - 1)).min(self.max);
+        delay.mul_f64(self.rng.random_range(0.5..1.0))
     }
 
-    /// Notes how long a session lasted. One that ends at once counts as a dial that failed: a peer
-    /// whose every session breaks would be dialled without a pause otherwise.
-    fn lasted(&mut self, time: Duration) {
-        if time >= self.max {
+    /// Records how long a session lasted. A short one counts as a failed dial: otherwise a peer
+    /// whose sessions all break would be redialled without a delay.
+    fn record_session(&mut self, duration: Duration) {
+        if duration >= self.max {
             self.attempts = 0;
         }
     }
 }
 
-/// Keeps a session to `partner` until `wanted` is false or the mesh closes.
-pub(crate) async fn keep(shared: Rc<Shared>, partner: Partner, wanted: watch::Receiver<bool>) {
+/// Maintains a session to `partner` until `wanted` is false or the mesh closes.
+pub(crate) async fn maintain_session(
+    shared: Rc<Shared>,
+    partner: Partner,
+    wanted: watch::Receiver<bool>,
+) {
     let mut backoff = Backoff::new(&shared, &partner);
     let mut lost = None;
     while *wanted.borrow() {
         let opened = tokio::select! {
-            () = shared.reached(Phase::Closing) => return,
-            () = unwanted(wanted.clone()) => return,
-            opened = open(&shared, &partner, &mut backoff, &mut lost) => opened,
+            () = shared.wait_for_phase(Phase::Closing) => return,
+            () = wait_until_unwanted(wanted.clone()) => return,
+            opened = open_session(&shared, &partner, &mut backoff, &mut lost) => opened,
         };
-        let begun = Instant::now();
-        carry(&shared, opened).await;
-        backoff.lasted(begun.elapsed());
+        let opened_at = Instant::now();
+        run_session(&shared, opened).await;
+        backoff.record_session(opened_at.elapsed());
     }
 }
 
 /// Waits until the partner is no longer wanted.
-async fn unwanted(mut wanted: watch::Receiver<bool>) {
-    // A dropped sender means the same.
+async fn wait_until_unwanted(mut wanted: watch::Receiver<bool>) {
+    // A dropped sender also means that the partner is no longer wanted.
     let _ = wanted.wait_for(|wanted| !wanted).await;
 }
 
-/// Dials whenever there is no session, until there is one of ours.
-async fn open(
+/// Dials whenever the partner has no session, until a dialled session is established.
+async fn open_session(
     shared: &Rc<Shared>,
     partner: &Partner,
     backoff: &mut Backoff,
     lost: &mut Option<SessionId>,
-) -> Opened {
+) -> OpenedSession {
     loop {
         let instance = &partner.instance;
-        shared.until(|registry| !registry.is_linked(instance)).await;
+        shared
+            .wait_until(|registry| !registry.is_connected(instance))
+            .await;
         sleep(backoff.next()).await;
-        if shared.registry.borrow().is_linked(instance) {
+        if shared.registry.borrow().is_connected(instance) {
             continue;
         }
-        // Kept after the peer is down here: its own end may still hold the lost session.
-        if let Some(id) = shared.registry.borrow().lost(instance) {
+        // The id is kept after the peer is down here: the remote end may still hold the lost
+        // session.
+        if let Some(id) = shared.registry.borrow().lost_session(instance) {
             *lost = Some(id);
         }
         shared.counters.dials.increment();
@@ -130,26 +137,29 @@
                 *lost = None;
                 return opened;
             }
-            Err(error) => failed(shared, partner, error),
+            Err(error) => handle_failure(shared, partner, error),
         }
     }
 }
 
-/// Counts a failed dial and draws what follows from it.
-fn failed(shared: &Rc<Shared>, partner: &Partner, error: DialError) {
+/// Counts a failed dial and handles its consequences.
+fn handle_failure(shared: &Rc<Shared>, partner: &Partner, error: DialError) {
     shared.counters.failed_dials.increment();
     match error {
-        // Nobody listens where the peer did: its process is gone, no need to wait for a reopening.
-        DialError::Nobody => gone(shared, partner),
-        DialError::Refused(why) if why != Refusal::Closed => shared.refuse(partner.addr, why),
+        // Nothing listens at the peer's address: its process has exited and cannot reopen the
+        // session.
+        DialError::ConnectionRefused => abandon_reopening(shared, partner),
+        DialError::Refused(refusal) if refusal != Refusal::Closed => {
+            shared.report_refused(partner.addr, refusal)
+        }
         DialError::Refused(_) | DialError::Unreachable => {}
     }
 }
 
-/// Gives up a peer that is being reopened.
-fn gone(shared: &Rc<Shared>, partner: &Partner) {
-    let lost = shared.registry.borrow().lost(&partner.instance);
+/// Stops waiting for the partner's lost session to be reopened.
+fn abandon_reopening(shared: &Rc<Shared>, partner: &Partner) {
+    let lost = shared.registry.borrow().lost_session(&partner.instance);
     if let Some(lost) = lost {
-        shared.give_up(&partner.instance, &lost);
+        shared.abandon_reopening(&partner.instance, &lost);
     }
 }
--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -1,4 +1,4 @@
-//! What a [`crate::Mesh`] tells its owner.
+//! Events of a [`crate::Mesh`] for its owner.
 
 use crate::{
     frame::Frame,
@@ -25,34 +25,33 @@
     OwnedSemaphorePermit, //
 };
 
-/// A proven peer.
+/// An authenticated peer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerInfo {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Round trip as last measured.
+    /// Last measured round-trip time.
     pub rtt: Duration,
 }
 
-/// What happened.
+/// Event of a mesh.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The first session to this incarnation stands.
+    /// The first session to this incarnation was established.
     Up(PeerInfo),
-    /// A further session took the place of one that was lost; frames that were on their way in the
-    /// lost one are lost too.
+    /// Another session replaced one that was lost; frames in flight on the lost one are lost too.
     Reopened(PeerInfo),
-    /// A frame of an instance that is up.
+    /// A frame from an instance that is up.
     Frame {
         /// Sender.
         from: InstanceId,
-        /// Sender's life, as proven.
+        /// Sender's incarnation, as authenticated.
         incarnation: Incarnation,
         /// The frame; never a hello, proof or goodbye.
         frame: Frame,
@@ -61,15 +60,15 @@
     Down {
         /// The instance.
         instance: InstanceId,
-        /// The life that was up.
+        /// The incarnation that was up.
         incarnation: Incarnation,
-        /// Why.
+        /// Why the peer is down.
         why: DownReason,
     },
-    /// Someone who could not prove to be a peer; nothing changed. Under a flood some are only
-    /// counted.
+    /// A connection was refused before it was authenticated; the set of peers did not change. Under
+    /// a flood of such connections some are only counted.
     Stranger {
-        /// The other end.
+        /// Address of the remote end.
         addr: SocketAddr,
         /// Why it was refused.
         why: Refusal,
@@ -79,42 +78,43 @@
 /// Why a peer is down.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DownReason {
-    /// It said that its process stops.
+    /// It announced that its process is stopping.
     Stopping,
-    /// It said that it keeps no session to us.
+    /// It announced that this instance is not among its partners.
     Unwanted,
-    /// It is no longer among our partners.
+    /// It is no longer among this instance's partners.
     Dropped,
-    /// Its connections went silent and none could be reopened in time.
+    /// Its connection stopped answering pings and none could be reopened in time.
     Silent,
-    /// Its connections broke and none could be reopened.
+    /// Its connection broke and none could be reopened.
     Lost,
-    /// A higher incarnation took its place.
+    /// A higher incarnation replaced it.
     Restarted,
 }
 
-/// An event and its place among the frames not yet taken.
-pub(crate) struct Queued {
+/// An event, with its share of the budget for undelivered frames.
+pub(crate) struct QueuedEvent {
     /// The event.
     pub(crate) event: Event,
-    /// Given back when the owner takes the event.
+    /// Released when the owner takes the event.
     pub(crate) permit: Option<OwnedSemaphorePermit>,
 }
 
 /// Events of one mesh, in order.
 ///
-/// When the owner is slow, sessions stop reading once [`crate::Options::event_bytes`] of frames wait
-/// here: memory stays bounded, and the peers' own queues fill and drop their oldest beats.
+/// When the owner is slow, sessions stop reading once [`crate::Options::event_bytes`] of frames are
+/// queued here: memory stays bounded, and the peers' own queues fill and drop their oldest
+/// heartbeats.
 #[derive(Debug)]
 pub struct Events {
-    /// What the sessions put in.
-    pub(crate) queue: UnboundedReceiver<Queued>,
+    /// Events sent by the sessions.
+    pub(crate) queue: UnboundedReceiver<QueuedEvent>,
 }
 
 impl Events {
-    /// Next event; `None` once the mesh has closed. Safe to cancel.
+    /// Next event; `None` once the mesh has closed. Cancel-safe.
     pub async fn recv(&mut self) -> Option<Event> {
-        self.queue.recv().await.map(Queued::take)
+        self.queue.recv().await.map(QueuedEvent::into_event)
     }
 }
 
@@ -124,19 +124,19 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Event>> {
         self.queue
             .poll_recv(cx)
-            .map(|queued| queued.map(Queued::take))
+            .map(|queued| queued.map(QueuedEvent::into_event))
     }
 }
 
-impl Queued {
-    /// The event; frees its place.
-    fn take(self) -> Event {
+impl QueuedEvent {
+    /// Returns the event and releases its permit.
+    fn into_event(self) -> Event {
         drop(self.permit);
         self.event
     }
 }
 
-impl std::fmt::Debug for Queued {
+impl std::fmt::Debug for QueuedEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.event.fmt(f)
     }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,9 +1,9 @@
-//! What daemons tell each other.
+//! Messages between daemons.
 //!
-//! A frame is one CBOR map with one entry: the kind's name, and the fields under it. A receiver
-//! skips fields and whole kinds that it does not know, so that daemons of two releases can run
-//! side by side; what may not be skipped needs a higher [`PROTOCOL`]. Ages are milliseconds at the
-//! sender when it wrote the frame: an age is a bound from below, and the receiver adds the time
+//! A frame is a CBOR map with one entry, from the name of the frame's kind to its fields. A
+//! receiver ignores unknown fields and unknown kinds, so that daemons of two releases can run side
+//! by side; a change that must not be ignored needs a higher [`PROTOCOL`]. Ages are milliseconds
+//! at the sender when it wrote the frame: an age is a lower bound, and the receiver adds the time
 //! since.
 
 use base::{
@@ -22,18 +22,18 @@
     Serialize, //
 };
 
-/// Protocol that this build speaks.
+/// Protocol version of this build.
 pub const PROTOCOL: u32 = 1;
-/// Oldest protocol that this build still understands.
+/// Oldest protocol version that this build accepts.
 pub const MIN_PROTOCOL: u32 = 1;
 
 /// One message between two daemons.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Frame {
-    /// First word of both sides.
+    /// First message of both sides.
     Hello(Hello),
-    /// Answer to the other side's nonce.
+    /// Response to the other side's nonce.
     Proof(Proof),
     /// Heartbeat.
     Beat(Beat),
@@ -41,20 +41,20 @@
     Share(Share),
     /// Request for a configuration.
     ConfigWant(ConfigWant),
-    /// A part of a configuration.
+    /// One part of a configuration.
     ConfigBody(ConfigBody),
     /// A stopping instance's records for its successor.
     HandOver(HandOver),
-    /// The successor's answer.
+    /// The successor's response.
     HandOverAck(HandOverAck),
-    /// A message of the layer above.
+    /// Application message, opaque to this layer.
     Note(Note),
-    /// The sender closes the session for good.
+    /// The sender closes the session and does not reopen it.
     Goodbye(Goodbye),
 }
 
 impl Frame {
-    /// Name of the kind on the wire.
+    /// Name of the frame's kind on the wire.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -71,16 +71,16 @@
     }
 }
 
-/// Who speaks, and the challenge for the other side.
+/// Identity of the sender, and its challenge to the other side.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// Newest protocol of the sender.
+    /// Newest protocol version that the sender accepts.
     pub protocol: u32,
-    /// Oldest protocol of the sender.
+    /// Oldest protocol version that the sender accepts.
     pub min_protocol: u32,
     /// Sender.
     pub instance: InstanceId,
-    /// Sender's life.
+    /// Sender's incarnation.
     pub incarnation: Incarnation,
     /// Sender's region.
     pub region: RegionId,
@@ -88,77 +88,77 @@
     pub failure_domain: DomainId,
     /// Challenge, fresh for each session.
     pub nonce: Bytes,
-    /// Session that the dialling side found silent and reopens with this one.
+    /// Lost session that the dialling side replaces with this one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reopens: Option<Bytes>,
 }
 
-/// Keyed hash over both hellos and the direction.
+/// Keyed hash over both hellos and the sender's side.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Proof {
-    /// The 32 bytes of the hash.
+    /// Hash, 32 bytes.
     pub mac: Bytes,
 }
 
-/// Heartbeat: the sender's state and what it knows of the others.
+/// Heartbeat: the sender's state and its view of instances and regions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Beat {
-    /// Grows with each beat of one incarnation.
+    /// Sequence number, increasing within one incarnation.
     pub seq: u64,
     /// Sender.
     pub instance: InstanceId,
-    /// Sender's life.
+    /// Sender's incarnation.
     pub incarnation: Incarnation,
     /// Sender's state.
     pub state: BeatState,
-    /// Highest configuration version the sender has in force; 0 is none.
+    /// Highest configuration version in force at the sender; 0 if none.
     pub version: Version,
-    /// Digest of that configuration; empty is none.
+    /// Digest of that configuration; empty if none.
     #[serde(default)]
     pub digest: Bytes,
-    /// What the sender knows of instances.
+    /// Instances known to the sender.
     #[serde(default)]
     pub instances: Vec<InstanceSummary>,
-    /// What the sender knows of regions.
+    /// Services known to the sender, by region.
     #[serde(default)]
     pub regions: Vec<RegionSummary>,
-    /// Upstreams seen leaving.
+    /// Upstreams that the sender saw leaving.
     #[serde(default)]
     pub leaving_upstreams: Vec<LeavingUpstream>,
-    /// Messages of the `share` protocol that ride along.
+    /// Piggybacked messages of the `share` protocol.
     #[serde(default)]
     pub shares: Vec<Share>,
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new work.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BeatState {
-    /// Takes new work.
+    /// Accepts new work.
     Live,
-    /// Stops; also what an unknown state of a newer peer counts as, the careful reading.
+    /// Is stopping. An unknown state of a newer peer is read as this one, to be safe.
     #[serde(other)]
     Leaving,
 }
 
-/// What a daemon knows of one instance.
+/// A daemon's view of one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceSummary {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Configuration version it has in force.
+    /// Configuration version in force there.
     pub version: Version,
-    /// Whether it stops.
+    /// Whether it is stopping.
     pub leaving: bool,
-    /// Age of the news at the sender, in milliseconds.
+    /// Age of the information at the sender, in milliseconds.
     pub age_ms: u64,
-    /// Where callers reach it.
+    /// Its address for callers.
     pub callers_addr: ByteString,
-    /// Where daemons reach it.
+    /// Its address for other daemons.
     pub peers_addr: ByteString,
-    /// Where operators reach it.
+    /// Its address for operators.
     pub operator_addr: ByteString,
     /// Its region.
     pub region: RegionId,
@@ -166,116 +166,117 @@
     pub failure_domain: DomainId,
 }
 
-/// What a daemon knows of one service in one region.
+/// A daemon's view of one service in one region.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RegionSummary {
     /// The region.
     pub region: RegionId,
     /// The service.
     pub service: ServiceId,
-    /// Slots usable.
+    /// Usable slots.
     pub slots: u64,
     /// Slots in use.
     pub in_use: u64,
     /// Typical latency, in microseconds.
     pub latency_us: u64,
-    /// Age of the news at the sender, in milliseconds.
+    /// Age of the information at the sender, in milliseconds.
     pub age_ms: u64,
-    /// Work of the region's own callers, in thousandths of a slot kept busy.
+    /// Load from the region's own callers, in thousandths of a busy slot.
     #[serde(default)]
     pub arriving_milli_slots: u64,
-    /// Work for the region's upstreams, in thousandths of a slot kept busy.
+    /// Load on the region's upstreams, in thousandths of a busy slot.
     #[serde(default)]
     pub carrying_milli_slots: u64,
 }
 
-/// An upstream seen leaving.
+/// An upstream that is leaving.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeavingUpstream {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Time since the sign was first seen, in milliseconds.
+    /// Time since its departure was first noticed, in milliseconds.
     pub age_ms: u64,
 }
 
-/// One message of the `share` protocol; the daemon writes it with [`crate::to_payload`].
+/// One message of the `share` protocol; the daemon encodes it with [`crate::to_payload`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Share {
-    /// Pool that the message is about.
+    /// Pool that the message concerns.
     pub pool: ByteString,
-    /// The message, opaque here.
+    /// The message, opaque to this layer.
     pub payload: Bytes,
 }
 
 /// Request for a configuration, or for one of its objects.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigWant {
-    /// Version that the sender heard of; the answer may be a higher one.
+    /// Version that the sender learned of; the response may be a higher one.
     pub version: Version,
-    /// Digest of the object wanted; without it, the body of the version in force.
+    /// Digest of the requested object; without it, the body of the version in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<ByteString>,
 }
 
-/// A part of an object of a configuration; see [`crate::ConfigAssembly`].
+/// One part of a configuration object; see [`crate::ConfigAssembly`].
 ///
-/// The sender lacks an object that is empty as a whole.
+/// An object of total length 0 means that the sender does not have it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigBody {
     /// Version of the configuration.
     pub version: Version,
-    /// The head's text; the same in each part.
+    /// Text of the head; the same in each part.
     pub head: ByteString,
-    /// Place of the first byte of `body` in the whole.
+    /// Offset of `body` in the object, in bytes.
     pub offset: u64,
-    /// Length of the whole, in bytes.
+    /// Length of the object, in bytes.
     pub total: u64,
-    /// The part.
+    /// Content of the part.
     pub body: Bytes,
 }
 
 /// A stopping instance's records for its successor.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandOver {
-    /// Number of the hand-over within the sender's incarnation; the answer names it.
+    /// Number of the hand-over within the sender's incarnation; repeated in the response.
     pub seq: u64,
-    /// The records, opaque here.
+    /// The records, opaque to this layer.
     pub payload: Bytes,
 }
 
-/// The successor's answer to a [`HandOver`].
+/// The successor's response to a [`HandOver`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HandOverAck {
     /// Number of the hand-over.
     pub seq: u64,
-    /// Whether the successor took it.
+    /// Whether the successor accepted it.
     pub accepted: bool,
-    /// Anything further, opaque here.
+    /// Details, opaque to this layer.
     #[serde(default)]
     pub payload: Bytes,
 }
 
-/// A message of the layer above, written with [`crate::to_payload`].
+/// Application message, encoded with [`crate::to_payload`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Note {
-    /// The message, opaque here.
+    /// The message, opaque to this layer.
     pub payload: Bytes,
 }
 
-/// The sender closes the session for good.
+/// The sender closes the session and does not reopen it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Goodbye {
-    /// Why.
+    /// Why the session is closed.
     pub reason: GoodbyeReason,
 }
 
-/// Why a daemon closes a session on purpose.
+/// Why a daemon closes a session deliberately.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GoodbyeReason {
-    /// Its process stops.
+    /// Its process is stopping.
     Stopping,
-    /// It no longer keeps a session to the receiver; also any reason of a newer peer.
+    /// The receiver is no longer among its partners. An unknown reason of a newer peer is read as
+    /// this one.
     #[serde(other)]
     Unwanted,
 }
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,12 +1,13 @@
-//! Who is at the other end: mutual challenge and response, as states without a socket.
+//! Mutual challenge-response authentication, as a state machine without I/O.
 //!
-//! Both sides send a hello with a fresh nonce. The dialling side proves first, so that a stranger
-//! who dials never sees a keyed hash. A proof covers both hellos as they were on the wire, hence
-//! both nonces, names and incarnations and any field that a newer peer adds, and the direction: a
-//! proof sent back to its maker, or replayed in another session, fits nothing.
+//! Both sides send a hello with a fresh nonce. The dialling side sends its proof first, so that an
+//! unauthenticated dialler never receives a keyed hash. A proof covers the exact bytes of both
+//! hellos, and so both nonces, instance ids and incarnations and any field that a newer peer adds.
+//! It also covers the sender's side: a proof that is reflected to its sender, or replayed in
+//! another session, does not verify.
 //!
-//! After the handshake frames carry no hash of their own. Whoever can change bytes on the way
-//! between two daemons can forge frames; docs/design/peer.md says what would change that.
+//! Frames after the handshake carry no hash. An attacker who can modify traffic between two daemons
+//! can forge frames; docs/design/peer.md says what would change that.
 
 use crate::{
     codec::{
@@ -28,16 +29,16 @@
 use base::InstanceId;
 use bytes::Bytes;
 
-/// Length of our nonces, in bytes.
+/// Length of local nonces, in bytes.
 pub(crate) const NONCE_BYTES: usize = 32;
-/// Shortest nonce that we take from others, in bytes.
+/// Shortest nonce accepted from the remote end, in bytes.
 const MIN_NONCE_BYTES: usize = 16;
-/// Length of a session's id, in bytes.
+/// Length of a session id, in bytes.
 const SESSION_ID_BYTES: usize = 16;
-/// What a keyed hash of the session's id begins with.
+/// First byte of the hash input from which the session id is derived.
 const SESSION_LABEL: u8 = 0;
 
-/// Name of a session, the same at both ends; differs for each handshake.
+/// Session id, the same at both ends and unique for each handshake.
 pub(crate) type SessionId = Bytes;
 
 /// One end of a session.
@@ -50,7 +51,7 @@
 }
 
 impl Side {
-    /// The end across.
+    /// The opposite end.
     fn other(self) -> Self {
         match self {
             Self::Dialler => Self::Listener,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What a proof of this side begins with.
+    /// First byte of the hash input of this side's proof.
     fn label(self) -> u8 {
         match self {
             Self::Dialler => 1,
@@ -67,22 +68,22 @@
     }
 }
 
-/// Our hello is made; theirs is awaited.
-pub(crate) struct Greeting {
-    /// Which end we are.
+/// State in which the local hello is built and the remote one awaited.
+pub(crate) struct AwaitingHello {
+    /// The local end's side.
     side: Side,
     /// Shared key.
     key: Key,
-    /// Our instance.
-    ours: InstanceId,
-    /// Whom we dialled.
-    expected: Option<InstanceId>,
-    /// Our hello as sent.
-    hello: Bytes,
+    /// Local instance.
+    local_instance: InstanceId,
+    /// Instance that was dialled; none at the listening end.
+    expected_instance: Option<InstanceId>,
+    /// Local hello, encoded.
+    local_hello: Bytes,
 }
 
-impl Greeting {
-    /// The dialling end of a session to `expected`.
+impl AwaitingHello {
+    /// Starts the dialling end of a session to `expected`.
     pub(crate) fn dial(
         identity: &Identity,
         key: &Key,
@@ -93,117 +94,123 @@
         Self {
             side: Side::Dialler,
             key: key.clone(),
-            ours: identity.instance.clone(),
-            expected: Some(expected.clone()),
-            hello: hello(identity, nonce, reopens),
+            local_instance: identity.instance.clone(),
+            expected_instance: Some(expected.clone()),
+            local_hello: encode_hello(identity, nonce, reopens),
         }
     }
 
-    /// The listening end of a session.
+    /// Starts the listening end of a session.
     pub(crate) fn listen(identity: &Identity, key: &Key, nonce: [u8; NONCE_BYTES]) -> Self {
         Self {
             side: Side::Listener,
             key: key.clone(),
-            ours: identity.instance.clone(),
-            expected: None,
-            hello: hello(identity, nonce, None),
+            local_instance: identity.instance.clone(),
+            expected_instance: None,
+            local_hello: encode_hello(identity, nonce, None),
         }
     }
 
-    /// Message for the other end.
+    /// Local hello, to be sent to the remote end.
     pub(crate) fn hello(&self) -> Bytes {
-        self.hello.clone()
+        self.local_hello.clone()
     }
 
-    /// Takes the other end's hello.
-    pub(crate) fn hear(self, message: &[u8]) -> Result<Challenged, Refusal> {
-        let Frame::Hello(theirs) = known_frame(message)? else {
+    /// Handles the remote end's hello.
+    pub(crate) fn receive_hello(self, message: &[u8]) -> Result<AwaitingProof, Refusal> {
+        let Frame::Hello(remote_hello) = decode_known_frame(message)? else {
             return Err(Refusal::Unexpected);
         };
-        self.check(&theirs)?;
+        self.validate_hello(&remote_hello)?;
         let transcript = match self.side {
-            Side::Dialler => transcript(&self.hello, message),
-            Side::Listener => transcript(message, &self.hello),
+            Side::Dialler => build_transcript(&self.local_hello, message),
+            Side::Listener => build_transcript(message, &self.local_hello),
         };
-        Ok(Challenged {
+        Ok(AwaitingProof {
             side: self.side,
             key: self.key,
-            theirs,
+            remote_hello,
             transcript,
         })
     }
 
-    /// What can be said of a hello before its proof.
-    fn check(&self, theirs: &Hello) -> Result<(), Refusal> {
-        let common = theirs.protocol >= MIN_PROTOCOL && PROTOCOL >= theirs.min_protocol;
-        if !common {
+    /// Checks the remote hello as far as possible before its proof.
+    fn validate_hello(&self, remote: &Hello) -> Result<(), Refusal> {
+        let compatible = remote.protocol >= MIN_PROTOCOL && PROTOCOL >= remote.min_protocol;
+        if !compatible {
             return Err(Refusal::Protocol);
         }
-        if theirs.nonce.len() < MIN_NONCE_BYTES {
+        if remote.nonce.len() < MIN_NONCE_BYTES {
             return Err(Refusal::Malformed);
         }
-        if theirs.instance == self.ours {
+        if remote.instance == self.local_instance {
             return Err(Refusal::Ourselves);
         }
-        match &self.expected {
-            Some(expected) if *expected != theirs.instance => Err(Refusal::WrongInstance),
+        match &self.expected_instance {
+            Some(expected) if *expected != remote.instance => Err(Refusal::WrongInstance),
             _ => Ok(()),
         }
     }
 }
 
-/// Both hellos are known; the other end's proof is awaited.
-pub(crate) struct Challenged {
-    /// Which end we are.
+/// State in which both hellos are known and the remote proof is awaited.
+pub(crate) struct AwaitingProof {
+    /// The local end's side.
     side: Side,
     /// Shared key.
     key: Key,
-    /// Their hello.
-    theirs: Hello,
-    /// Both hellos as they were on the wire, the dialler's first.
+    /// Remote hello.
+    remote_hello: Hello,
+    /// Exact bytes of both hellos, the dialler's first.
     transcript: Vec<u8>,
 }
 
-impl Challenged {
-    /// Our proof, as a message.
+impl AwaitingProof {
+    /// Local proof, encoded.
     pub(crate) fn proof(&self) -> Bytes {
-        let mac = self.key.mac(&labelled(self.side.label(), &self.transcript));
-        message(&Frame::Proof(Proof {
+        let mac = self
+            .key
+            .mac(&with_label(self.side.label(), &self.transcript));
+        encode_frame(&Frame::Proof(Proof {
             mac: Bytes::copy_from_slice(&mac),
         }))
     }
 
-    /// Takes the other end's proof.
-    pub(crate) fn check(&self, message: &[u8]) -> Result<Proven, Refusal> {
-        let Frame::Proof(proof) = known_frame(message)? else {
+    /// Verifies the remote end's proof.
+    pub(crate) fn verify_proof(&self, message: &[u8]) -> Result<AuthenticatedPeer, Refusal> {
+        let Frame::Proof(proof) = decode_known_frame(message)? else {
             return Err(Refusal::Unexpected);
         };
-        let proved = labelled(self.side.other().label(), &self.transcript);
-        if !self.key.verify(&proved, &proof.mac) {
+        let mac_input = with_label(self.side.other().label(), &self.transcript);
+        if !self.key.verify(&mac_input, &proof.mac) {
             return Err(Refusal::WrongProof);
         }
-        let id = self.key.mac(&labelled(SESSION_LABEL, &self.transcript));
-        Ok(Proven {
+        let id = self.key.mac(&with_label(SESSION_LABEL, &self.transcript));
+        Ok(AuthenticatedPeer {
             side: self.side,
-            hello: self.theirs.clone(),
+            hello: self.remote_hello.clone(),
             id: Bytes::copy_from_slice(&id[..SESSION_ID_BYTES]),
         })
     }
 }
 
-/// The other end holds the key.
-pub(crate) struct Proven {
-    /// Which end we are.
+/// A remote end that has proved that it holds the key.
+pub(crate) struct AuthenticatedPeer {
+    /// The local end's side.
     pub(crate) side: Side,
-    /// Their hello.
+    /// Remote hello.
     pub(crate) hello: Hello,
-    /// The session's name.
+    /// Session id.
     pub(crate) id: SessionId,
 }
 
-/// Our hello as a message.
-fn hello(identity: &Identity, nonce: [u8; NONCE_BYTES], reopens: Option<SessionId>) -> Bytes {
-    message(&Frame::Hello(Hello {
+/// Builds and encodes the local hello.
+fn encode_hello(
+    identity: &Identity,
+    nonce: [u8; NONCE_BYTES],
+    reopens: Option<SessionId>,
+) -> Bytes {
+    encode_frame(&Frame::Hello(Hello {
         protocol: PROTOCOL,
         min_protocol: MIN_PROTOCOL,
         instance: identity.instance.clone(),
@@ -215,13 +222,13 @@
     }))
 }
 
-/// A frame of the handshake as bytes.
-fn message(frame: &Frame) -> Bytes {
-    encode(frame).expect("hello and proof hold plain fields only")
+/// Encodes a frame of the handshake.
+fn encode_frame(frame: &Frame) -> Bytes {
+    encode(frame).expect("hello and proof frames can always be encoded")
 }
 
-/// A frame of a kind that we know; in the handshake no other has a place.
-fn known_frame(message: &[u8]) -> Result<Frame, Refusal> {
+/// Decodes a frame of a known kind; unknown kinds are not allowed in the handshake.
+fn decode_known_frame(message: &[u8]) -> Result<Frame, Refusal> {
     match decode(message) {
         Ok(Decoded::Frame(frame)) => Ok(frame),
         Ok(Decoded::UnknownKind) => Err(Refusal::Unexpected),
@@ -229,19 +236,19 @@
     }
 }
 
-/// Both hellos, each after its length, so that no two pairs give the same bytes.
-fn transcript(dialler: &[u8], listener: &[u8]) -> Vec<u8> {
+/// Concatenates both hellos, each prefixed by its length, so that the result is unambiguous.
+fn build_transcript(dialler: &[u8], listener: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(16 + dialler.len() + listener.len());
     for hello in [dialler, listener] {
-        // A length in memory always fits into 64 bits.
+        // The length of a buffer always fits in 64 bits.
         out.extend_from_slice(&(hello.len() as u64).to_le_bytes());
         out.extend_from_slice(hello);
     }
     out
 }
 
-/// `transcript` after the byte that says what its hash is for.
-fn labelled(label: u8, transcript: &[u8]) -> Vec<u8> {
+/// Prefixes `transcript` with a label for domain separation.
+fn with_label(label: u8, transcript: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(1 + transcript.len());
     out.push(label);
     out.extend_from_slice(transcript);
--- a/crates/peer/src/key.rs
+++ b/crates/peer/src/key.rs
@@ -1,20 +1,20 @@
-//! The key that all daemons of one deployment share.
+//! Secret key shared by all daemons of one deployment.
 
 use std::fmt;
 use subtle::ConstantTimeEq;
 
-/// Domain of keys that are derived from a setting's text.
+/// BLAKE3 derivation context for keys derived from a setting's text.
 const DERIVE_CONTEXT: &str = "jasminefield peer sessions shared key v1";
 
-/// Length of a proof, in bytes.
+/// Length of a keyed hash, in bytes.
 pub(crate) const MAC_BYTES: usize = blake3::OUT_LEN;
 
-/// Shared key; never shown, also not by `Debug`.
+/// Shared key; `Debug` does not print it.
 #[derive(Clone)]
 pub struct Key([u8; blake3::KEY_LEN]);
 
 impl Key {
-    /// Key from a setting's text, which may be of any length.
+    /// Derives a key from a setting's text, which may be of any length.
     pub fn from_text(text: &str) -> Self {
         Self(blake3::derive_key(DERIVE_CONTEXT, text.as_bytes()))
     }
@@ -24,7 +24,7 @@
         *blake3::keyed_hash(&self.0, message).as_bytes()
     }
 
-    /// Whether `mac` is the keyed hash of `message`, in constant time.
+    /// Whether `mac` is the keyed hash of `message`; compares in constant time.
     pub(crate) fn verify(&self, message: &[u8], mac: &[u8]) -> bool {
         self.mac(message).ct_eq(mac).into()
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,25 +1,26 @@
-//! Sessions between daemons: CBOR frames over websockets, proved by a shared key.
+//! Sessions between daemons: CBOR frames over WebSocket, authenticated by a shared key.
 //!
-//! A [`Mesh`] belongs to the daemon's control thread. It dials the partners it is given, listens
-//! for those who dial it, and turns all of that into one stream of [`Event`]s; [`Mesh::send`] never
-//! blocks. Whatever goes on underneath (two connections for one pair, a connection that went
-//! silent and was reopened), the owner sees one peer per instance that is up or down.
+//! A [`Mesh`] belongs to the daemon's control thread. It dials its configured partners, accepts
+//! connections from other daemons and reports everything as one stream of [`Event`]s;
+//! [`Mesh::send`] never blocks. Duplicate connections of a pair and reopened connections are
+//! hidden: the owner sees one peer per instance, which is up or down.
 //!
 //! Invariants:
 //! - No frame reaches the owner before its sender has proved that it holds the shared key, over
-//!   both sides' fresh nonces.
+//!   fresh nonces of both sides.
 //! - `Up`, then frames, then `Down`, for one incarnation of an instance at a time.
-//! - Memory is bounded: by frame size, by queue length, by the number of handshakes under way.
+//! - Memory is bounded by the frame size, the queue lengths and the number of concurrent
+//!   handshakes.
 //!
-//! Start at `frame.rs` for the words, `handshake.rs` for the proof, `registry.rs` for who is up,
-//! `session.rs` for one connection's life and `dial.rs` for reopening. docs/design/peer.md has the
-//! ways that were weighed.
+//! `frame.rs` defines the messages, `handshake.rs` the authentication, `registry.rs` the set of
+//! connected peers, `session/mod.rs` the lifecycle of one connection and `dial.rs` reconnection.
+//! docs/design/peer.md lists the alternatives that were considered.
 
 mod accept;
 mod codec;
 mod config;
-mod counted;
 mod counters;
+mod counting_stream;
 mod dial;
 mod event;
 mod frame;
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -1,9 +1,9 @@
-//! The owner's handle.
+//! Public handle of a mesh.
 
 use crate::{
-    accept::accept,
+    accept::accept_loop,
     counters::Counters,
-    dial::keep,
+    dial::maintain_session,
     event::{
         Events,
         PeerInfo, //
@@ -14,9 +14,9 @@
     },
     handshake::Side,
     key::Key,
-    registry::Order,
+    registry::SessionCommand,
     shared::{
-        Kept,
+        DialledPartner,
         Phase,
         Shared, //
     }, //
@@ -44,55 +44,56 @@
     watch, //
 };
 
-/// Who we are.
+/// Identity of the local instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// Our instance.
+    /// Local instance.
     pub instance: InstanceId,
-    /// Our life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Our region.
+    /// Its region.
     pub region: RegionId,
-    /// Our failure domain.
+    /// Its failure domain.
     pub failure_domain: DomainId,
 }
 
-/// Someone to keep a session to.
+/// An instance to maintain a session to.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Partner {
-    /// The instance; another one at the address is refused.
+    /// The instance; any other one at the address is refused.
     pub instance: InstanceId,
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     pub addr: SocketAddr,
 }
 
-/// Limits and times of a mesh.
+/// Limits and timeouts of a mesh.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// Between pings of one session.
+    /// Time between pings of one session.
     pub ping_interval: Duration,
-    /// Wait for a pong before the session counts as silent.
+    /// Time without a pong after which a session counts as silent.
     pub pong_timeout: Duration,
-    /// Wait for connection, websocket and proof together.
+    /// Time limit for TCP connection, WebSocket handshake and authentication together.
     pub handshake_timeout: Duration,
-    /// Wait for another session after one was lost, before the peer is down. For peers that dial
-    /// us it has to cover their ping interval and pong timeout.
+    /// Time after a lost session within which another one has to replace it, before the peer is
+    /// down. For peers that dial the local instance it has to cover their ping interval and pong
+    /// timeout.
     pub reopen_timeout: Duration,
-    /// First wait between dials that fail.
+    /// Initial delay between failed dials.
     pub backoff_min: Duration,
-    /// Longest wait between dials that fail.
+    /// Maximum delay between failed dials.
     pub backoff_max: Duration,
     /// Largest frame, in bytes, in both directions.
     pub max_frame_bytes: usize,
-    /// Frames that may wait for one peer, configuration parts apart.
+    /// Maximum number of frames queued for one peer, excluding configuration parts.
     pub queue_frames: usize,
-    /// Configuration parts that may wait for one peer.
+    /// Maximum number of configuration parts queued for one peer.
     pub queue_config_parts: usize,
-    /// Bytes of frames that may wait for the owner.
+    /// Maximum size of the frames queued for the owner, in bytes.
     pub event_bytes: u32,
-    /// Handshakes that others may have under way with us at once.
+    /// Maximum number of concurrent incoming handshakes.
     pub max_handshakes: usize,
-    /// Seed of the jitter of backoff.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -115,39 +116,40 @@
     }
 }
 
-/// What became of a frame given to [`Mesh::send`].
+/// Result of [`Mesh::send`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum SendResult {
-    /// It waits for its turn.
+    /// The frame was queued.
     Queued,
-    /// It waits for its turn; the oldest waiting beat made room and is lost.
+    /// The frame was queued; the oldest queued heartbeat was dropped to make room.
     DroppedBeat,
-    /// The queue is full and holds no beat: not taken.
+    /// The frame was rejected: the queue is full and holds no heartbeat.
     Full,
-    /// The instance is not up: not taken.
+    /// The frame was rejected: the instance is not up.
     NotConnected,
-    /// Larger than a frame may be: not taken.
+    /// The frame was rejected: it exceeds the size limit.
     TooLarge,
 }
 
-/// Sessions to other daemons; a cheap handle, for one thread.
+/// Sessions to other daemons; a cheaply cloned handle for one thread.
 ///
-/// Dropping the last handle cuts all connections at once, as the death of the process would;
-/// [`Mesh::close`] is the graceful end.
+/// Dropping the last handle closes all connections immediately, as a crash of the process would;
+/// [`Mesh::close`] shuts down gracefully.
 #[derive(Clone)]
-pub struct Mesh(Rc<Guard>);
+pub struct Mesh(Rc<ShutdownGuard>);
 
-/// Ends the tasks of a mesh when its last handle goes.
-struct Guard(Rc<Shared>);
+/// Ends the tasks of a mesh when its last handle is dropped.
+struct ShutdownGuard(Rc<Shared>);
 
-impl Drop for Guard {
+impl Drop for ShutdownGuard {
     fn drop(&mut self) {
         self.0.phase.send_replace(Phase::Ended);
     }
 }
 
 impl Mesh {
-    /// Listens on `listen`; to be called within a `LocalSet` or an actix system.
+    /// Starts a mesh that accepts connections on `listen`. Must be called within a `LocalSet` or an
+    /// actix system.
     ///
     /// # Errors
     ///
@@ -163,18 +165,18 @@
         let listener = tokio::net::TcpListener::from_std(listen)?;
         let (sender, queue) = unbounded_channel();
         let shared = Rc::new(Shared::new(identity, key, options, local_addr, sender));
-        shared.spawn(accept(shared.clone(), listener));
-        Ok((Self(Rc::new(Guard(shared))), Events { queue }))
+        shared.spawn(accept_loop(shared.clone(), listener));
+        Ok((Self(Rc::new(ShutdownGuard(shared))), Events { queue }))
     }
 
-    /// Where we listen.
+    /// Address at which the mesh listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.shared().local_addr
     }
 
-    /// Replaces the set of partners: new ones are dialled, sessions that we dialled to others are
-    /// closed. Sessions that others dialled stay, and a partner whose address alone changed keeps
-    /// its session. Ourselves among the partners is passed over.
+    /// Replaces the set of partners: new ones are dialled, and sessions dialled to instances that
+    /// are no longer partners are closed. Sessions dialled by the remote end stay, and a partner of
+    /// which only the address changed keeps its session. The local instance is ignored in the set.
     pub fn set_partners(&self, partners: Vec<Partner>) {
         let shared = self.shared();
         let mut wanted: BTreeMap<_, _> = partners
@@ -182,48 +184,55 @@
             .filter(|partner| partner.instance != shared.identity.instance)
             .map(|partner| (partner.instance, partner.addr))
             .collect();
-        let mut kept = shared.partners.borrow_mut();
-        kept.retain(|instance, present| {
-            let stays = wanted.get(instance) == Some(&present.addr);
-            if stays {
+        let mut current = shared.partners.borrow_mut();
+        current.retain(|instance, dialled| {
+            let unchanged = wanted.get(instance) == Some(&dialled.addr);
+            if unchanged {
                 wanted.remove(instance);
             } else {
-                present.wanted.send_replace(false);
+                dialled.wanted.send_replace(false);
             }
-            if !stays && !wanted.contains_key(instance) {
-                self.leave(instance);
+            if !unchanged && !wanted.contains_key(instance) {
+                self.close_dialled_session(instance);
             }
-            stays
+            unchanged
         });
         for (instance, addr) in wanted {
-            kept.insert(instance.clone(), self.keep(Partner { instance, addr }));
+            current.insert(
+                instance.clone(),
+                self.start_dialling(Partner { instance, addr }),
+            );
         }
     }
 
-    /// Begins to dial `partner`.
-    fn keep(&self, partner: Partner) -> Kept {
+    /// Starts the task that dials `partner`.
+    fn start_dialling(&self, partner: Partner) -> DialledPartner {
         let shared = self.shared();
         let addr = partner.addr;
         let wanted = watch::Sender::new(true);
-        shared.spawn(keep(shared.clone(), partner, wanted.subscribe()));
-        Kept { addr, wanted }
+        shared.spawn(maintain_session(
+            shared.clone(),
+            partner,
+            wanted.subscribe(),
+        ));
+        DialledPartner { addr, wanted }
     }
 
-    /// Closes the session to `instance` if we dialled it.
-    fn leave(&self, instance: &InstanceId) {
+    /// Closes the session to `instance` if the local end dialled it.
+    fn close_dialled_session(&self, instance: &InstanceId) {
         let registry = self.shared().registry.borrow();
         if let Some(session) = registry.session(instance) {
             if session.side == Side::Dialler {
-                let goodbye = Order::Goodbye(GoodbyeReason::Unwanted);
-                session.order.send_replace(goodbye);
+                let goodbye = SessionCommand::Goodbye(GoodbyeReason::Unwanted);
+                session.command.send_replace(goodbye);
             }
         }
     }
 
-    /// Queues `frame` for `to`; never blocks. A frame may still be lost with its connection.
+    /// Queues `frame` for `to`; never blocks. A queued frame may still be lost with its connection.
     ///
-    /// Frames arrive in order, but for configuration parts, which let all others pass. A hello,
-    /// proof or goodbye is not the owner's to send: such a frame closes the session.
+    /// Frames arrive in order, except that configuration parts yield to all other frames. The
+    /// owner must not send a hello, proof or goodbye: such a frame closes the session.
     pub fn send(&self, to: &InstanceId, frame: Frame) -> SendResult {
         let shared = self.shared();
         let outbox = shared.registry.borrow().outbox(to).cloned();
@@ -236,25 +245,26 @@
         result
     }
 
-    /// Peers that are up, in order of their names.
+    /// Peers that are up, ordered by instance id.
     pub fn peers(&self) -> Vec<PeerInfo> {
-        self.shared().registry.borrow().infos()
+        self.shared().registry.borrow().peer_infos()
     }
 
-    /// What happened so far; may be read from any thread.
+    /// Counters of this mesh, readable from any thread.
     pub fn counters(&self) -> Arc<Counters> {
         self.shared().counters.clone()
     }
 
-    /// Says goodbye to all, waits until what is queued is written, at most `timeout`, and ends.
+    /// Sends a goodbye to all peers, waits at most `timeout` for the queues to be written, and ends
+    /// the mesh.
     pub async fn close(self, timeout: Duration) {
         let shared = self.shared();
         shared.phase.send_replace(Phase::Closing);
-        let goodbye = Order::Goodbye(GoodbyeReason::Stopping);
-        shared.registry.borrow().order_all(goodbye);
-        let ended = shared.until(|registry| !registry.any_linked());
-        // Whoever does not answer in time sees the connection close.
-        let _ = tokio::time::timeout(timeout, ended).await;
+        let goodbye = SessionCommand::Goodbye(GoodbyeReason::Stopping);
+        shared.registry.borrow().command_all(goodbye);
+        let disconnected = shared.wait_until(|registry| !registry.any_connected());
+        // A peer that does not respond in time sees its connection close.
+        let _ = tokio::time::timeout(timeout, disconnected).await;
         shared.phase.send_replace(Phase::Ended);
     }
 
--- a/crates/peer/src/opening.rs
+++ b/crates/peer/src/opening.rs
@@ -1,16 +1,16 @@
-//! Opening connections: TCP, websocket, handshake, on either side.
+//! Session establishment on either side: TCP, WebSocket, handshake.
 
 use crate::{
-    counted::Counted,
+    counting_stream::CountingStream,
     handshake::{
-        Challenged,
-        Greeting,
-        Proven,
+        AuthenticatedPeer,
+        AwaitingHello,
+        AwaitingProof,
         NONCE_BYTES, //
     },
     mesh::Partner,
     refusal::Refusal,
-    registry::Admitted,
+    registry::Admission,
     shared::Shared, //
 };
 use base::InstanceId;
@@ -52,186 +52,200 @@
     WebSocketStream, //
 };
 
-/// Websocket of a session.
-pub(crate) type Socket = WebSocketStream<Counted>;
+/// WebSocket of a session.
+pub(crate) type Socket = WebSocketStream<CountingStream>;
 
-/// Largest message that an unproven dialler may send, in bytes; a hello needs a few hundred.
-const UNPROVEN_MAX_BYTES: usize = 4096;
-/// Websocket buffer in each direction, in bytes; the library's own is 128 KiB a session.
-const BUFFER_BYTES: usize = 16 * 1024;
-/// Wait for the other end to take a refusal.
-const REFUSAL_LINGER: Duration = Duration::from_millis(250);
-/// Answer to a connection that begins with no websocket handshake.
+/// Largest message accepted from an unauthenticated dialler, in bytes; a hello takes a few hundred.
+const UNAUTHENTICATED_MAX_BYTES: usize = 4096;
+/// WebSocket buffer size per direction, in bytes; the library's default is 128 KiB per session.
+const WEBSOCKET_BUFFER_BYTES: usize = 16 * 1024;
+/// Time allowed for the remote end to read a refusal.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Response to a connection that does not start with a WebSocket handshake.
 const NOT_WEBSOCKET: &[u8] = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\
     Content-Type: text/plain\r\nContent-Length: 26\r\n\r\nnot a websocket handshake\n";
 
-/// A session that both ends have proved.
-pub(crate) struct Opened {
-    /// The websocket.
+/// An established session; both ends are authenticated.
+pub(crate) struct OpenedSession {
+    /// The WebSocket.
     pub(crate) socket: Socket,
-    /// The other end.
-    pub(crate) proven: Proven,
-    /// Its place in the registry.
-    pub(crate) admitted: Admitted,
+    /// The remote end.
+    pub(crate) remote: AuthenticatedPeer,
+    /// Its registration.
+    pub(crate) admission: Admission,
 }
 
-/// Why a dial led to no session.
+/// Why a dial attempt did not establish a session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum DialError {
-    /// Nobody listens there: the process is gone.
-    Nobody,
-    /// No connection, for any other reason.
+    /// Nothing listens at the address: the process has exited.
+    ConnectionRefused,
+    /// The connection failed for any other reason.
     Unreachable,
-    /// There was a connection but no proof.
+    /// The connection succeeded but the handshake failed.
     Refused(Refusal),
 }
 
-/// Opens a session to `partner`, in place of `reopens` if it was lost.
+/// Opens a session to `partner`, replacing the lost session `reopens` if there is one.
 pub(crate) async fn dial(
     shared: &Shared,
     partner: &Partner,
     reopens: Option<Bytes>,
-) -> Result<Opened, DialError> {
-    let patience = shared.options.handshake_timeout;
-    match timeout(patience, try_dial(shared, partner, reopens)).await {
+) -> Result<OpenedSession, DialError> {
+    let time_limit = shared.options.handshake_timeout;
+    match timeout(time_limit, try_dial(shared, partner, reopens)).await {
         Ok(result) => result,
         Err(_) => Err(DialError::Unreachable),
     }
 }
 
-/// Connects and proves, without a limit of time.
+/// Connects and authenticates, without a time limit.
 async fn try_dial(
     shared: &Shared,
     partner: &Partner,
     reopens: Option<Bytes>,
-) -> Result<Opened, DialError> {
+) -> Result<OpenedSession, DialError> {
     let stream = match TcpStream::connect(partner.addr).await {
         Ok(stream) => stream,
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-            return Err(DialError::Nobody);
+            return Err(DialError::ConnectionRefused);
         }
         Err(_) => return Err(DialError::Unreachable),
     };
-    let stream = Counted::new(stream, &shared.counters).map_err(|_| DialError::Unreachable)?;
+    let stream =
+        CountingStream::new(stream, &shared.counters).map_err(|_| DialError::Unreachable)?;
     let url = format!("ws://{}/", partner.addr);
-    let config = config(shared.options.max_frame_bytes);
+    let config = websocket_config(shared.options.max_frame_bytes);
     let (mut socket, _) = client_async_with_config(url, stream, Some(config))
         .await
-        .map_err(|error| DialError::Refused(websocket_refusal(&error)))?;
-    match prove_as_dialler(shared, &mut socket, &partner.instance, reopens).await {
-        Ok((proven, admitted)) => Ok(Opened {
+        .map_err(|error| DialError::Refused(handshake_refusal(&error)))?;
+    match authenticate_as_dialler(shared, &mut socket, &partner.instance, reopens).await {
+        Ok((remote, admission)) => Ok(OpenedSession {
             socket,
-            proven,
-            admitted,
+            remote,
+            admission,
         }),
-        Err(why) => {
-            refuse(socket, why).await;
-            Err(DialError::Refused(why))
+        Err(refusal) => {
+            close_with_refusal(socket, refusal).await;
+            Err(DialError::Refused(refusal))
         }
     }
 }
 
-/// Hello, their hello, our proof, their proof.
-async fn prove_as_dialler(
+/// Runs the dialling side: local hello, remote hello, local proof, remote proof.
+async fn authenticate_as_dialler(
     shared: &Shared,
     socket: &mut Socket,
     expected: &InstanceId,
     reopens: Option<Bytes>,
-) -> Result<(Proven, Admitted), Refusal> {
-    let greeting = Greeting::dial(&shared.identity, &shared.key, nonce(), expected, reopens);
-    send(socket, greeting.hello()).await?;
-    let begun = Instant::now();
-    let challenged = greeting.hear(&receive(socket).await?)?;
-    let rtt = begun.elapsed();
-    send(socket, challenged.proof()).await?;
-    let proven = challenged.check(&receive(socket).await?)?;
-    let admitted = shared.admit(&proven, rtt)?;
-    Ok((proven, admitted))
+) -> Result<(AuthenticatedPeer, Admission), Refusal> {
+    let handshake = AwaitingHello::dial(
+        &shared.identity,
+        &shared.key,
+        random_nonce(),
+        expected,
+        reopens,
+    );
+    send(socket, handshake.hello()).await?;
+    let sent_at = Instant::now();
+    let handshake = handshake.receive_hello(&receive(socket).await?)?;
+    let rtt = sent_at.elapsed();
+    send(socket, handshake.proof()).await?;
+    let remote = handshake.verify_proof(&receive(socket).await?)?;
+    let admission = shared.admit(&remote, rtt)?;
+    Ok((remote, admission))
 }
 
-/// Opens a session on an accepted connection; a refusal has been told to the other end.
-pub(crate) async fn listen(shared: &Shared, stream: TcpStream) -> Result<Opened, Refusal> {
-    let patience = shared.options.handshake_timeout;
-    let mut stream = Counted::new(stream, &shared.counters).map_err(|_| Refusal::Closed)?;
-    if let Err(why) = upgrade(&mut stream, patience).await {
-        // One clear answer also for a browser or a probe that lost its way.
-        let _ = timeout(REFUSAL_LINGER, stream.write_all(NOT_WEBSOCKET)).await;
-        linger(stream).await;
-        return Err(why);
+/// Opens a session on an accepted connection. On failure the remote end has been told the reason.
+pub(crate) async fn accept_session(
+    shared: &Shared,
+    stream: TcpStream,
+) -> Result<OpenedSession, Refusal> {
+    let time_limit = shared.options.handshake_timeout;
+    let mut stream = CountingStream::new(stream, &shared.counters).map_err(|_| Refusal::Closed)?;
+    if let Err(refusal) = upgrade(&mut stream, time_limit).await {
+        // Also gives a browser or a misdirected probe a clear response.
+        let _ = timeout(REFUSAL_TIMEOUT, stream.write_all(NOT_WEBSOCKET)).await;
+        shutdown_and_drain(stream).await;
+        return Err(refusal);
     }
-    let unproven = Some(config(UNPROVEN_MAX_BYTES));
-    let mut socket = Socket::from_raw_socket(stream, Role::Server, unproven).await;
-    let (challenged, proven, rtt) = match challenge(shared, &mut socket, patience).await {
-        Ok(proved) => proved,
-        Err(why) => {
-            refuse(socket, why).await;
-            return Err(why);
+    let unauthenticated_config = Some(websocket_config(UNAUTHENTICATED_MAX_BYTES));
+    let mut socket = Socket::from_raw_socket(stream, Role::Server, unauthenticated_config).await;
+    let (handshake, remote, rtt) = match authenticate_dialler(shared, &mut socket, time_limit).await
+    {
+        Ok(authenticated) => authenticated,
+        Err(refusal) => {
+            close_with_refusal(socket, refusal).await;
+            return Err(refusal);
         }
     };
-    // Registered before the dialler can know it: see `registry.rs` for why the order matters.
-    let admitted = match shared.admit(&proven, rtt) {
-        Ok(admitted) => admitted,
-        Err(why) => {
-            refuse(socket, why).await;
-            return Err(why);
+    // The session is registered before the proof tells the dialler; `registry.rs` explains why the
+    // order matters.
+    let admission = match shared.admit(&remote, rtt) {
+        Ok(admission) => admission,
+        Err(refusal) => {
+            close_with_refusal(socket, refusal).await;
+            return Err(refusal);
         }
     };
-    // When this fails, the session's first read finds it broken, as any lost session.
-    let _ = timeout(patience, send(&mut socket, challenged.proof())).await;
-    // A dialler sends nothing between its proof and ours, so that no bytes wait in the websocket
-    // that is taken apart here to lift the strangers' limit.
-    let proved = Some(config(shared.options.max_frame_bytes));
-    let socket = Socket::from_raw_socket(socket.into_inner(), Role::Server, proved).await;
-    Ok(Opened {
+    // If this fails, the session's first read fails and the session counts as lost.
+    let _ = timeout(time_limit, send(&mut socket, handshake.proof())).await;
+    // The WebSocket is rebuilt to lift the limit for unauthenticated diallers. No buffered bytes
+    // are lost: a dialler sends nothing between its own proof and the listener's.
+    let authenticated_config = Some(websocket_config(shared.options.max_frame_bytes));
+    let socket =
+        Socket::from_raw_socket(socket.into_inner(), Role::Server, authenticated_config).await;
+    Ok(OpenedSession {
         socket,
-        proven,
-        admitted,
+        remote,
+        admission,
     })
 }
 
-/// Answers the websocket's own handshake.
-async fn upgrade(stream: &mut Counted, patience: Duration) -> Result<(), Refusal> {
-    let upgrade = accept_async_with_config(stream, Some(config(UNPROVEN_MAX_BYTES)));
-    match timeout(patience, upgrade).await {
-        // Bytes after the handshake are refused by the library, so that dropping the websocket
-        // here loses none.
+/// Performs the WebSocket handshake.
+async fn upgrade(stream: &mut CountingStream, time_limit: Duration) -> Result<(), Refusal> {
+    let upgrade =
+        accept_async_with_config(stream, Some(websocket_config(UNAUTHENTICATED_MAX_BYTES)));
+    match timeout(time_limit, upgrade).await {
+        // The library rejects bytes that follow the handshake, so dropping the WebSocket here loses
+        // none.
         Ok(Ok(_)) => Ok(()),
-        Ok(Err(error)) => Err(websocket_refusal(&error)),
+        Ok(Err(error)) => Err(handshake_refusal(&error)),
         Err(_) => Err(Refusal::Timeout),
     }
 }
 
-/// Their hello, our hello, their proof.
-async fn challenge(
+/// Runs the listening side: remote hello, local hello, remote proof.
+async fn authenticate_dialler(
     shared: &Shared,
     socket: &mut Socket,
-    patience: Duration,
-) -> Result<(Challenged, Proven, Duration), Refusal> {
+    time_limit: Duration,
+) -> Result<(AwaitingProof, AuthenticatedPeer, Duration), Refusal> {
     let exchange = async {
-        let greeting = Greeting::listen(&shared.identity, &shared.key, nonce());
-        let theirs = receive(socket).await?;
-        let ours = greeting.hello();
-        let challenged = greeting.hear(&theirs)?;
-        send(socket, ours).await?;
-        let begun = Instant::now();
-        let proven = challenged.check(&receive(socket).await?)?;
-        Ok((challenged, proven, begun.elapsed()))
+        let handshake = AwaitingHello::listen(&shared.identity, &shared.key, random_nonce());
+        let remote_hello = receive(socket).await?;
+        let local_hello = handshake.hello();
+        let handshake = handshake.receive_hello(&remote_hello)?;
+        send(socket, local_hello).await?;
+        let sent_at = Instant::now();
+        let remote = handshake.verify_proof(&receive(socket).await?)?;
+        Ok((handshake, remote, sent_at.elapsed()))
     };
-    timeout(patience, exchange)
+    timeout(time_limit, exchange)
         .await
         .unwrap_or(Err(Refusal::Timeout))
 }
 
-/// Fresh challenge, from the system's randomness: a nonce that could be foreseen could be replayed.
-fn nonce() -> [u8; NONCE_BYTES] {
+/// Fresh nonce from the system's randomness: a predictable nonce would allow replay.
+fn random_nonce() -> [u8; NONCE_BYTES] {
     rand::rng().random()
 }
 
-/// Websocket with messages of up to `max_bytes`.
-fn config(max_bytes: usize) -> WebSocketConfig {
+/// WebSocket configuration for messages of up to `max_bytes`.
+fn websocket_config(max_bytes: usize) -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER_BYTES)
-        .write_buffer_size(BUFFER_BYTES)
+        .read_buffer_size(WEBSOCKET_BUFFER_BYTES)
+        .write_buffer_size(WEBSOCKET_BUFFER_BYTES)
         .max_message_size(Some(max_bytes))
         .max_frame_size(Some(max_bytes))
 }
@@ -244,7 +258,7 @@
         .map_err(|_| Refusal::Closed)
 }
 
-/// Awaits one message of the handshake.
+/// Receives one message of the handshake.
 async fn receive(socket: &mut Socket) -> Result<Bytes, Refusal> {
     loop {
         match socket.next().await {
@@ -257,8 +271,8 @@
     }
 }
 
-/// Refusal for an error of the websocket's handshake.
-fn websocket_refusal(error: &Error) -> Refusal {
+/// Refusal for an error of the WebSocket handshake.
+fn handshake_refusal(error: &Error) -> Refusal {
     match error {
         Error::Io(_)
         | Error::ConnectionClosed
@@ -268,7 +282,7 @@
     }
 }
 
-/// Refusal for an error of a message.
+/// Refusal for an error while receiving a message.
 pub(crate) fn message_refusal(error: &Error) -> Refusal {
     match error {
         Error::Capacity(_) => Refusal::Oversize,
@@ -278,22 +292,22 @@
     }
 }
 
-/// Tells the other end why and closes.
-pub(crate) async fn refuse(mut socket: Socket, why: Refusal) {
-    let close = socket.send(Message::Close(Some(why.close_frame())));
-    let _ = timeout(REFUSAL_LINGER, close).await;
-    linger(socket.into_inner()).await;
+/// Sends the refusal to the remote end and closes the connection.
+pub(crate) async fn close_with_refusal(mut socket: Socket, refusal: Refusal) {
+    let close = socket.send(Message::Close(Some(refusal.close_frame())));
+    let _ = timeout(REFUSAL_TIMEOUT, close).await;
+    shutdown_and_drain(socket.into_inner()).await;
 }
 
-/// Closes after the other end has, or a short while.
+/// Shuts down writing and discards input until the remote end closes or a short timeout expires.
 ///
-/// A socket closed with bytes unread is reset by the kernel, which drops what it has not sent yet
-/// and fails the other end's writes: it would see a broken connection and no reason.
-async fn linger(mut stream: Counted) {
+/// The kernel resets a socket that is closed with unread bytes: it drops unsent data and fails the
+/// remote end's writes, so the remote end would see a broken connection instead of the reason.
+async fn shutdown_and_drain(mut stream: CountingStream) {
     let drain = async {
-        let mut scrap = [0; 1024];
+        let mut discarded = [0; 1024];
         let _ = stream.shutdown().await;
-        while matches!(stream.read(&mut scrap).await, Ok(1..)) {}
+        while matches!(stream.read(&mut discarded).await, Ok(1..)) {}
     };
-    let _ = timeout(REFUSAL_LINGER, drain).await;
+    let _ = timeout(REFUSAL_TIMEOUT, drain).await;
 }
--- a/crates/peer/src/outbox.rs
+++ b/crates/peer/src/outbox.rs
@@ -1,8 +1,8 @@
-//! Frames that wait for one peer.
+//! Queue of outgoing frames for one peer.
 //!
-//! The queue belongs to the peer, not to a connection: what waits while a lost connection is
-//! reopened goes out on the next one. Configuration parts wait apart and go last, since a beat
-//! behind a whole configuration would make its sender look silent.
+//! The queue belongs to the peer, not to a connection: frames queued while a lost connection is
+//! reopened are sent on the next one. Configuration parts have a queue of their own with lower
+//! priority, since a heartbeat delayed by a whole configuration would make its sender look silent.
 
 use crate::{
     codec::encode,
@@ -22,14 +22,14 @@
 };
 use tokio::sync::Notify;
 
-/// Room in a frame for a configuration part's fields besides head and body.
+/// Allowance for the encoded fields of a configuration part besides head and body.
 const PART_FIELDS_BYTES: usize = 256;
 
-/// A frame ready for the wire.
-struct Waiting {
-    /// Whether a newer beat may take its place.
+/// An encoded frame.
+struct QueuedFrame {
+    /// Whether it is a heartbeat, which may be dropped in favour of newer frames.
     is_beat: bool,
-    /// The message.
+    /// The encoded frame.
     message: Bytes,
 }
 
@@ -37,23 +37,23 @@
 #[derive(Default)]
 struct Queues {
     /// Frames, oldest first.
-    frames: VecDeque<Waiting>,
-    /// Configuration parts, oldest first; encoded when their turn comes, so that a body waiting
-    /// for many peers is held once.
+    frames: VecDeque<QueuedFrame>,
+    /// Configuration parts, oldest first; encoded only when they are sent, so that a body queued
+    /// for many peers is held in memory once.
     parts: VecDeque<ConfigBody>,
 }
 
-/// Bounded queues of one peer and the signal that something came.
+/// Bounded queues of one peer, with a signal for new frames.
 pub(crate) struct Outbox {
     /// The queues.
     queues: RefCell<Queues>,
-    /// Wakes the session that writes.
-    pub(crate) filled: Notify,
+    /// Wakes the session's writer.
+    pub(crate) pushed: Notify,
     /// Largest frame, in bytes.
     max_frame_bytes: usize,
-    /// Limit of `frames`.
+    /// Maximum length of `Queues::frames`.
     max_frames: usize,
-    /// Limit of `parts`.
+    /// Maximum length of `Queues::parts`.
     max_parts: usize,
 }
 
@@ -62,7 +62,7 @@
     pub(crate) fn new(options: &Options) -> Self {
         Self {
             queues: RefCell::default(),
-            filled: Notify::new(),
+            pushed: Notify::new(),
             max_frame_bytes: options.max_frame_bytes,
             max_frames: options.queue_frames,
             max_parts: options.queue_config_parts,
@@ -75,7 +75,7 @@
             Frame::ConfigBody(part) => self.push_part(part),
             frame => self.push_frame(&frame),
         };
-        self.filled.notify_one();
+        self.pushed.notify_one();
         result
     }
 
@@ -102,27 +102,27 @@
         let frames = &mut self.queues.borrow_mut().frames;
         let mut result = SendResult::Queued;
         if frames.len() >= self.max_frames {
-            // A beat only matters until the next one; anything else is not ours to drop.
-            let Some(oldest) = frames.iter().position(|waiting| waiting.is_beat) else {
+            // A heartbeat is superseded by the next one; no other frame may be dropped here.
+            let Some(oldest) = frames.iter().position(|queued| queued.is_beat) else {
                 return SendResult::Full;
             };
             frames.remove(oldest);
             result = SendResult::DroppedBeat;
         }
-        frames.push_back(Waiting {
+        frames.push_back(QueuedFrame {
             is_beat: matches!(frame, Frame::Beat(_)),
             message,
         });
         result
     }
 
-    /// Next message, if any waits.
+    /// Removes the next message, if there is one.
     pub(crate) fn pop(&self) -> Option<Bytes> {
         let queues = &mut *self.queues.borrow_mut();
-        if let Some(waiting) = queues.frames.pop_front() {
-            return Some(waiting.message);
+        if let Some(queued) = queues.frames.pop_front() {
+            return Some(queued.message);
         }
         let part = queues.parts.pop_front()?;
-        Some(encode(&Frame::ConfigBody(part)).expect("a part holds plain fields only"))
+        Some(encode(&Frame::ConfigBody(part)).expect("a configuration part can always be encoded"))
     }
 }
--- a/crates/peer/src/refusal.rs
+++ b/crates/peer/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a connection is refused: one reason, told to the other end and counted.
+//! Reasons for refusing a connection; each is sent to the remote end and counted.
 
 use std::fmt;
 use tokio_tungstenite::tungstenite::protocol::{
@@ -6,37 +6,37 @@
     CloseFrame, //
 };
 
-/// Why a connection or session was closed without trust.
+/// Why a connection or session was refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Refusal {
-    /// No websocket handshake came.
+    /// The connection did not start with a WebSocket handshake.
     NotWebsocket,
-    /// The handshake took too long.
+    /// The handshake timed out.
     Timeout,
-    /// The other end closed during the handshake.
+    /// The remote end closed the connection during the handshake.
     Closed,
-    /// Too many handshakes were under way.
+    /// Too many handshakes were in progress.
     Busy,
-    /// Bytes that are no frame.
+    /// A message is not a valid frame.
     Malformed,
-    /// A frame above the limit.
+    /// A frame exceeds the size limit.
     Oversize,
-    /// A frame that has no place here.
+    /// A frame is not allowed in this state.
     Unexpected,
-    /// No common protocol.
+    /// There is no common protocol version.
     Protocol,
-    /// The proof does not fit the shared key.
+    /// The proof does not match the shared key.
     WrongProof,
-    /// The dialled address is another instance's.
+    /// Another instance answers at the dialled address.
     WrongInstance,
-    /// The other end names itself as we do.
+    /// The remote end claims the local instance's id.
     Ourselves,
-    /// A higher incarnation of that instance is up.
+    /// A higher incarnation of the instance is up.
     Stale,
 }
 
 impl Refusal {
-    /// Short text, also the close frame's reason.
+    /// Short description; also the reason in the close frame.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotWebsocket => "not a websocket handshake",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Close frame that tells the other end.
+    /// Close frame that carries the reason to the remote end.
     pub(crate) fn close_frame(self) -> CloseFrame {
         let code = match self {
             Self::Malformed => CloseCode::Invalid,
--- a/crates/peer/src/registry.rs
+++ b/crates/peer/src/registry.rs
@@ -1,17 +1,17 @@
-//! Who is up, and by which session.
+//! Peers that are up and the sessions that connect them.
 //!
-//! One peer has at most one session that writes. A second one, proven later, takes its place or
-//! gives way by a rule that both ends apply to the same facts, so that they never keep different
-//! ones:
+//! A peer has at most one session that writes. When a second session is authenticated, it either
+//! replaces the current one or is closed as a duplicate. Both ends apply the same rules to the same
+//! facts, so that they never keep different sessions:
 //!
-//! 1. A higher incarnation takes the place of a lower one; a lower one is refused.
-//! 2. A session takes the place of one that is saying goodbye or that it names as silent.
-//! 3. A session dialled by the same end as the present one takes its place.
+//! 1. A higher incarnation replaces a lower one; a lower one is refused.
+//! 2. A session replaces one that is saying goodbye or that it names as lost.
+//! 3. A session dialled by the same end as the current one replaces it.
 //! 4. Otherwise the session dialled by the smaller instance id stays.
 //!
-//! Both ends see the same order because the listener registers a session before it sends its proof
-//! and the dialler after it has checked it: whichever end counts two sessions as proven, the other
-//! one counts the earlier as registered.
+//! Both ends see the same order, because the listener registers a session before it sends its proof
+//! and the dialler after it has verified that proof: when either end has two authenticated
+//! sessions, the other end has already registered the earlier one.
 
 use crate::{
     event::{
@@ -20,7 +20,7 @@
     },
     frame::GoodbyeReason,
     handshake::{
-        Proven,
+        AuthenticatedPeer,
         SessionId,
         Side, //
     },
@@ -39,158 +39,158 @@
 };
 use tokio::sync::watch;
 
-/// What a session is to do.
+/// Command from the registry to a session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Order {
-    /// Carry frames.
+pub(crate) enum SessionCommand {
+    /// Transfer frames.
     Run,
-    /// Write nothing more, read to the end: another session has taken the place.
-    Fade,
-    /// Write what waits, say goodbye and end.
+    /// Stop writing but read to the end: another session has replaced this one.
+    StopWriting,
+    /// Write the queued frames, send a goodbye and end.
     Goodbye(GoodbyeReason),
-    /// End now.
-    Cut,
+    /// End immediately.
+    Abort,
 }
 
-/// The registry's end of one session.
+/// The registry's handle to one session.
 pub(crate) struct Session {
-    /// Name, the same at both ends.
+    /// Session id, the same at both ends.
     pub(crate) id: SessionId,
-    /// Which end we are.
+    /// The local end's side.
     pub(crate) side: Side,
-    /// What it is to do.
-    pub(crate) order: watch::Sender<Order>,
+    /// Current command.
+    pub(crate) command: watch::Sender<SessionCommand>,
 }
 
-/// How a peer is reached.
+/// Connection state of a peer.
 enum Link {
-    /// By this session.
-    Up(Rc<Session>),
-    /// Not at all; another session may come in time.
+    /// Connected by this session.
+    Connected(Rc<Session>),
+    /// Not connected; another session may replace the lost one in time.
     Reopening {
         /// The session that was lost.
         lost: SessionId,
-        /// What the peer is down for when none comes.
-        why: DownReason,
+        /// Reason to report if no session replaces it.
+        reason: DownReason,
     },
 }
 
-/// One peer that the owner counts as up.
+/// A peer that has been reported to the owner as up.
 struct Peer {
-    /// Who it is.
+    /// Its identity and last measured round trip.
     info: PeerInfo,
-    /// How it is reached.
+    /// Its connection state.
     link: Link,
-    /// What waits for it.
+    /// Frames queued for it.
     outbox: Rc<Outbox>,
 }
 
-/// What a proven session becomes.
-pub(crate) struct Admitted {
-    /// The registry's end.
+/// Registration of an authenticated session.
+pub(crate) struct Admission {
+    /// The registry's handle to the session.
     pub(crate) session: Rc<Session>,
     /// The peer's queue.
     pub(crate) outbox: Rc<Outbox>,
-    /// What the owner is to hear.
-    pub(crate) news: News,
+    /// Effect on the peer's state.
+    pub(crate) outcome: AdmissionOutcome,
 }
 
-/// What an admission means for the owner.
+/// Effect of an admission on the peer's state, as reported to the owner.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) enum News {
+pub(crate) enum AdmissionOutcome {
     /// The peer was not up.
     Up,
-    /// The peer's older incarnation is gone.
+    /// The peer restarted; holds the old incarnation.
     Restarted(Incarnation),
     /// A lost session was replaced.
     Reopened,
-    /// Another session stood and was replaced, or stands and stays.
+    /// There already was a session, which either was replaced or stays.
     Duplicate,
 }
 
 /// All peers that are up.
 pub(crate) struct Registry {
-    /// Our instance.
-    ours: InstanceId,
-    /// Peers by name, so that the order of iteration is the same everywhere.
+    /// Local instance.
+    local_instance: InstanceId,
+    /// Peers by instance id, so that the iteration order is deterministic.
     peers: BTreeMap<InstanceId, Peer>,
 }
 
 impl Registry {
-    /// Nobody is up.
-    pub(crate) fn new(ours: InstanceId) -> Self {
+    /// Registry without peers.
+    pub(crate) fn new(local_instance: InstanceId) -> Self {
         Self {
-            ours,
+            local_instance,
             peers: BTreeMap::new(),
         }
     }
 
-    /// Takes a proven session.
+    /// Registers an authenticated session.
     ///
     /// # Errors
     ///
     /// [`Refusal::Stale`] for a lower incarnation than the one that is up.
     pub(crate) fn admit(
         &mut self,
-        proven: &Proven,
+        remote: &AuthenticatedPeer,
         rtt: Duration,
         options: &Options,
-    ) -> Result<Admitted, Refusal> {
+    ) -> Result<Admission, Refusal> {
         let session = Rc::new(Session {
-            id: proven.id.clone(),
-            side: proven.side,
-            order: watch::Sender::new(Order::Run),
+            id: remote.id.clone(),
+            side: remote.side,
+            command: watch::Sender::new(SessionCommand::Run),
         });
         let info = PeerInfo {
-            instance: proven.hello.instance.clone(),
-            incarnation: proven.hello.incarnation,
-            region: proven.hello.region.clone(),
-            failure_domain: proven.hello.failure_domain.clone(),
+            instance: remote.hello.instance.clone(),
+            incarnation: remote.hello.incarnation,
+            region: remote.hello.region.clone(),
+            failure_domain: remote.hello.failure_domain.clone(),
             rtt,
         };
-        let ours = self.ours.clone();
-        let news = match self.peers.get_mut(&info.instance) {
-            None => News::Up,
+        let local_instance = self.local_instance.clone();
+        let outcome = match self.peers.get_mut(&info.instance) {
+            None => AdmissionOutcome::Up,
             Some(peer) if info.incarnation < peer.info.incarnation => return Err(Refusal::Stale),
             Some(peer) if info.incarnation > peer.info.incarnation => {
-                peer.order(Order::Cut);
-                News::Restarted(peer.info.incarnation)
+                peer.send_command(SessionCommand::Abort);
+                AdmissionOutcome::Restarted(peer.info.incarnation)
             }
             Some(peer) => {
-                let news = peer.join(&ours, proven, &session);
-                return Ok(Admitted {
+                let outcome = peer.add_session(&local_instance, remote, &session);
+                return Ok(Admission {
                     session,
                     outbox: peer.outbox.clone(),
-                    news,
+                    outcome,
                 });
             }
         };
         let outbox = Rc::new(Outbox::new(options));
         let peer = Peer {
             info: info.clone(),
-            link: Link::Up(session.clone()),
+            link: Link::Connected(session.clone()),
             outbox: outbox.clone(),
         };
         self.peers.insert(info.instance, peer);
-        Ok(Admitted {
+        Ok(Admission {
             session,
             outbox,
-            news,
+            outcome,
         })
     }
 
-    /// A session is lost; whether another one is awaited now.
-    pub(crate) fn lose(
+    /// Marks a session as lost; returns whether the peer is now waiting for another one.
+    pub(crate) fn mark_lost(
         &mut self,
         instance: &InstanceId,
         session: &Session,
-        why: DownReason,
+        reason: DownReason,
     ) -> bool {
         match self.peers.get_mut(instance) {
-            Some(peer) if peer.is_by(session) => {
+            Some(peer) if peer.is_connected_by(session) => {
                 peer.link = Link::Reopening {
                     lost: session.id.clone(),
-                    why,
+                    reason,
                 };
                 true
             }
@@ -198,9 +198,14 @@
         }
     }
 
-    /// A session ended for good; the incarnation that is down by it.
-    pub(crate) fn end(&mut self, instance: &InstanceId, session: &Session) -> Option<Incarnation> {
-        if !self.peers.get(instance)?.is_by(session) {
+    /// Removes the peer if it is connected by this session, which has ended for good; returns the
+    /// incarnation that is down.
+    pub(crate) fn end_session(
+        &mut self,
+        instance: &InstanceId,
+        session: &Session,
+    ) -> Option<Incarnation> {
+        if !self.peers.get(instance)?.is_connected_by(session) {
             return None;
         }
         self.peers
@@ -208,69 +213,77 @@
             .map(|peer| peer.info.incarnation)
     }
 
-    /// An incarnation stops; whether it was up.
+    /// Removes an incarnation that is stopping; returns whether it was up.
     ///
-    /// It may say so on a session that gives way here while the one that stays has no other end
-    /// any more: its dial was cut short by the stop. Which session carried the word must not
-    /// matter, or the peer would wait for a reopening that cannot come.
-    pub(crate) fn stop(&mut self, instance: &InstanceId, incarnation: Incarnation) -> bool {
+    /// The goodbye may arrive on a session that is being closed as a duplicate, while the remote
+    /// end of the session that stays is already gone because the stop interrupted its dial. The
+    /// goodbye therefore counts on any session: otherwise the peer would wait for a reopening that
+    /// cannot happen.
+    pub(crate) fn remove_stopped(
+        &mut self,
+        instance: &InstanceId,
+        incarnation: Incarnation,
+    ) -> bool {
         let was_up = self.is_up(instance, incarnation);
         if was_up {
             if let Some(peer) = self.peers.remove(instance) {
-                peer.order(Order::Cut);
+                peer.send_command(SessionCommand::Abort);
             }
         }
         was_up
     }
 
-    /// No session came in place of `lost`; who is down, and why.
-    pub(crate) fn give_up(
+    /// Removes the peer if `lost` was not replaced; returns its incarnation and the reason.
+    pub(crate) fn abandon_reopening(
         &mut self,
         instance: &InstanceId,
         lost: &SessionId,
     ) -> Option<(Incarnation, DownReason)> {
-        let why = match &self.peers.get(instance)?.link {
-            Link::Reopening { lost: awaited, why } if awaited == lost => *why,
+        let reason = match &self.peers.get(instance)?.link {
+            Link::Reopening {
+                lost: pending,
+                reason,
+            } if pending == lost => *reason,
             _ => return None,
         };
         let peer = self.peers.remove(instance)?;
-        Some((peer.info.incarnation, why))
+        Some((peer.info.incarnation, reason))
     }
 
-    /// Whether `instance` is reached by a session now.
-    pub(crate) fn is_linked(&self, instance: &InstanceId) -> bool {
+    /// Whether `instance` is currently connected by a session.
+    pub(crate) fn is_connected(&self, instance: &InstanceId) -> bool {
         self.session(instance).is_some()
     }
 
-    /// Whether any peer is reached by a session now.
-    pub(crate) fn any_linked(&self) -> bool {
+    /// Whether any peer is currently connected by a session.
+    pub(crate) fn any_connected(&self) -> bool {
         self.peers.values().any(|peer| peer.session().is_some())
     }
 
-    /// Whether the owner counts this incarnation as up.
+    /// Whether this incarnation is up.
     pub(crate) fn is_up(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
         self.peers
             .get(instance)
             .is_some_and(|peer| peer.info.incarnation == incarnation)
     }
 
-    /// The session of `instance` that is to be reopened.
-    pub(crate) fn lost(&self, instance: &InstanceId) -> Option<SessionId> {
+    /// The lost session of `instance` that is waiting to be replaced.
+    pub(crate) fn lost_session(&self, instance: &InstanceId) -> Option<SessionId> {
         match &self.peers.get(instance)?.link {
-            Link::Up(_) => None,
+            Link::Connected(_) => None,
             Link::Reopening { lost, .. } => Some(lost.clone()),
         }
     }
 
-    /// Session by which `instance` is reached.
+    /// Session that connects `instance`.
     pub(crate) fn session(&self, instance: &InstanceId) -> Option<&Rc<Session>> {
         self.peers.get(instance)?.session()
     }
 
-    /// Orders all sessions alike.
-    pub(crate) fn order_all(&self, order: Order) {
+    /// Sends a command to all sessions.
+    pub(crate) fn command_all(&self, command: SessionCommand) {
         for peer in self.peers.values() {
-            peer.order(order);
+            peer.send_command(command);
         }
     }
 
@@ -279,77 +292,89 @@
         self.peers.get(instance).map(|peer| &peer.outbox)
     }
 
-    /// Notes a measured round trip.
+    /// Records a measured round trip.
     pub(crate) fn set_rtt(&mut self, instance: &InstanceId, rtt: Duration) {
         if let Some(peer) = self.peers.get_mut(instance) {
             peer.info.rtt = rtt;
         }
     }
 
-    /// Who `instance` is, if it is up.
-    pub(crate) fn info(&self, instance: &InstanceId) -> Option<&PeerInfo> {
+    /// Information about `instance`, if it is up.
+    pub(crate) fn peer_info(&self, instance: &InstanceId) -> Option<&PeerInfo> {
         self.peers.get(instance).map(|peer| &peer.info)
     }
 
-    /// All that are up.
-    pub(crate) fn infos(&self) -> Vec<PeerInfo> {
+    /// Information about all peers that are up.
+    pub(crate) fn peer_infos(&self) -> Vec<PeerInfo> {
         self.peers.values().map(|peer| peer.info.clone()).collect()
     }
 }
 
 impl Peer {
-    /// A further session to the incarnation that is up.
-    fn join(&mut self, ours: &InstanceId, proven: &Proven, session: &Rc<Session>) -> News {
-        let Some(present) = self.session().cloned() else {
-            self.link = Link::Up(session.clone());
-            return News::Reopened;
+    /// Registers another session to the incarnation that is up.
+    fn add_session(
+        &mut self,
+        local_instance: &InstanceId,
+        remote: &AuthenticatedPeer,
+        session: &Rc<Session>,
+    ) -> AdmissionOutcome {
+        let Some(current) = self.session().cloned() else {
+            self.link = Link::Connected(session.clone());
+            return AdmissionOutcome::Reopened;
         };
-        if !takes_place(ours, &present, proven) {
-            session.order.send_replace(Order::Fade);
-            return News::Duplicate;
+        if !replaces_current(local_instance, &current, remote) {
+            session.command.send_replace(SessionCommand::StopWriting);
+            return AdmissionOutcome::Duplicate;
         }
-        present.order.send_replace(Order::Fade);
-        self.link = Link::Up(session.clone());
-        if reopens(&present, proven) {
-            News::Reopened
+        current.command.send_replace(SessionCommand::StopWriting);
+        self.link = Link::Connected(session.clone());
+        if reopens_current(&current, remote) {
+            AdmissionOutcome::Reopened
         } else {
-            News::Duplicate
+            AdmissionOutcome::Duplicate
         }
     }
 
-    /// Session by which it is reached.
+    /// Session that connects it.
     fn session(&self) -> Option<&Rc<Session>> {
         match &self.link {
-            Link::Up(session) => Some(session),
+            Link::Connected(session) => Some(session),
             Link::Reopening { .. } => None,
         }
     }
 
-    /// Whether it is reached by `session`.
-    fn is_by(&self, session: &Session) -> bool {
+    /// Whether it is connected by `session`.
+    fn is_connected_by(&self, session: &Session) -> bool {
         self.session()
-            .is_some_and(|present| present.id == session.id)
+            .is_some_and(|current| current.id == session.id)
     }
 
-    /// Orders its session, if it has one.
-    fn order(&self, order: Order) {
+    /// Sends a command to its session, if it has one.
+    fn send_command(&self, command: SessionCommand) {
         if let Some(session) = self.session() {
-            session.order.send_replace(order);
+            session.command.send_replace(command);
         }
     }
 }
 
-/// Whether the other end found the present session silent before we did.
-fn reopens(present: &Session, proven: &Proven) -> bool {
-    proven.hello.reopens.as_ref() == Some(&present.id)
+/// Whether the remote end already knows that the current session is lost.
+fn reopens_current(current: &Session, remote: &AuthenticatedPeer) -> bool {
+    remote.hello.reopens.as_ref() == Some(&current.id)
 }
 
-/// Whether a proven session of the same incarnation takes the place of the present one.
-fn takes_place(ours: &InstanceId, present: &Session, proven: &Proven) -> bool {
-    let dialled_by_smaller = match proven.side {
-        Side::Dialler => *ours < proven.hello.instance,
-        Side::Listener => proven.hello.instance < *ours,
+/// Whether a new session to the same incarnation replaces the current one.
+fn replaces_current(
+    local_instance: &InstanceId,
+    current: &Session,
+    remote: &AuthenticatedPeer,
+) -> bool {
+    let dialled_by_smaller = match remote.side {
+        Side::Dialler => *local_instance < remote.hello.instance,
+        Side::Listener => remote.hello.instance < *local_instance,
     };
-    let leaves = *present.order.borrow() != Order::Run;
-    leaves || reopens(present, proven) || proven.side == present.side || dialled_by_smaller
+    let is_ending = *current.command.borrow() != SessionCommand::Run;
+    is_ending
+        || reopens_current(current, remote)
+        || remote.side == current.side
+        || dialled_by_smaller
 }
--- a/crates/peer/src/session/mod.rs
+++ b/crates/peer/src/session/mod.rs
@@ -1,25 +1,25 @@
-//! The life of one proven connection.
+//! Lifecycle of one authenticated connection.
 //!
-//! Four futures in one task: one reads, one writes, one watches for silence, one for an order to end
-//! that is not followed. The first that ends ends the session; what it ended by decides whether the
-//! peer is reopened or down.
+//! Four futures run in one task: a reader, a writer, a keepalive, and a timer that enforces a
+//! command to end. The first to complete ends the session; its result decides whether the peer is
+//! reopened or down.
 
+mod keepalive;
 mod read;
-mod watch;
 mod write;
 
 use crate::{
     event::DownReason,
     frame::GoodbyeReason,
     opening::{
-        refuse,
-        Opened, //
+        close_with_refusal,
+        OpenedSession, //
     },
     outbox::Outbox,
     refusal::Refusal,
     registry::{
-        Order,
         Session, //
+        SessionCommand,
     },
     shared::Shared, //
 };
@@ -41,142 +41,154 @@
     }, //
 };
 
-/// What a session ended by.
+/// Why a session ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
-    /// The connection broke or the other end closed it.
+enum SessionEnd {
+    /// The connection broke or the remote end closed it.
     Lost,
-    /// A pong did not come.
+    /// A pong did not arrive in time.
     Silent,
-    /// The other end said goodbye.
+    /// The remote end said goodbye.
     Goodbye(GoodbyeReason),
-    /// We said goodbye.
-    Left,
-    /// Another session took its place.
+    /// The local end said goodbye.
+    LocalGoodbye,
+    /// Another session replaced it.
     Replaced,
-    /// The other end sent what it must not.
-    Bad(Refusal),
+    /// The remote end violated the protocol.
+    Violation(Refusal),
 }
 
-/// What the futures of a session share.
-struct Line<'a> {
+/// State shared by the futures of a session.
+struct SessionContext<'a> {
     /// The mesh.
     shared: &'a Rc<Shared>,
-    /// Other end.
+    /// Remote instance.
     instance: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     incarnation: Incarnation,
-    /// The registry's end.
+    /// The registry's handle to the session.
     session: Rc<Session>,
-    /// What waits for the peer.
+    /// Frames queued for the peer.
     outbox: Rc<Outbox>,
-    /// Whether the reader waits for the connection, not for the owner.
+    /// Whether the reader is waiting for the connection rather than for the event budget.
     reading: Cell<bool>,
-    /// Ping to be written.
+    /// Number of the ping to be written.
     ping_due: Cell<Option<u64>>,
-    /// Wakes the writer for a ping.
-    ping: Notify,
-    /// When the last ping was written.
-    pinged_at: Cell<Option<Instant>>,
-    /// Last ping that was answered.
-    answered: Cell<u64>,
-    /// Wakes the watcher for a pong.
-    pong: Notify,
+    /// Wakes the writer to send a ping.
+    ping_requested: Notify,
+    /// When the last ping was written, until its pong arrives.
+    ping_sent_at: Cell<Option<Instant>>,
+    /// Number of the last ping that was answered.
+    last_pong: Cell<u64>,
+    /// Wakes the keepalive when a pong arrives.
+    pong_received: Notify,
 }
 
-/// Carries frames both ways until the session ends, and draws what follows from its end.
-pub(crate) async fn carry(shared: &Rc<Shared>, opened: Opened) {
-    let line = Line {
+/// Transfers frames both ways until the session ends, then reports how it ended.
+pub(crate) async fn run_session(shared: &Rc<Shared>, opened: OpenedSession) {
+    let context = SessionContext {
         shared,
-        instance: opened.proven.hello.instance,
-        incarnation: opened.proven.hello.incarnation,
-        session: opened.admitted.session,
-        outbox: opened.admitted.outbox,
+        instance: opened.remote.hello.instance,
+        incarnation: opened.remote.hello.incarnation,
+        session: opened.admission.session,
+        outbox: opened.admission.outbox,
         reading: Cell::new(true),
         ping_due: Cell::new(None),
-        ping: Notify::new(),
-        pinged_at: Cell::new(None),
-        answered: Cell::new(0),
-        pong: Notify::new(),
+        ping_requested: Notify::new(),
+        ping_sent_at: Cell::new(None),
+        last_pong: Cell::new(0),
+        pong_received: Notify::new(),
     };
     let (mut sink, mut stream) = opened.socket.split();
     let end = tokio::select! {
         biased;
-        end = line.read(&mut stream) => end,
-        end = line.write(&mut sink) => end,
-        end = line.watch() => end,
-        end = line.overstay() => end,
+        end = context.read(&mut stream) => end,
+        end = context.write(&mut sink) => end,
+        end = context.keepalive() => end,
+        end = context.enforce_end() => end,
     };
-    line.conclude(end);
-    if let End::Bad(why) = end {
-        let socket = stream.reunite(sink).expect("both are of one socket");
-        refuse(socket, why).await;
+    context.report_end(end);
+    if let SessionEnd::Violation(refusal) = end {
+        let socket = stream
+            .reunite(sink)
+            .expect("both halves belong to one socket");
+        close_with_refusal(socket, refusal).await;
     }
 }
 
-impl Line<'_> {
-    /// Tells the mesh what the session ended by.
-    fn conclude(&self, end: End) {
+impl SessionContext<'_> {
+    /// Reports to the mesh how the session ended.
+    fn report_end(&self, end: SessionEnd) {
         let shared = self.shared;
         let counters = &shared.counters;
         match end {
-            End::Replaced => {}
-            End::Lost => self.lose(DownReason::Lost),
-            End::Silent => {
+            SessionEnd::Replaced => {}
+            SessionEnd::Lost => self.report_lost(DownReason::Lost),
+            SessionEnd::Silent => {
                 counters.silent_sessions.increment();
-                self.lose(DownReason::Silent);
+                self.report_lost(DownReason::Silent);
             }
-            End::Bad(_) => {
+            SessionEnd::Violation(_) => {
                 counters.bad_frames.increment();
-                self.lose(DownReason::Lost);
+                self.report_lost(DownReason::Lost);
             }
-            // A partner that does not want the session it was dialled for may still want another.
-            End::Goodbye(GoodbyeReason::Unwanted) if self.is_partner() => {
-                self.lose(DownReason::Unwanted);
+            // A partner may close a session that it dialled itself and still accept one dialled
+            // from here.
+            SessionEnd::Goodbye(GoodbyeReason::Unwanted) if self.is_partner() => {
+                self.report_lost(DownReason::Unwanted);
             }
-            End::Goodbye(GoodbyeReason::Unwanted) => self.end(DownReason::Unwanted),
-            End::Goodbye(GoodbyeReason::Stopping) => shared.stop(&self.instance, self.incarnation),
-            End::Left => self.end(DownReason::Dropped),
+            SessionEnd::Goodbye(GoodbyeReason::Unwanted) => self.report_ended(DownReason::Unwanted),
+            SessionEnd::Goodbye(GoodbyeReason::Stopping) => {
+                shared.peer_stopped(&self.instance, self.incarnation)
+            }
+            SessionEnd::LocalGoodbye => self.report_ended(DownReason::Dropped),
         }
     }
 
-    /// The session is lost; another may come.
-    fn lose(&self, why: DownReason) {
-        self.shared.lose(&self.instance, &self.session, why);
+    /// Reports the session as lost; another one may replace it.
+    fn report_lost(&self, reason: DownReason) {
+        self.shared
+            .session_lost(&self.instance, &self.session, reason);
     }
 
-    /// The session is over, and the peer with it.
-    fn end(&self, why: DownReason) {
-        self.shared.end(&self.instance, &self.session, why);
+    /// Reports the session as ended and its peer as down.
+    fn report_ended(&self, reason: DownReason) {
+        self.shared
+            .session_ended(&self.instance, &self.session, reason);
     }
 
-    /// Whether we dial the other end.
+    /// Whether the remote instance is among the dialled partners.
     fn is_partner(&self) -> bool {
         self.shared.partners.borrow().contains_key(&self.instance)
     }
 
-    /// What `end` means when we closed the session ourselves: the other end's close is its answer.
-    fn unless_left(&self, end: End) -> End {
-        let order = *self.session.order.borrow();
-        match (end, order) {
-            (End::Lost, Order::Fade | Order::Cut) => End::Replaced,
-            (End::Lost, Order::Goodbye(_)) => End::Left,
+    /// Adjusts `end` for a session that the local end is closing: there, the remote end's close is
+    /// the expected response and no loss.
+    fn classify_end(&self, end: SessionEnd) -> SessionEnd {
+        let command = *self.session.command.borrow();
+        match (end, command) {
+            (SessionEnd::Lost, SessionCommand::StopWriting | SessionCommand::Abort) => {
+                SessionEnd::Replaced
+            }
+            (SessionEnd::Lost, SessionCommand::Goodbye(_)) => SessionEnd::LocalGoodbye,
             _ => end,
         }
     }
 
-    /// Ends a session that was told to end and does not come to it.
-    async fn overstay(&self) -> End {
-        let mut orders = self.session.order.subscribe();
-        // The sender lives in `self.session`, so that the wait cannot fail.
-        let _ = orders.wait_for(|order| *order != Order::Run).await;
-        let order = *orders.borrow();
-        match order {
-            Order::Cut => return End::Replaced,
-            // The mesh that stops has a limit of its own.
-            Order::Goodbye(GoodbyeReason::Stopping) => pending().await,
+    /// Ends a session that does not follow a command to end in time.
+    async fn enforce_end(&self) -> SessionEnd {
+        let mut commands = self.session.command.subscribe();
+        // The sender lives in `self.session`, so the wait cannot fail.
+        let _ = commands
+            .wait_for(|command| *command != SessionCommand::Run)
+            .await;
+        let command = *commands.borrow();
+        match command {
+            SessionCommand::Abort => return SessionEnd::Replaced,
+            // `Mesh::close` has its own timeout.
+            SessionCommand::Goodbye(GoodbyeReason::Stopping) => pending().await,
             _ => sleep(self.shared.options.handshake_timeout).await,
         }
-        self.unless_left(End::Lost)
+        self.classify_end(SessionEnd::Lost)
     }
 }
--- a/crates/peer/src/session/write.rs
+++ b/crates/peer/src/session/write.rs
@@ -1,8 +1,8 @@
-//! The writer: takes frames from the queue, pings when one is due, and says the last words.
+//! Session writer: sends queued frames and pings, and closes the connection.
 
 use super::{
-    End,
-    Line, //
+    SessionContext, //
+    SessionEnd,
 };
 use crate::{
     codec::encode,
@@ -11,7 +11,7 @@
         Goodbye, //
     },
     opening::Socket,
-    registry::Order, //
+    registry::SessionCommand, //
 };
 use bytes::Bytes;
 use futures_util::{
@@ -34,41 +34,44 @@
     Message, //
 };
 
-/// Reason in the close frame of a session that gives way to another one.
-const DUPLICATE: &str = "duplicate session";
+/// Reason in the close frame of a session that was replaced by another one.
+const DUPLICATE_REASON: &str = "duplicate session";
 /// Reason in the close frame after a goodbye.
-const GOODBYE: &str = "goodbye";
+const GOODBYE_REASON: &str = "goodbye";
 
-impl Line<'_> {
+impl SessionContext<'_> {
     /// Writes until the session ends.
-    pub(super) async fn write(&self, sink: &mut SplitSink<Socket, Message>) -> End {
-        let mut orders = self.session.order.subscribe();
+    pub(super) async fn write(&self, sink: &mut SplitSink<Socket, Message>) -> SessionEnd {
+        let mut commands = self.session.command.subscribe();
         loop {
             if poll_fn(|cx| sink.poll_ready_unpin(cx)).await.is_err() {
-                return self.unless_left(End::Lost);
+                return self.classify_end(SessionEnd::Lost);
             }
-            let Some(message) = self.next_message(&mut orders).await else {
+            let Some(message) = self.next_message(&mut commands).await else {
                 break;
             };
             if sink.send(message).await.is_err() {
-                return self.unless_left(End::Lost);
+                return self.classify_end(SessionEnd::Lost);
             }
         }
-        self.finish(sink).await
+        self.close(sink).await
     }
 
-    /// Next message to write; none when the session is to end.
+    /// Next message to write; none when the session has to end.
     ///
-    /// A frame leaves the queue only when the connection has room for it, so that what waits
-    /// outlives a connection that does not move.
-    async fn next_message(&self, orders: &mut watch::Receiver<Order>) -> Option<Message> {
+    /// Called only when the connection can accept a message, so that frames stay in the queue while
+    /// the connection is stalled and outlive it.
+    async fn next_message(
+        &self,
+        commands: &mut watch::Receiver<SessionCommand>,
+    ) -> Option<Message> {
         loop {
-            let order = *orders.borrow_and_update();
-            if matches!(order, Order::Fade | Order::Cut) {
+            let command = *commands.borrow_and_update();
+            if matches!(command, SessionCommand::StopWriting | SessionCommand::Abort) {
                 return None;
             }
             if let Some(seq) = self.ping_due.take() {
-                self.pinged_at.set(Some(Instant::now()));
+                self.ping_sent_at.set(Some(Instant::now()));
                 let payload = Bytes::copy_from_slice(&seq.to_le_bytes());
                 return Some(Message::Ping(payload));
             }
@@ -76,29 +79,29 @@
                 self.shared.counters.sent_frames.increment();
                 return Some(Message::Binary(message));
             }
-            if matches!(order, Order::Goodbye(_)) {
+            if matches!(command, SessionCommand::Goodbye(_)) {
                 return None;
             }
             tokio::select! {
-                // The sender lives in `self.session`, so that the wait cannot fail.
-                _ = orders.changed() => {}
-                () = self.outbox.filled.notified() => {}
-                () = self.ping.notified() => {}
+                // The sender lives in `self.session`, so the wait cannot fail.
+                _ = commands.changed() => {}
+                () = self.outbox.pushed.notified() => {}
+                () = self.ping_requested.notified() => {}
             }
         }
     }
 
-    /// Writes the last words and waits for the other end to close.
-    async fn finish(&self, sink: &mut SplitSink<Socket, Message>) -> End {
-        let order = *self.session.order.borrow();
-        let reason = match order {
-            Order::Run | Order::Cut => return End::Replaced,
-            Order::Fade => DUPLICATE,
-            Order::Goodbye(reason) => {
+    /// Writes the goodbye and close frames and waits for the remote end to close.
+    async fn close(&self, sink: &mut SplitSink<Socket, Message>) -> SessionEnd {
+        let command = *self.session.command.borrow();
+        let reason = match command {
+            SessionCommand::Run | SessionCommand::Abort => return SessionEnd::Replaced,
+            SessionCommand::StopWriting => DUPLICATE_REASON,
+            SessionCommand::Goodbye(reason) => {
                 let goodbye = encode(&Frame::Goodbye(Goodbye { reason }))
-                    .expect("a goodbye holds plain fields only");
+                    .expect("a goodbye frame can always be encoded");
                 let _ = sink.send(Message::Binary(goodbye)).await;
-                GOODBYE
+                GOODBYE_REASON
             }
         };
         let close = CloseFrame {
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -1,15 +1,15 @@
-//! What all tasks of one mesh share, on the control thread.
+//! State shared by all tasks of one mesh, on the control thread.
 
 use crate::{
     counters::Counters,
     event::{
         DownReason,
         Event,
-        Queued, //
+        QueuedEvent, //
     },
     frame::Frame,
     handshake::{
-        Proven,
+        AuthenticatedPeer,
         SessionId, //
     },
     key::Key,
@@ -19,8 +19,8 @@
     },
     refusal::Refusal,
     registry::{
-        Admitted,
-        News,
+        Admission,
+        AdmissionOutcome,
         Registry,
         Session, //
     }, //
@@ -49,64 +49,64 @@
     task::spawn_local, //
 };
 
-/// What a frame costs besides its bytes, among those that wait for the owner.
+/// Overhead charged to the event budget for each queued frame, besides the frame's size.
 const EVENT_OVERHEAD_BYTES: usize = 128;
 
-/// Life of a mesh.
+/// Lifecycle of a mesh.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
-    /// Dials, listens and carries.
+    /// Sessions are opened, accepted and maintained.
     Running,
-    /// Opens no new session; present ones say goodbye.
+    /// No new sessions are opened; existing ones say goodbye.
     Closing,
-    /// All tasks end where they stand.
+    /// All tasks are cancelled.
     Ended,
 }
 
 /// A partner that is being dialled.
-pub(crate) struct Kept {
-    /// Where.
+pub(crate) struct DialledPartner {
+    /// Its address.
     pub(crate) addr: SocketAddr,
-    /// Ends its dialling when it turns false.
+    /// Ends its dialling task when set to false.
     pub(crate) wanted: watch::Sender<bool>,
 }
 
-/// State of one mesh; no borrow of a cell is held over an `await`.
+/// State of one mesh; no borrow of a cell is held across an `await`.
 pub(crate) struct Shared {
-    /// Who we are.
+    /// Identity of the local instance.
     pub(crate) identity: Identity,
     /// Shared key.
     pub(crate) key: Key,
-    /// Limits and times.
+    /// Limits and timeouts.
     pub(crate) options: Options,
-    /// Where we listen.
+    /// Address at which the mesh listens.
     pub(crate) local_addr: SocketAddr,
-    /// What happened so far.
+    /// Counters.
     pub(crate) counters: Arc<Counters>,
-    /// Who is up.
+    /// Peers that are up.
     pub(crate) registry: RefCell<Registry>,
-    /// Whom we dial.
-    pub(crate) partners: RefCell<BTreeMap<InstanceId, Kept>>,
-    /// Wakes whoever waits for a change of the registry.
-    pub(crate) changed: Notify,
-    /// Life of the mesh.
+    /// Partners that are dialled.
+    pub(crate) partners: RefCell<BTreeMap<InstanceId, DialledPartner>>,
+    /// Wakes tasks that wait for a change of the registry.
+    pub(crate) registry_changed: Notify,
+    /// Lifecycle phase.
     pub(crate) phase: watch::Sender<Phase>,
-    /// Towards the owner.
-    events: UnboundedSender<Queued>,
-    /// Bytes of frames that may still wait for the owner.
-    event_bytes: Arc<Semaphore>,
+    /// Events for the owner.
+    events: UnboundedSender<QueuedEvent>,
+    /// Remaining budget for frames queued for the owner, in bytes.
+    event_budget: Arc<Semaphore>,
 }
 
 impl Shared {
-    /// State of a mesh that has not begun.
+    /// State of a mesh that has not started yet.
     pub(crate) fn new(
         identity: Identity,
         key: Key,
         options: Options,
         local_addr: SocketAddr,
-        events: UnboundedSender<Queued>,
+        events: UnboundedSender<QueuedEvent>,
     ) -> Self {
-        // A budget below one whole frame would make that frame wait for ever.
+        // With a budget below the largest frame, that frame would wait forever.
         let budget = usize::try_from(options.event_bytes).unwrap_or(usize::MAX);
         let budget = budget.max(options.max_frame_bytes + EVENT_OVERHEAD_BYTES);
         Self {
@@ -117,128 +117,149 @@
             local_addr,
             counters: Arc::default(),
             partners: RefCell::default(),
-            changed: Notify::new(),
+            registry_changed: Notify::new(),
             phase: watch::Sender::new(Phase::Running),
             events,
-            event_bytes: Arc::new(Semaphore::new(budget.min(Semaphore::MAX_PERMITS))),
+            event_budget: Arc::new(Semaphore::new(budget.min(Semaphore::MAX_PERMITS))),
         }
     }
 
-    /// Runs `task` until it ends or the mesh does.
+    /// Runs `task` until it or the mesh ends.
     pub(crate) fn spawn(self: &Rc<Self>, task: impl Future<Output = ()> + 'static) {
         let shared = self.clone();
         spawn_local(async move {
             tokio::select! {
-                () = shared.reached(Phase::Ended) => {}
+                () = shared.wait_for_phase(Phase::Ended) => {}
                 () = task => {}
             }
         });
     }
 
-    /// Waits until the mesh's life has come to `phase`.
-    pub(crate) async fn reached(&self, phase: Phase) {
+    /// Waits until the mesh has reached `phase`.
+    pub(crate) async fn wait_for_phase(&self, phase: Phase) {
         let mut watched = self.phase.subscribe();
-        // The sender lives in `self`, so that the wait cannot fail.
+        // The sender lives in `self`, so the wait cannot fail.
         let _ = watched.wait_for(|now| *now >= phase).await;
     }
 
-    /// Waits until `done` holds of the registry.
-    pub(crate) async fn until(&self, done: impl Fn(&Registry) -> bool) {
+    /// Waits until the registry satisfies `condition`.
+    pub(crate) async fn wait_until(&self, condition: impl Fn(&Registry) -> bool) {
         loop {
-            let changed = self.changed.notified();
+            let changed = self.registry_changed.notified();
             tokio::pin!(changed);
-            // Listening before looking: a change between the two would be missed otherwise.
+            // Subscribe before checking: a change in between would be missed otherwise.
             changed.as_mut().enable();
-            if done(&self.registry.borrow()) {
+            if condition(&self.registry.borrow()) {
                 return;
             }
             changed.await;
         }
     }
 
-    /// Takes a proven session and tells the owner.
-    pub(crate) fn admit(&self, proven: &Proven, rtt: Duration) -> Result<Admitted, Refusal> {
+    /// Registers an authenticated session and notifies the owner.
+    pub(crate) fn admit(
+        &self,
+        remote: &AuthenticatedPeer,
+        rtt: Duration,
+    ) -> Result<Admission, Refusal> {
         if *self.phase.borrow() != Phase::Running {
             return Err(Refusal::Closed);
         }
         let mut registry = self.registry.borrow_mut();
-        let admitted = registry.admit(proven, rtt, &self.options)?;
+        let admission = registry.admit(remote, rtt, &self.options)?;
         self.counters.sessions.increment();
-        let instance = &proven.hello.instance;
+        let instance = &remote.hello.instance;
         registry.set_rtt(instance, rtt);
         let info = registry
-            .info(instance)
+            .peer_info(instance)
             .cloned()
             .expect("an admitted peer is registered");
-        match admitted.news {
-            News::Up => self.tell(Event::Up(info)),
-            News::Restarted(incarnation) => {
-                self.tell_down(instance, incarnation, DownReason::Restarted);
-                self.tell(Event::Up(info));
+        match admission.outcome {
+            AdmissionOutcome::Up => self.emit(Event::Up(info)),
+            AdmissionOutcome::Restarted(incarnation) => {
+                self.emit_down(instance, incarnation, DownReason::Restarted);
+                self.emit(Event::Up(info));
             }
-            News::Reopened => {
+            AdmissionOutcome::Reopened => {
                 self.counters.reopened.increment();
-                self.tell(Event::Reopened(info));
+                self.emit(Event::Reopened(info));
             }
-            News::Duplicate => self.counters.duplicate_sessions.increment(),
+            AdmissionOutcome::Duplicate => self.counters.duplicate_sessions.increment(),
         }
-        self.changed.notify_waiters();
-        Ok(admitted)
+        self.registry_changed.notify_waiters();
+        Ok(admission)
     }
 
-    /// A session is lost; the peer is down unless another one comes in time.
-    pub(crate) fn lose(self: &Rc<Self>, instance: &InstanceId, session: &Session, why: DownReason) {
-        if !self.registry.borrow_mut().lose(instance, session, why) {
+    /// Handles a lost session; the peer is down unless another session replaces it in time.
+    pub(crate) fn session_lost(
+        self: &Rc<Self>,
+        instance: &InstanceId,
+        session: &Session,
+        reason: DownReason,
+    ) {
+        if !self
+            .registry
+            .borrow_mut()
+            .mark_lost(instance, session, reason)
+        {
             return;
         }
-        self.changed.notify_waiters();
+        self.registry_changed.notify_waiters();
         let shared = self.clone();
         let instance = instance.clone();
         let lost = session.id.clone();
         self.spawn(async move {
             tokio::time::sleep(shared.options.reopen_timeout).await;
-            shared.give_up(&instance, &lost);
+            shared.abandon_reopening(&instance, &lost);
         });
     }
 
-    /// No session came in place of `lost`.
-    pub(crate) fn give_up(&self, instance: &InstanceId, lost: &SessionId) {
-        let given_up = self.registry.borrow_mut().give_up(instance, lost);
-        if let Some((incarnation, why)) = given_up {
-            self.tell_down(instance, incarnation, why);
-            self.changed.notify_waiters();
+    /// Reports the peer as down if `lost` was not replaced.
+    pub(crate) fn abandon_reopening(&self, instance: &InstanceId, lost: &SessionId) {
+        let abandoned = self.registry.borrow_mut().abandon_reopening(instance, lost);
+        if let Some((incarnation, reason)) = abandoned {
+            self.emit_down(instance, incarnation, reason);
+            self.registry_changed.notify_waiters();
         }
     }
 
-    /// A session ended for good, and its peer with it.
-    pub(crate) fn end(&self, instance: &InstanceId, session: &Session, why: DownReason) {
-        let ended = self.registry.borrow_mut().end(instance, session);
+    /// Handles a session that ended for good; its peer is down.
+    pub(crate) fn session_ended(
+        &self,
+        instance: &InstanceId,
+        session: &Session,
+        reason: DownReason,
+    ) {
+        let ended = self.registry.borrow_mut().end_session(instance, session);
         if let Some(incarnation) = ended {
-            self.tell_down(instance, incarnation, why);
-            self.changed.notify_waiters();
+            self.emit_down(instance, incarnation, reason);
+            self.registry_changed.notify_waiters();
         }
     }
 
-    /// An incarnation said that it stops.
-    pub(crate) fn stop(&self, instance: &InstanceId, incarnation: Incarnation) {
-        let was_up = self.registry.borrow_mut().stop(instance, incarnation);
+    /// Handles an incarnation's announcement that it is stopping.
+    pub(crate) fn peer_stopped(&self, instance: &InstanceId, incarnation: Incarnation) {
+        let was_up = self
+            .registry
+            .borrow_mut()
+            .remove_stopped(instance, incarnation);
         if was_up {
-            self.tell_down(instance, incarnation, DownReason::Stopping);
-            self.changed.notify_waiters();
+            self.emit_down(instance, incarnation, DownReason::Stopping);
+            self.registry_changed.notify_waiters();
         }
     }
 
-    /// Room for a frame of `size` bytes among those that wait for the owner.
-    pub(crate) async fn room(&self, size: usize) -> OwnedSemaphorePermit {
+    /// Reserves event budget for a frame of `size` bytes, waiting until it is available.
+    pub(crate) async fn reserve_event_bytes(&self, size: usize) -> OwnedSemaphorePermit {
         let cost = u32::try_from(size + EVENT_OVERHEAD_BYTES).unwrap_or(u32::MAX);
-        self.event_bytes
+        self.event_budget
             .clone()
             .acquire_many_owned(cost)
             .await
             .expect("the budget is never closed")
     }
 
-    /// Passes a frame to the owner, if its sender still is the one that is up.
+    /// Delivers a frame to the owner if the sender's incarnation is still up.
     pub(crate) fn deliver(
         &self,
         from: &InstanceId,
@@ -255,36 +276,36 @@
             incarnation,
             frame,
         };
-        self.queue(event, Some(permit));
+        self.enqueue(event, Some(permit));
     }
 
-    /// Counts a connection that was refused and tells the owner, unless many wait already: a flood
-    /// of strangers must not fill the memory.
-    pub(crate) fn refuse(&self, addr: SocketAddr, why: Refusal) {
+    /// Counts a refused connection and notifies the owner, unless the event budget is used up: a
+    /// flood of unauthenticated connections must not exhaust memory.
+    pub(crate) fn report_refused(&self, addr: SocketAddr, refusal: Refusal) {
         self.counters.strangers.increment();
-        let room = u32::try_from(EVENT_OVERHEAD_BYTES).unwrap_or(u32::MAX);
-        if let Ok(permit) = self.event_bytes.clone().try_acquire_many_owned(room) {
-            self.queue(Event::Stranger { addr, why }, Some(permit));
+        let cost = u32::try_from(EVENT_OVERHEAD_BYTES).unwrap_or(u32::MAX);
+        if let Ok(permit) = self.event_budget.clone().try_acquire_many_owned(cost) {
+            self.enqueue(Event::Stranger { addr, why: refusal }, Some(permit));
         }
     }
 
-    /// Tells the owner that a peer is down.
-    fn tell_down(&self, instance: &InstanceId, incarnation: Incarnation, why: DownReason) {
-        self.tell(Event::Down {
+    /// Notifies the owner that a peer is down.
+    fn emit_down(&self, instance: &InstanceId, incarnation: Incarnation, reason: DownReason) {
+        self.emit(Event::Down {
             instance: instance.clone(),
             incarnation,
-            why,
+            why: reason,
         });
     }
 
-    /// Tells the owner; changes of peers never wait behind the budget of frames.
-    fn tell(&self, event: Event) {
-        self.queue(event, None);
+    /// Notifies the owner; changes of peers are not subject to the event budget.
+    fn emit(&self, event: Event) {
+        self.enqueue(event, None);
     }
 
-    /// Puts an event into the queue.
-    fn queue(&self, event: Event, permit: Option<OwnedSemaphorePermit>) {
-        // An owner that dropped its `Events` wants none.
-        let _ = self.events.send(Queued { event, permit });
+    /// Queues an event.
+    fn enqueue(&self, event: Event, permit: Option<OwnedSemaphorePermit>) {
+        // This fails only if the owner has dropped its `Events`.
+        let _ = self.events.send(QueuedEvent { event, permit });
     }
 }
