--- a/crates/peer/tests/codec.rs
+++ b/crates/peer/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes, and configurations in parts.
+//! Encoding of frames, and configurations split into parts.
 
 mod support;
 
@@ -22,22 +22,33 @@
 };
 
 cases! {
-    nothing: refuses(b"", CodecError::Truncated);
-    cut_short: refuses(b"\xa1\x65share", CodecError::Truncated);
-    reserved_byte: refuses(b"\x1c", CodecError::Syntax(0));
-    no_kind: refuses(b"\xa0", CodecError::Shape);
-    two_kinds: refuses(b"\xa2\x61x\x01\x61y\x01", CodecError::Shape);
-    not_the_fields: refuses(b"\xa1\x65share\x01", CodecError::Shape);
-    bytes_after: refuses(b"\xa1\x61x\x01\x00", CodecError::Trailing(1));
-    too_deep: refuses(&[&b"\xa1\x61x"[..], &[0x81; 100_000]].concat(), CodecError::Depth);
-    part_missing: parts(&[part(4, 0), part(4, 2)], TOTAL, AssemblyError::Gap);
-    part_of_another_version: parts(&[part(4, 0), part(5, 1)], TOTAL, AssemblyError::Gap);
-    no_first_part: parts(&[part(4, 1), part(4, 2)], TOTAL, AssemblyError::Gap);
-    part_without_bytes: parts(&[empty_part(), part(4, 1)], TOTAL, AssemblyError::Gap);
-    too_long: parts(&[part(4, 0), part(4, 1)], TOTAL - 1, AssemblyError::TooLarge);
+    empty_input: decode_fails_with(b"", CodecError::Truncated);
+    truncated_input: decode_fails_with(b"\xa1\x65share", CodecError::Truncated);
+    reserved_byte: decode_fails_with(b"\x1c", CodecError::Syntax(0));
+    no_kind: decode_fails_with(b"\xa0", CodecError::Shape);
+    two_kinds: decode_fails_with(b"\xa2\x61x\x01\x61y\x01", CodecError::Shape);
+    wrong_fields: decode_fails_with(b"\xa1\x65share\x01", CodecError::Shape);
+    trailing_bytes: decode_fails_with(b"\xa1\x61x\x01\x00", CodecError::Trailing(1));
+    nested_too_deeply: decode_fails_with(
+        &[&b"\xa1\x61x"[..], &[0x81; 100_000]].concat(),
+        CodecError::Depth,
+    );
+    missing_part: assembly_fails_with(&[part(4, 0), part(4, 2)], TOTAL, AssemblyError::Gap);
+    part_of_another_version: assembly_fails_with(
+        &[part(4, 0), part(5, 1)],
+        TOTAL,
+        AssemblyError::Gap,
+    );
+    missing_first_part: assembly_fails_with(&[part(4, 1), part(4, 2)], TOTAL, AssemblyError::Gap);
+    part_without_bytes: assembly_fails_with(&[empty_part(), part(4, 1)], TOTAL, AssemblyError::Gap);
+    body_too_long: assembly_fails_with(
+        &[part(4, 0), part(4, 1)],
+        TOTAL - 1,
+        AssemblyError::TooLarge,
+    );
 }
 
-/// A beat with `count` summaries of each sort, of the sizes that deployments have.
+/// Heartbeat with `count` instance summaries and nine region summaries, of realistic sizes.
 fn full_beat(count: u64) -> Frame {
     let mut beat = beat(1_000_000);
     beat.instances = (0..count)
@@ -69,7 +80,7 @@
     Frame::Beat(beat)
 }
 
-/// Prints what a beat costs; docs/design/peer.md quotes it.
+/// Prints the encoded size of a heartbeat; docs/design/peer.md quotes it.
 #[test]
 fn beat_sizes() {
     for count in [0, 12, 60] {
@@ -77,7 +88,7 @@
         let message = encode(&frame).unwrap();
         let json = serde_json::to_vec(&frame).unwrap();
         println!(
-            "beat with {count} summaries: {} bytes of CBOR, {} of JSON",
+            "heartbeat with {count} summaries: {} bytes of CBOR, {} of JSON",
             message.len(),
             json.len()
         );
@@ -85,10 +96,10 @@
     }
 }
 
-/// Symptom: a daemon dies of a message. Sequence: any bytes arrive. Cause: a decoder that trusts
-/// lengths, nesting or text.
+/// Guards against a message that crashes the daemon, by a decoder that trusts lengths, nesting or
+/// text.
 #[test]
-fn any_bytes_give_a_frame_or_one_error() {
+fn arbitrary_bytes_decode_or_fail() {
     bolero::check!()
         .with_iterations(20_000)
         .for_each(|bytes: &[u8]| match decode(bytes) {
@@ -101,35 +112,34 @@
         });
 }
 
-/// As above, near good frames, where a decoder goes deeper.
+/// As above, with inputs close to valid frames, which get further into the decoder.
 #[test]
-fn damaged_frames_give_a_frame_or_one_error() {
-    let good = encode(&full_beat(2)).unwrap();
+fn corrupted_frames_decode_or_fail() {
+    let valid = encode(&full_beat(2)).unwrap();
     bolero::check!()
         .with_iterations(20_000)
         .with_type::<(Vec<(usize, u8)>, usize)>()
         .for_each(|(changes, cut)| {
-            let mut bytes = good.to_vec();
-            for (place, value) in changes {
-                let place = place % bytes.len();
-                bytes[place] = *value;
+            let mut bytes = valid.to_vec();
+            for (offset, value) in changes {
+                let offset = offset % bytes.len();
+                bytes[offset] = *value;
             }
-            bytes.truncate(cut % (good.len() + 1));
+            bytes.truncate(cut % (valid.len() + 1));
             if let Err(error) = decode(&bytes) {
                 assert_ne!(error, CodecError::Unwritable);
             }
         });
 }
 
-/// Symptom and cause as above; here with the error each fault gives.
-async fn refuses(bytes: &[u8], error: CodecError) {
+/// Checks the error reported for each kind of invalid input.
+async fn decode_fails_with(bytes: &[u8], error: CodecError) {
     assert_eq!(decode(bytes), Err(error));
 }
 
-/// Symptom: a daemon has a configuration in force that nobody accepted. Sequence: parts of two
-/// versions, or with one missing, are put together after a session was reopened. Cause: parts
-/// joined by arrival alone.
-async fn parts(sequence: &[ConfigBody], max_bytes: u64, error: AssemblyError) {
+/// Guards against a configuration in force that was never accepted: after a reopened session, parts
+/// of two versions, or with a part missing, must not be joined.
+async fn assembly_fails_with(sequence: &[ConfigBody], max_bytes: u64, error: AssemblyError) {
     let mut assembly = ConfigAssembly::new(max_bytes);
     let results: Vec<_> = sequence
         .iter()
@@ -139,10 +149,10 @@
     assert!(results.iter().all(|result| !matches!(result, Ok(Some(_)))));
 }
 
-/// Symptom: a receiver that lost a part never gets the configuration. Sequence: the sender starts
-/// over. Cause: parts of the first attempt kept.
+/// Guards against parts of a failed attempt being kept when the sender starts over: a receiver that
+/// lost a part would never get the configuration.
 #[test]
-fn a_sender_may_start_over() {
+fn sender_may_start_over() {
     let mut assembly = ConfigAssembly::new(TOTAL);
     let sequence = [part(4, 0), part(4, 2), part(4, 0), part(4, 1), part(4, 2)];
     let results = sequence.map(|part| assembly.push(part));
@@ -153,7 +163,7 @@
     assert!(matches!(assembly.push(empty[0].clone()), Ok(Some(_))));
 }
 
-/// Length of the configuration that `part` takes parts of: two whole ones and a rest.
+/// Length of the configuration that `part` splits: two full parts and a remainder.
 const TOTAL: u64 = 600_000;
 
 /// Part `number` of a configuration.
@@ -162,7 +172,7 @@
     split_config(version, &"head".into(), &body).swap_remove(number)
 }
 
-/// A first part without bytes.
+/// A first part without content.
 fn empty_part() -> ConfigBody {
     ConfigBody {
         body: Bytes::new(),
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! Meshes that work together: who is up, by how many sessions, and what arrives.
+//! Several meshes together: peers that are up, their sessions, and the frames delivered.
 
 mod support;
 
@@ -18,29 +18,29 @@
     beat,
     cases,
     node,
-    quick,
     share,
+    short_timeouts,
     Node, //
 };
 
-/// Long enough for a duplicate to be closed, as a rule; no verdict hangs on it.
-const A_WHILE: Duration = Duration::from_millis(300);
+/// Usually long enough for a duplicate to be closed; no assertion depends on it.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 cases! {
-    one_dials: sessions(true, false);
-    other_dials: sessions(false, true);
-    both_dial: sessions(true, true);
-    owner_is_slow: slow_owner();
-    configuration_in_parts: configuration();
-    full_queue_drops_beats: full_queue();
-    planned_stop: stop();
+    a_dials: one_session_per_pair(true, false);
+    b_dials: one_session_per_pair(false, true);
+    both_dial: one_session_per_pair(true, true);
+    slow_owner_applies_backpressure: slow_owner();
+    heartbeat_overtakes_configuration: large_configuration();
+    full_queue_drops_heartbeats: full_queue();
+    close_flushes_queue: close_mesh();
     restart_with_higher_incarnation: restart();
-    process_dies: death();
+    process_exit_is_detected: process_exit();
     dropped_partner_is_down: drop_partner(false);
-    dropped_partner_who_dials_stays_up: drop_partner(true);
+    dropped_partner_that_dials_stays_up: drop_partner(true);
 }
 
-/// Two nodes that know each other.
+/// Starts two nodes and connects them.
 async fn pair(a_dials: bool, b_dials: bool, options: Options) -> (Node, Node) {
     let mut a = node("a", 1, options.clone());
     let mut b = node("b", 1, options);
@@ -50,15 +50,15 @@
     if b_dials {
         b.mesh.set_partners(vec![a.partner("a")]);
     }
-    assert_eq!(a.until_up("b").await, 1);
-    assert_eq!(b.until_up("a").await, 1);
+    assert_eq!(a.wait_for_up("b").await, 1);
+    assert_eq!(b.wait_for_up("a").await, 1);
     (a, b)
 }
 
-/// Symptom: one of two daemons that dial each other is told "down" and "up" again, or shares sent
-/// around that moment never arrive. Sequence: both dial at once, both sessions are proven, each
-/// end keeps another one. Cause: a rule for duplicates that the ends apply to different facts.
-async fn sessions(a_dials: bool, b_dials: bool) {
+/// Guards against flapping or lost shares when two daemons dial each other: if both dial at once
+/// and both sessions are authenticated, a duplicate rule that the ends apply to different facts
+/// makes each end keep a different session.
+async fn one_session_per_pair(a_dials: bool, b_dials: bool) {
     let (mut a, mut b) = pair(a_dials, b_dials, Options::default()).await;
     for number in 0..200 {
         assert_eq!(a.mesh.send(&"b".into(), share(number)), SendResult::Queued);
@@ -69,10 +69,10 @@
     }
     for node in [&mut a, &mut b] {
         while node.shares().len() < 200 {
-            node.until("share", |event| matches!(event, Event::Frame { .. }))
+            node.wait_for("share", |event| matches!(event, Event::Frame { .. }))
                 .await;
         }
-        node.settle(A_WHILE).await;
+        node.collect_events(SETTLE_TIME).await;
         let mut shares = node.shares();
         shares.sort_unstable();
         assert!(shares.into_iter().eq(0..200), "each share once");
@@ -85,9 +85,8 @@
     }
 }
 
-/// Symptom: memory of a daemon grows while its control thread is busy, or frames are lost.
-/// Sequence: a peer sends faster than the owner takes events. Cause: a queue without a bound, or
-/// one that drops; the session has to stop reading instead.
+/// Guards against unbounded memory or lost frames when a peer sends faster than the owner takes
+/// events, as with a busy control thread: the session has to stop reading instead.
 async fn slow_owner() {
     let options = Options {
         queue_frames: 4000,
@@ -99,50 +98,50 @@
     for number in 0..2000 {
         assert_eq!(a.mesh.send(&"b".into(), share(number)), SendResult::Queued);
     }
-    tokio::time::sleep(A_WHILE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let taken = b.mesh.counters().received_frames.get();
     assert!(taken < 100, "{taken} frames wait for the owner");
-    b.until_share(1999).await;
+    b.wait_for_share(1999).await;
     assert!(b.shares().into_iter().eq(0..2000), "all, in order");
 }
 
-/// Symptom: a daemon that sends a large configuration counts as silent. Sequence: parts fill the
-/// queue, the heartbeat waits behind them. Cause: one queue for both.
-async fn configuration() {
+/// Guards against a daemon that sends a large configuration counting as silent: in a common queue,
+/// its heartbeat would wait behind the configuration parts.
+async fn large_configuration() {
     let (a, mut b) = pair(true, false, Options::default()).await;
     let body: Vec<u8> = (0..3_000_000u32).map(|i| i.to_le_bytes()[1]).collect();
-    let whole = WholeConfig {
+    let config = WholeConfig {
         version: 8,
         head: "head".into(),
         body: body.into(),
     };
-    for part in split_config(whole.version, &whole.head, &whole.body) {
+    for part in split_config(config.version, &config.head, &config.body) {
         let sent = a.mesh.send(&"b".into(), Frame::ConfigBody(part));
         assert_eq!(sent, SendResult::Queued);
     }
     a.mesh.send(&"b".into(), Frame::Beat(beat(1)));
     let mut assembly = ConfigAssembly::new(4_000_000);
-    let mut beats_before = 0;
+    let mut heartbeats_before = 0;
     loop {
-        let event = b.until("frame", |event| matches!(event, Event::Frame { .. }));
+        let event = b.wait_for("frame", |event| matches!(event, Event::Frame { .. }));
         let Event::Frame { frame, .. } = event.await else {
             unreachable!();
         };
         match frame {
             Frame::ConfigBody(part) => {
                 if let Some(got) = assembly.push(part).unwrap() {
-                    assert_eq!(got, whole);
+                    assert_eq!(got, config);
                     break;
                 }
             }
-            _ => beats_before += 1,
+            _ => heartbeats_before += 1,
         }
     }
-    assert_eq!(beats_before, 1);
+    assert_eq!(heartbeats_before, 1);
 }
 
-/// Symptom: control hangs, or a share is lost while old heartbeats are delivered. Sequence: a
-/// peer does not read, its queue fills. Cause: a send that waits, or drops the wrong frame.
+/// Guards against a send that blocks, or that drops a share instead of an old heartbeat, when the
+/// queue of a peer that does not read is full.
 async fn full_queue() {
     let options = Options {
         queue_frames: 3,
@@ -176,7 +175,7 @@
             NotConnected
         ]
     );
-    b.until_share(2).await;
+    b.wait_for_share(2).await;
     assert_eq!(b.shares(), [0, 1, 2]);
     let huge = Frame::Share(peer::Share {
         pool: "menu".into(),
@@ -187,15 +186,15 @@
     assert_eq!(a.mesh.counters().refused_frames.get(), 2);
 }
 
-/// Symptom: peers of a daemon that stops wait for its reopening, or miss its last frames.
-/// Sequence: frames are queued, the mesh closes. Cause: connections cut before the queue is empty.
-async fn stop() {
+/// Guards against connections that are closed before the queue is empty: the peers of a stopping
+/// daemon would miss its last frames or wait for it to reopen the session.
+async fn close_mesh() {
     let (a, mut b) = pair(true, true, Options::default()).await;
     for number in 0..100 {
         a.mesh.send(&"b".into(), share(number));
     }
     a.mesh.close(Duration::from_secs(30)).await;
-    let down = b.until("down", |event| matches!(event, Event::Down { .. }));
+    let down = b.wait_for("down", |event| matches!(event, Event::Down { .. }));
     let expected = Event::Down {
         instance: "a".into(),
         incarnation: 1,
@@ -206,17 +205,17 @@
     assert!(b.mesh.peers().is_empty());
 }
 
-/// Symptom: frames of an instance's former life count as its present one's. Sequence: an instance
-/// is paused, replaced under its name with a higher incarnation, wakes up and dials again. Cause:
-/// a session accepted by name alone.
+/// Guards against sessions accepted by instance id alone: an instance that was paused, replaced by
+/// a higher incarnation and then resumed dials again, and its frames must not count as those of
+/// the new incarnation.
 async fn restart() {
-    let mut a = node("a", 1, quick());
-    let old = node("b", 1, quick());
+    let mut a = node("a", 1, short_timeouts());
+    let old = node("b", 1, short_timeouts());
     old.mesh.set_partners(vec![a.partner("a")]);
-    assert_eq!(a.until_up("b").await, 1);
-    let new = node("b", 2, quick());
+    assert_eq!(a.wait_for_up("b").await, 1);
+    let new = node("b", 2, short_timeouts());
     new.mesh.set_partners(vec![a.partner("a")]);
-    assert_eq!(a.until_up("b").await, 2);
+    assert_eq!(a.wait_for_up("b").await, 2);
     let restarted = |event: &Event| {
         matches!(
             event,
@@ -229,7 +228,7 @@
     };
     assert_eq!(a.count(restarted), 1, "before the new one is up");
     let stale = peer::Refusal::Stale;
-    a.until(
+    a.wait_for(
         "refusal",
         |event| matches!(event, Event::Stranger { why, .. } if *why == stale),
     )
@@ -238,16 +237,16 @@
     assert_eq!(a.count(|event| matches!(event, Event::Up(_))), 2);
 }
 
-/// Symptom: a dead daemon counts as up for the whole reopening time. Sequence: its process dies,
-/// the kernel closes its sockets, dials are refused. Cause: a refused dial taken for silence.
-async fn death() {
+/// Guards against an exited daemon counting as up for the whole reopen timeout: its dials are
+/// refused by the kernel, which must not be treated as silence.
+async fn process_exit() {
     let options = Options {
         reopen_timeout: Duration::from_secs(3600),
-        ..quick()
+        ..short_timeouts()
     };
     let (mut a, b) = pair(true, false, options).await;
     drop(b);
-    let down = a.until("down", |event| matches!(event, Event::Down { .. }));
+    let down = a.wait_for("down", |event| matches!(event, Event::Down { .. }));
     let expected = Event::Down {
         instance: "b".into(),
         incarnation: 1,
@@ -256,21 +255,21 @@
     assert_eq!(down.await, expected);
 }
 
-/// Symptom: a partner that is no longer wanted keeps its session, or one that still wants us is
-/// told that we are down. Sequence: the set of partners changes at one end. Cause: a goodbye that
-/// says no more than that the connection ends.
+/// Guards against a removed partner that keeps its session, and against a spurious "down" at a
+/// remote end that still has the local instance as a partner. Both come about when the goodbye does
+/// not say why the session is closed.
 async fn drop_partner(b_wants: bool) {
-    let (mut a, mut b) = pair(true, false, quick()).await;
+    let (mut a, mut b) = pair(true, false, short_timeouts()).await;
     if b_wants {
         b.mesh.set_partners(vec![a.partner("a")]);
     }
     a.mesh.set_partners(Vec::new());
     if b_wants {
-        b.until("reopening", |event| matches!(event, Event::Reopened(_)))
+        b.wait_for("reopening", |event| matches!(event, Event::Reopened(_)))
             .await;
         assert_eq!(b.count(|event| matches!(event, Event::Down { .. })), 0);
         b.mesh.send(&"a".into(), share(1));
-        a.until_share(1).await;
+        a.wait_for_share(1).await;
         return;
     }
     for (node, expected) in [
@@ -278,7 +277,7 @@
         (&mut b, DownReason::Unwanted),
     ] {
         let down = |event: &Event| matches!(event, Event::Down { why, .. } if *why == expected);
-        node.until("down", down).await;
+        node.wait_for("down", down).await;
         assert!(node.mesh.peers().is_empty());
     }
 }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! What the tests of meshes share: nodes with an event log, a relay, and a peer made by hand.
-#![expect(dead_code, reason = "each test file uses its part")]
+//! Test support: nodes with an event log, a relay, and a peer implemented independently of the
+//! mesh.
+#![expect(dead_code, reason = "each test file uses only some items")]
 
 use bytes::Bytes;
 use futures_util::{
@@ -61,12 +62,12 @@
     WebSocketStream, //
 };
 
-/// Key of all nodes that are to agree.
+/// Shared key of nodes that may connect.
 pub(crate) const KEY: &str = "the key of the tests";
-/// Longest wait for anything; generous, since a busy machine is no failure.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of all waits; generous, so that a busy machine does not fail a test.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Runs a test on one thread, as the daemon's control does.
+/// Runs a test on one thread, like the daemon's control thread.
 pub(crate) fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,7 +76,7 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Names each case of a table: `name: function(arguments);`.
+/// Declares one test per table row: `name: function(arguments);`.
 macro_rules! cases {
     ($($name:ident: $test:ident($($argument:expr),* $(,)?);)*) => {
         $(#[test]
@@ -86,8 +87,8 @@
 }
 pub(crate) use cases;
 
-/// Options with short waits where the tests await them.
-pub(crate) fn quick() -> Options {
+/// Options with short timeouts, for tests that wait for them.
+pub(crate) fn short_timeouts() -> Options {
     Options {
         ping_interval: Duration::from_millis(50),
         pong_timeout: Duration::from_millis(400),
@@ -99,20 +100,25 @@
     }
 }
 
-/// A mesh and what it told so far.
+/// A mesh and the events seen so far.
 pub(crate) struct Node {
     pub(crate) mesh: Mesh,
     pub(crate) events: Events,
     pub(crate) seen: Vec<Event>,
 }
 
-/// Starts `name` in its life `incarnation`.
+/// Starts instance `name` with the shared key.
 pub(crate) fn node(name: &'static str, incarnation: u64, options: Options) -> Node {
-    node_with(name, incarnation, KEY, options)
+    node_with_key(name, incarnation, KEY, options)
 }
 
-/// Starts a node with a key of its own.
-pub(crate) fn node_with(name: &'static str, incarnation: u64, key: &str, options: Options) -> Node {
+/// Starts instance `name` with the given key.
+pub(crate) fn node_with_key(
+    name: &'static str,
+    incarnation: u64,
+    key: &str,
+    options: Options,
+) -> Node {
     let identity = Identity {
         instance: name.into(),
         incarnation,
@@ -129,7 +135,7 @@
 }
 
 impl Node {
-    /// This node as a partner of others.
+    /// This node as a partner for other nodes.
     pub(crate) fn partner(&self, name: &'static str) -> Partner {
         Partner {
             instance: name.into(),
@@ -137,13 +143,13 @@
         }
     }
 
-    /// Reads events until `wanted` says yes to one.
-    pub(crate) async fn until(&mut self, what: &str, wanted: impl Fn(&Event) -> bool) -> Event {
-        let deadline = Instant::now() + PATIENCE;
+    /// Reads events until one satisfies `wanted`.
+    pub(crate) async fn wait_for(&mut self, what: &str, wanted: impl Fn(&Event) -> bool) -> Event {
+        let deadline = Instant::now() + WAIT_LIMIT;
         loop {
             let next = timeout_at(deadline, self.events.recv()).await;
             let Ok(Some(event)) = next else {
-                panic!("{what} did not come; seen: {:?}", self.seen);
+                panic!("{what} was not received; seen: {:?}", self.seen);
             };
             self.seen.push(event.clone());
             if wanted(&event) {
@@ -152,52 +158,55 @@
         }
     }
 
-    /// Waits for `name` to be up; its incarnation.
-    pub(crate) async fn until_up(&mut self, name: &'static str) -> u64 {
+    /// Waits for `name` to be up; returns its incarnation.
+    pub(crate) async fn wait_for_up(&mut self, name: &'static str) -> u64 {
         let up = |event: &Event| matches!(event, Event::Up(info) if info.instance == name);
-        match self.until("up", up).await {
+        match self.wait_for("up", up).await {
             Event::Up(info) => info.incarnation,
             _ => unreachable!(),
         }
     }
 
     /// Waits for the share numbered `number`.
-    pub(crate) async fn until_share(&mut self, number: u32) {
+    pub(crate) async fn wait_for_share(&mut self, number: u32) {
         let wanted = share(number);
-        self.until(
+        self.wait_for(
             "share",
             |event| matches!(event, Event::Frame { frame, .. } if *frame == wanted),
         )
         .await;
     }
 
-    /// Takes the events that come within `time`.
-    pub(crate) async fn settle(&mut self, time: Duration) {
+    /// Reads the events that arrive within `time`.
+    pub(crate) async fn collect_events(&mut self, time: Duration) {
         let deadline = Instant::now() + time;
         while let Ok(Some(event)) = timeout_at(deadline, self.events.recv()).await {
             self.seen.push(event);
         }
     }
 
-    /// Events seen that `wanted` says yes to.
+    /// Number of events seen that satisfy `wanted`.
     pub(crate) fn count(&self, wanted: impl Fn(&Event) -> bool) -> usize {
         self.seen.iter().filter(|event| wanted(event)).count()
     }
 
-    /// Numbers of the shares seen, in order.
+    /// Numbers of the shares received, in order.
     pub(crate) fn shares(&self) -> Vec<u32> {
         self.seen.iter().filter_map(share_number).collect()
     }
 }
 
-/// Waits until `holds` says yes.
-pub(crate) async fn eventually(what: &str, holds: impl Fn() -> bool) {
+/// Waits until `holds` returns true.
+pub(crate) async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let poll = async {
         while !holds() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(timeout(PATIENCE, poll).await.is_ok(), "{what} did not come");
+    assert!(
+        timeout(WAIT_LIMIT, poll).await.is_ok(),
+        "timed out waiting for {what}"
+    );
 }
 
 /// A share that carries a number.
@@ -219,7 +228,7 @@
     }
 }
 
-/// A beat without summaries.
+/// A heartbeat without summaries.
 pub(crate) fn beat(seq: u64) -> Beat {
     Beat {
         seq,
@@ -235,70 +244,70 @@
     }
 }
 
-/// Relay that can lose track of its connections.
+/// TCP relay that can silence its connections, like a middlebox that drops their state.
 #[derive(Clone)]
 pub(crate) struct Relay {
-    /// Where to dial.
+    /// Address to dial.
     pub(crate) addr: SocketAddr,
     /// Connections up to this number are silent.
-    silent: Rc<Cell<usize>>,
-    /// Connections so far.
-    count: Rc<Cell<usize>>,
+    silent_up_to: Rc<Cell<usize>>,
+    /// Number of connections so far.
+    connections: Rc<Cell<usize>>,
     /// Delay in each direction.
     delay: Rc<Cell<Duration>>,
 }
 
 impl Relay {
-    /// Relays to `target`.
+    /// Starts a relay to `target`.
     pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let relay = Self {
             addr: listener.local_addr().unwrap(),
-            silent: Rc::default(),
-            count: Rc::default(),
+            silent_up_to: Rc::default(),
+            connections: Rc::default(),
             delay: Rc::default(),
         };
-        let accepting = relay.clone();
+        let acceptor = relay.clone();
         spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                accepting.count.set(accepting.count.get() + 1);
-                let number = accepting.count.get();
-                spawn_local(accepting.clone().carry(near, target, number));
+            while let Ok((client, _)) = listener.accept().await {
+                acceptor.connections.set(acceptor.connections.get() + 1);
+                let number = acceptor.connections.get();
+                spawn_local(acceptor.clone().forward(client, target, number));
             }
         });
         relay
     }
 
-    /// Makes all connections of now silent, and leaves them open.
-    pub(crate) fn silence_old(&self) {
-        self.silent.set(self.count.get());
+    /// Silences all existing connections but leaves them open.
+    pub(crate) fn silence_existing(&self) {
+        self.silent_up_to.set(self.connections.get());
     }
 
-    /// Makes all connections silent, also those to come.
+    /// Silences all existing and future connections.
     pub(crate) fn silence_all(&self) {
-        self.silent.set(usize::MAX);
+        self.silent_up_to.set(usize::MAX);
     }
 
-    /// Delays what comes from now on, in each direction.
-    pub(crate) fn slow_down(&self, delay: Duration) {
+    /// Delays all further data, in each direction.
+    pub(crate) fn set_delay(&self, delay: Duration) {
         self.delay.set(delay);
     }
 
-    /// Copies both ways while the connection is not silent.
-    async fn carry(self, near: TcpStream, target: SocketAddr, number: usize) {
-        let mut far = TcpStream::connect(target).await.unwrap();
-        let mut near = near;
+    /// Copies both ways until the connection is silenced.
+    async fn forward(self, client: TcpStream, target: SocketAddr, number: usize) {
+        let mut server = TcpStream::connect(target).await.unwrap();
+        let mut client = client;
         {
-            let (mut near_read, mut near_write) = near.split();
-            let (mut far_read, mut far_write) = far.split();
+            let (mut client_read, mut client_write) = client.split();
+            let (mut server_read, mut server_write) = server.split();
             tokio::select! {
                 biased;
-                () = self.until_silent(number) => {}
-                () = self.copy(&mut near_read, &mut far_write) => return,
-                () = self.copy(&mut far_read, &mut near_write) => return,
+                () = self.wait_until_silent(number) => {}
+                () = self.copy(&mut client_read, &mut server_write) => return,
+                () = self.copy(&mut server_read, &mut client_write) => return,
             }
         }
-        // Both sockets stay open and nothing moves.
+        // Both sockets stay open, but nothing is transferred.
         std::future::pending::<()>().await;
     }
 
@@ -313,20 +322,21 @@
         }
     }
 
-    /// Waits until connection `number` is to be silent.
-    async fn until_silent(&self, number: usize) {
-        while number > self.silent.get() {
+    /// Waits until connection `number` is silenced.
+    async fn wait_until_silent(&self, number: usize) {
+        while number > self.silent_up_to.get() {
             sleep(Duration::from_millis(1)).await;
         }
     }
 }
 
-/// A peer made by hand: it follows docs/design/peer.md and shares no code with the mesh.
+/// A peer implemented independently from docs/design/peer.md; it shares no handshake code with the
+/// mesh.
 pub(crate) struct RawPeer {
     pub(crate) socket: WebSocketStream<TcpStream>,
 }
 
-/// A hello of protocol 1.
+/// A hello of protocol version 1.
 pub(crate) fn hello(name: &'static str) -> Hello {
     Hello {
         protocol: 1,
@@ -341,25 +351,25 @@
 }
 
 impl RawPeer {
-    /// Connects and speaks websocket, no more.
+    /// Connects and performs only the WebSocket handshake.
     pub(crate) async fn connect(addr: SocketAddr) -> Self {
         let stream = TcpStream::connect(addr).await.unwrap();
         let (socket, _) = client_async(format!("ws://{addr}/"), stream).await.unwrap();
         Self { socket }
     }
 
-    /// Connects and proves the key `key` after the message `hello`.
-    pub(crate) async fn prove(addr: SocketAddr, key: &str, hello: Bytes) -> Self {
+    /// Connects, sends the message `hello` and proves that it holds `key`.
+    pub(crate) async fn authenticate(addr: SocketAddr, key: &str, hello: Bytes) -> Self {
         let mut peer = Self::connect(addr).await;
         peer.send(hello.clone()).await;
-        let theirs = peer.receive().await.expect("a hello");
-        let mut proved = vec![1];
-        for message in [&hello, &theirs] {
-            proved.extend_from_slice(&(message.len() as u64).to_le_bytes());
-            proved.extend_from_slice(message);
+        let remote_hello = peer.receive().await.expect("a hello");
+        let mut mac_input = vec![1];
+        for message in [&hello, &remote_hello] {
+            mac_input.extend_from_slice(&(message.len() as u64).to_le_bytes());
+            mac_input.extend_from_slice(message);
         }
         let key = blake3::derive_key("jasminefield peer sessions shared key v1", key.as_bytes());
-        let mac = blake3::keyed_hash(&key, &proved);
+        let mac = blake3::keyed_hash(&key, &mac_input);
         let mac = Bytes::copy_from_slice(mac.as_bytes());
         peer.send(encode(&Frame::Proof(Proof { mac })).unwrap())
             .await;
@@ -371,9 +381,9 @@
         self.socket.send(Message::Binary(message)).await.unwrap();
     }
 
-    /// Next message, or the close's code and reason.
+    /// Next message, or the code and reason of a close frame.
     pub(crate) async fn receive(&mut self) -> Result<Bytes, (u16, String)> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_LIMIT;
         loop {
             match timeout_at(deadline, self.socket.next()).await.unwrap() {
                 Some(Ok(Message::Binary(message))) => return Ok(message),
@@ -381,7 +391,7 @@
                     return Err((close.code.into(), close.reason.as_str().to_owned()));
                 }
                 Some(Ok(_)) => {}
-                other => panic!("neither message nor close: {other:?}"),
+                other => panic!("expected a message or close frame, got {other:?}"),
             }
         }
     }
