--- a/crates/entry/tests/crashes.rs
+++ b/crates/entry/tests/crashes.rs
@@ -8,14 +8,14 @@
 };
 use support::{
     eventually,
-    good,
-    listed,
-    request,
+    ok_response,
+    request_head,
     routes,
-    Answer,
+    upstream_row,
     Caller,
     Entry,
     MemoryStore,
+    Response,
     Script,
     Upstream, //
 };
@@ -33,10 +33,10 @@
 /// Pause before each attempt.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Crashes on a path that ends in `fatal`, resets the connection on `broken`, and delays the answer on `slow`.
+/// Crashes on a path that ends in `fatal`, resets the connection on `broken`, and delays the response on `slow`.
 fn crash_script() -> Script {
-    Box::new(|_, sent, connection| {
-        let path = sent.head.split(' ').nth(1).unwrap_or_default();
+    Box::new(|_, request, connection| {
+        let path = request.head.split(' ').nth(1).unwrap_or_default();
         if path.ends_with("fatal") {
             thread::sleep(Duration::from_millis(10));
             connection.crash();
@@ -49,18 +49,18 @@
         if path.ends_with("slow") {
             thread::sleep(Duration::from_millis(150));
         }
-        connection.write(good(sent, "ok"));
+        connection.write(ok_response(request, "ok"));
         true
     })
 }
 
-struct World {
+struct Setup {
     store: MemoryStore,
     entries: Vec<Entry>,
     upstreams: Vec<Upstream>,
 }
 
-impl World {
+impl Setup {
     fn start() -> Self {
         let store = MemoryStore::default();
         store.put_routes(&routes(1));
@@ -68,7 +68,7 @@
             .iter()
             .map(|name| {
                 let upstream = Upstream::start(crash_script());
-                store.put_upstream(&listed(*name, upstream.addr));
+                store.put_upstream(&upstream_row(*name, upstream.addr));
                 upstream
             })
             .collect();
@@ -97,12 +97,14 @@
     /// Counts how often a request with this path has reached an upstream.
     fn sends(&self, path: &str) -> usize {
         let line = format!(" {path} ");
-        let seen = self.upstreams.iter().flat_map(Upstream::seen);
-        seen.filter(|sent| sent.head.contains(&line)).count()
+        let requests = self.upstreams.iter().flat_map(Upstream::requests);
+        requests
+            .filter(|request| request.head.contains(&line))
+            .count()
     }
 
     /// Sends attempts one after another, each to the next entry and with a new id.
-    fn repeat(&self, method: &str, path: &str, body: &str, attempts: usize) -> Vec<Answer> {
+    fn repeat(&self, method: &str, path: &str, body: &str, attempts: usize) -> Vec<Response> {
         let entries = self.entries.iter().cycle();
         let attempts = entries.take(attempts).enumerate().map(|(number, entry)| {
             thread::sleep(PAUSE);
@@ -112,12 +114,12 @@
     }
 }
 
-fn call(entry: &Entry, method: &str, path: &str, id: &str, body: &str) -> Answer {
+fn call(entry: &Entry, method: &str, path: &str, id: &str, body: &str) -> Response {
     let mut caller = Caller::connect(entry);
     let length = format!("content-length: {}\r\n", body.len());
-    let head = request(method, path, id, if body.is_empty() { "" } else { &length });
+    let head = request_head(method, path, id, if body.is_empty() { "" } else { &length });
     caller.send(head + body);
-    caller.answer().expect("an answer")
+    caller.read_response().expect("the entry responds")
 }
 
 /// Guards against a caller taking down a service by repeating one request.
@@ -125,35 +127,35 @@
     ($($name:ident: $method:expr, $path:expr, $body:expr;)*) => {$(
         #[test]
         fn $name() {
-            let world = World::start();
-            let answers = world.repeat($method, $path, $body, ATTEMPTS);
-            let sends = world.sends($path);
+            let setup = Setup::start();
+            let responses = setup.repeat($method, $path, $body, ATTEMPTS);
+            let sends = setup.sends($path);
             assert!(sends <= CRASHES_MAX + EXTRA_SENDS_MAX, "sent {sends} times");
-            let last = answers.last().expect("attempts were made");
+            let last = responses.last().expect("attempts were made");
             assert_eq!(last.status, 503, "{}", last.head);
             assert!(last.header("retry-after").is_some(), "{}", last.head);
             // Other requests are still served.
-            let others = world.repeat("GET", "/r/x", "", ENTRIES.len());
-            assert!(others.iter().all(|answer| answer.status == 200));
+            let others = setup.repeat("GET", "/r/x", "", ENTRIES.len());
+            assert!(others.iter().all(|response| response.status == 200));
         }
     )*};
 }
 
 few_crashes! {
-    repeated_read_crashes_few_upstreams: "GET", "/r/fatal", "";
-    repeated_filing_crashes_few_upstreams: "POST", "/f/fatal", "order";
+    repeated_idempotent_request_crashes_few_upstreams: "GET", "/r/fatal", "";
+    repeated_non_idempotent_request_crashes_few_upstreams: "POST", "/f/fatal", "order";
 }
 
 /// Guards against a new entry sending a request that the other entries already reject.
 #[test]
 fn new_entry_learns_of_crashes() {
-    let mut world = World::start();
-    world.repeat("GET", "/r/fatal", "", ATTEMPTS);
-    let before = world.sends("/r/fatal");
-    world.entries = vec![Entry::start("entry-4", &world.store)];
+    let mut setup = Setup::start();
+    setup.repeat("GET", "/r/fatal", "", ATTEMPTS);
+    let before = setup.sends("/r/fatal");
+    setup.entries = vec![Entry::start("entry-4", &setup.store)];
     thread::sleep(Duration::from_millis(1500));
-    world.repeat("GET", "/r/fatal", "", CRASHES_MAX);
-    assert_eq!(world.sends("/r/fatal"), before);
+    setup.repeat("GET", "/r/fatal", "", CRASHES_MAX);
+    assert_eq!(setup.sends("/r/fatal"), before);
     assert!(
         before <= CRASHES_MAX + EXTRA_SENDS_MAX,
         "sent {before} times"
@@ -165,12 +167,12 @@
         /// Guards against losing all crash reports when all entries restart.
         #[test]
         fn $name() {
-            let mut world = World::start();
-            $crash(&world);
-            let before = world.sends($path);
-            world.restart();
-            world.repeat($method, $path, $body, CRASHES_MAX);
-            assert_eq!(world.sends($path), before);
+            let mut setup = Setup::start();
+            $crash(&setup);
+            let before = setup.sends($path);
+            setup.restart();
+            setup.repeat($method, $path, $body, CRASHES_MAX);
+            assert_eq!(setup.sends($path), before);
             assert!(
                 before <= CRASHES_MAX + EXTRA_SENDS_MAX,
                 "sent {before} times"
@@ -180,13 +182,13 @@
 }
 
 restarted_entries_remember! {
-    restarted_entries_remember_crashes: "GET", "/r/fatal", "", |world: &World| {
-        world.repeat("GET", "/r/fatal", "", ATTEMPTS);
+    restarted_entries_remember_crashes: "GET", "/r/fatal", "", |setup: &Setup| {
+        setup.repeat("GET", "/r/fatal", "", ATTEMPTS);
     };
     // Each entry sees one crash, so all of them may reach the limit by another entry's report.
-    restarted_entries_remember_simultaneous_crashes: "POST", "/f/fatal", "order", |world: &World| {
+    restarted_entries_remember_simultaneous_crashes: "POST", "/f/fatal", "order", |setup: &Setup| {
         thread::scope(|scope| {
-            for (entry, id) in world.entries.iter().zip(["a", "b", "c"]) {
+            for (entry, id) in setup.entries.iter().zip(["a", "b", "c"]) {
                 scope.spawn(move || call(entry, "POST", "/f/fatal", id, "order"));
             }
         });
@@ -200,7 +202,7 @@
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
     let upstream = Upstream::start(crash_script());
-    store.put_upstream(&listed("u-1", upstream.addr));
+    store.put_upstream(&upstream_row("u-1", upstream.addr));
     let expired = "entries/.crashes/00000000000000aa";
     let unreadable = "entries/.crashes/00000000000000bb";
     let crash = r#"{"upstream":1,"at_ms":1000,"cleared":false}"#;
@@ -216,31 +218,31 @@
 
 /// Guards against quarantining a request whose connections broke without a crash.
 #[test]
-fn broken_connections_are_no_crashes() {
-    let world = World::start();
+fn broken_connections_do_not_count_as_crashes() {
+    let setup = Setup::start();
     let attempts = 2 * CRASHES_MAX;
-    let answers = world.repeat("POST", "/f/broken", "order", attempts);
-    assert!(answers.iter().all(|answer| answer.status == 502));
-    assert_eq!(world.sends("/f/broken"), attempts);
+    let responses = setup.repeat("POST", "/f/broken", "order", attempts);
+    assert!(responses.iter().all(|response| response.status == 502));
+    assert_eq!(setup.sends("/f/broken"), attempts);
 }
 
 /// Guards against quarantining a request that only ran concurrently with one that crashes upstreams.
 #[test]
-fn answered_request_is_not_quarantined() {
-    let world = World::start();
+fn successful_request_is_not_quarantined() {
+    let setup = Setup::start();
     for number in 0..CRASHES_MAX {
         // At least one of these is running at the upstream that crashes.
         thread::scope(|scope| {
             for _ in 0..2 * UPSTREAMS.len() {
-                scope.spawn(|| call(&world.entries[0], "GET", "/r/slow", "a", ""));
+                scope.spawn(|| call(&setup.entries[0], "GET", "/r/slow", "a", ""));
             }
             thread::sleep(Duration::from_millis(50));
             let path = format!("/f/{number}fatal");
-            call(&world.entries[1], "POST", &path, "b", "order");
+            call(&setup.entries[1], "POST", &path, "b", "order");
         });
-        let answer = call(&world.entries[2], "GET", "/r/slow", "c", "");
-        assert_eq!(answer.status, 200, "{}", answer.head);
+        let response = call(&setup.entries[2], "GET", "/r/slow", "c", "");
+        assert_eq!(response.status, 200, "{}", response.head);
     }
-    let answers = world.repeat("GET", "/r/slow", "", ENTRIES.len());
-    assert!(answers.iter().all(|answer| answer.status == 200));
+    let responses = setup.repeat("GET", "/r/slow", "", ENTRIES.len());
+    assert!(responses.iter().all(|response| response.status == 200));
 }
--- a/crates/entry/tests/hubs.rs
+++ b/crates/entry/tests/hubs.rs
@@ -1,4 +1,4 @@
-//! Entries of one failure domain, of which two are hubs: what the others learn through them.
+//! What entries of a failure domain learn through the two of them that are its hubs.
 
 mod support;
 
@@ -8,26 +8,26 @@
 };
 use support::{
     eventually,
-    listed,
-    request,
+    request_head,
     routes,
+    upstream_row,
     Caller,
     Entry,
     MemoryStore,
     Upstream, //
 };
 
-/// In order of their names, so that the first two are hubs.
-const NAMES: [&str; 4] = ["entry-1", "entry-2", "entry-3", "entry-4"];
-/// Entries of another domain, of which none is the reader of the region.
-const OTHERS: [&str; 3] = ["entry-5", "entry-6", "entry-7"];
-/// In which a call that waits at the store has ended.
-const CALLS_END: Duration = Duration::from_millis(2600);
+/// Sorted by name, so the first two are the hubs.
+const ENTRY_NAMES: [&str; 4] = ["entry-1", "entry-2", "entry-3", "entry-4"];
+/// Entries of another domain; none of them is the region's reader.
+const OTHER_DOMAIN_ENTRIES: [&str; 3] = ["entry-5", "entry-6", "entry-7"];
+/// Time after which calls that wait for changes at the store have ended.
+const CALL_TIME: Duration = Duration::from_millis(2600);
 
-/// Longer than an entry waits for a message of its hubs.
-const QUIET: Duration = Duration::from_millis(7500);
+/// Time without changes; longer than an entry waits for a message from its hubs.
+const QUIET_TIME: Duration = Duration::from_millis(7500);
 
-/// Entries with a handle to the store each.
+/// The entries of a failure domain, each with its own handle to the store.
 struct Domain {
     store: MemoryStore,
     handles: Vec<MemoryStore>,
@@ -36,32 +36,32 @@
 }
 
 impl Domain {
-    /// Two hubs, then two leaves, which know of each other.
+    /// Starts two hubs and two leaves, in this order, and waits until they know each other.
     fn start() -> Self {
         let store = MemoryStore::default();
         store.put_routes(&routes(1));
-        let upstream = Upstream::good("ok");
-        store.put_upstream(&listed("u-1", upstream.addr));
-        let handles: Vec<MemoryStore> = NAMES.iter().map(|_| store.handle()).collect();
-        let named = NAMES.iter().zip(&handles);
-        let entries = named.map(|(name, handle)| Entry::start_uncounted(name, handle));
+        let upstream = Upstream::responding("ok");
+        store.put_upstream(&upstream_row("u-1", upstream.addr));
+        let handles: Vec<MemoryStore> = ENTRY_NAMES.iter().map(|_| store.handle()).collect();
+        let named_handles = ENTRY_NAMES.iter().zip(&handles);
+        let entries = named_handles.map(|(name, handle)| Entry::start_uncounted(name, handle));
         let domain = Self {
             entries: entries.collect(),
             store,
             handles,
             upstream,
         };
-        thread::sleep(CALLS_END);
+        thread::sleep(CALL_TIME);
         domain
     }
 
-    /// Waits until an entry serves by routes of this version, which only it has.
-    fn wait_for_routes(&self, place: usize, version: u64) {
+    /// Waits until an entry uses routes that [`Self::put_routes`] has stored, by a path that only this version has.
+    fn wait_for_routes(&self, index: usize, version: u64) {
         let path = format!("/r{version}/x");
         eventually("the next routes", || {
-            let mut caller = Caller::connect(&self.entries[place]);
-            caller.send(request("GET", &path, "a1", ""));
-            (caller.answer()?.status == 200).then_some(())
+            let mut caller = Caller::connect(&self.entries[index]);
+            caller.send(request_head("GET", &path, "a1", ""));
+            (caller.read_response()?.status == 200).then_some(())
         });
     }
 
@@ -71,58 +71,66 @@
         self.store.put_routes(&next);
     }
 
-    fn asked(&self, place: usize) -> usize {
-        self.handles[place].changes_asked()
+    fn change_calls(&self, index: usize) -> usize {
+        self.handles[index].change_calls()
     }
 }
 
-/// Each entry would follow the store by itself: with hundreds of them, more calls than the store bears.
+/// Guards against each entry following the store by itself: hundreds of entries would overload the store.
 #[test]
 fn leaves_do_not_call_the_store() {
     let domain = Domain::start();
-    let before = [domain.asked(2), domain.asked(3)];
+    let before = [domain.change_calls(2), domain.change_calls(3)];
     for version in 2..5 {
         domain.put_routes(version);
         domain.wait_for_routes(2, version);
         domain.wait_for_routes(3, version);
     }
-    // While nothing changes, no rows come; the hubs are there all the same.
-    thread::sleep(QUIET);
-    assert_eq!([domain.asked(2), domain.asked(3)], before);
-    assert!(!domain.upstream.seen().is_empty());
+    // While nothing changes, hubs send no rows; the leaves must not consider them lost.
+    thread::sleep(QUIET_TIME);
+    assert_eq!([domain.change_calls(2), domain.change_calls(3)], before);
+    assert!(!domain.upstream.requests().is_empty());
 }
 
-/// A leaf would take the hubs of its domain for lost while nothing changes: they forward what a reader elsewhere reads.
+/// Guards against a leaf that considers the hubs of its domain lost while nothing changes, because these hubs forward
+/// what a reader in another domain has read.
 #[test]
 fn leaves_of_a_domain_without_a_reader_do_not_call_the_store() {
     let domain = Domain::start();
-    let handles: Vec<MemoryStore> = OTHERS.iter().map(|_| domain.store.handle()).collect();
+    let handles: Vec<MemoryStore> = OTHER_DOMAIN_ENTRIES
+        .iter()
+        .map(|_| domain.store.handle())
+        .collect();
     let grace = Duration::from_secs(6);
-    let others = OTHERS.iter().zip(&handles).map(|(name, handle)| {
-        let entry = Entry::start_in_domain(name, "region-a", "domain-c", handle, grace);
-        entry.wait_ready(true);
-        entry
-    });
-    let _others: Vec<Entry> = others.collect();
-    thread::sleep(CALLS_END);
-    let asked = || -> Vec<usize> { handles.iter().map(MemoryStore::changes_asked).collect() };
-    let before = asked();
-    thread::sleep(QUIET);
-    assert_eq!(asked(), before);
+    let other_domain_entries = OTHER_DOMAIN_ENTRIES
+        .iter()
+        .zip(&handles)
+        .map(|(name, handle)| {
+            let entry = Entry::start_in_domain(name, "region-a", "domain-c", handle, grace);
+            entry.wait_ready(true);
+            entry
+        });
+    let _other_domain_entries: Vec<Entry> = other_domain_entries.collect();
+    thread::sleep(CALL_TIME);
+    let change_calls = || -> Vec<usize> { handles.iter().map(MemoryStore::change_calls).collect() };
+    let before = change_calls();
+    thread::sleep(QUIET_TIME);
+    assert_eq!(change_calls(), before);
 }
 
-/// A whole table a process at the start of a deployment: most of all calls of a quiet day.
+/// Guards against each process reading whole tables when a deployment starts, which would be most calls of a day
+/// without incidents.
 #[test]
-fn a_new_leaf_takes_its_hubs_picture() {
+fn new_leaf_gets_its_routing_view_from_its_hubs() {
     let domain = Domain::start();
-    assert!(domain.handles[0].tables_read() > 0);
-    assert_eq!(domain.handles[2].tables_read(), 0);
-    assert_eq!(domain.handles[3].tables_read(), 0);
+    assert!(domain.handles[0].table_reads() > 0);
+    assert_eq!(domain.handles[2].table_reads(), 0);
+    assert_eq!(domain.handles[3].table_reads(), 0);
 }
 
-/// A leaf that waits for hubs which have ended would keep old routes.
+/// Guards against a leaf that keeps old routes as it waits for hubs that have ended.
 #[test]
-fn a_leaf_learns_after_its_hubs_were_killed() {
+fn leaf_gets_new_routes_after_its_hubs_stopped() {
     let mut domain = Domain::start();
     for mut hub in domain.entries.drain(..2) {
         hub.stop();
@@ -132,27 +140,27 @@
     domain.wait_for_routes(1, 2);
 }
 
-/// A leaf that waits for hubs which the store turns away would keep old routes.
+/// Guards against a leaf that keeps old routes as it waits for hubs whose calls the store refuses.
 #[test]
-fn a_leaf_learns_though_its_hubs_cannot_read() {
+fn leaf_gets_new_routes_while_the_store_refuses_its_hubs() {
     let domain = Domain::start();
     domain.handles[0].set_down(true);
     domain.handles[1].set_down(true);
     domain.put_routes(2);
     domain.wait_for_routes(2, 2);
     domain.wait_for_routes(3, 2);
-    // And the hubs learn from their leaves.
+    // The hubs learn of them from their leaves.
     domain.wait_for_routes(0, 2);
     domain.wait_for_routes(1, 2);
 }
 
-/// A hub that is no reader would wait for a reader that the store turns away.
+/// Guards against a hub that keeps old routes as it waits for a reader whose calls the store refuses.
 #[test]
-fn a_hub_learns_though_its_reader_cannot_read() {
+fn hub_gets_new_routes_while_the_store_refuses_the_reader() {
     let domain = Domain::start();
     domain.handles[0].set_down(true);
     domain.put_routes(2);
-    for place in [1, 2, 3, 0] {
-        domain.wait_for_routes(place, 2);
+    for index in [1, 2, 3, 0] {
+        domain.wait_for_routes(index, 2);
     }
 }
--- a/crates/entry/tests/support/load.rs
+++ b/crates/entry/tests/support/load.rs
@@ -1,11 +1,11 @@
 //! Entries under continuous load.
 
 use crate::support::{
-    request,
+    request_head,
     Caller,
     Entry,
     MemoryStore,
-    Sent, //
+    ReceivedRequest, //
 };
 use std::{
     sync::{
@@ -22,34 +22,35 @@
     time::Duration, //
 };
 
-/// Names of entries.
-pub(crate) const NAMES: [&str; 12] = [
+/// Names of the entries that [`start_entries`] starts.
+pub(crate) const ENTRY_NAMES: [&str; 12] = [
     "entry-1", "entry-2", "entry-3", "entry-4", "entry-5", "entry-6", "entry-7", "entry-8",
     "entry-9", "entry-10", "entry-11", "entry-12",
 ];
 
-/// Starts entries that each read the store's list of entries through a handle of their own.
-pub(crate) fn entries(
+/// Starts an entry for each name, with its own handle to the store; `visible` returns the entries that the handle
+/// of the entry at this index lists.
+pub(crate) fn start_entries(
     store: &MemoryStore,
-    shown: impl Fn(usize) -> Vec<&'static str>,
+    visible: impl Fn(usize) -> Vec<&'static str>,
 ) -> Vec<Entry> {
-    let start = |place: usize| {
+    let start_one = |index: usize| {
         let handle = store.handle();
-        handle.show_only(&shown(place));
-        Entry::start(NAMES[place], &handle)
+        handle.show_only(&visible(index));
+        Entry::start(ENTRY_NAMES[index], &handle)
     };
-    let entries = (0..NAMES.len()).map(start).collect();
+    let entries = (0..ENTRY_NAMES.len()).map(start_one).collect();
     // A process that has just started sends nothing to cold upstreams; wait until that time has passed.
     thread::sleep(Duration::from_millis(1500));
     entries
 }
 
 /// Returns the maximum number of requests received within any window of this length.
-pub(crate) fn most_within(window: Duration, seen: &[Sent]) -> usize {
-    let windows = seen.iter().map(|last| {
-        let within = seen
+pub(crate) fn max_within(window: Duration, requests: &[ReceivedRequest]) -> usize {
+    let windows = requests.iter().map(|last| {
+        let within = requests
             .iter()
-            .filter(|one| one.at <= last.at && last.at.duration_since(one.at) < window);
+            .filter(|request| request.at <= last.at && last.at.duration_since(request.at) < window);
         within.count()
     });
     windows.max().unwrap_or(0)
@@ -62,19 +63,19 @@
 }
 
 impl Load {
-    /// Starts callers of `/r/x` that pause for `pause` after each answer.
-    pub(crate) fn on<'a>(entries: impl IntoIterator<Item = &'a Entry>, pause: Duration) -> Self {
+    /// Starts callers of `/r/x` that pause for `pause` after each response.
+    pub(crate) fn start<'a>(entries: impl IntoIterator<Item = &'a Entry>, pause: Duration) -> Self {
         Self::with_headers(entries, pause, "")
     }
 
-    /// Like [`Self::on`], with additional header lines.
+    /// Like [`Self::start`], with additional header lines.
     pub(crate) fn with_headers<'a>(
         entries: impl IntoIterator<Item = &'a Entry>,
         pause: Duration,
         headers: &'static str,
     ) -> Self {
         let ended = Arc::new(AtomicBool::new(false));
-        let callers = entries.into_iter().enumerate().map(|(place, entry)| {
+        let callers = entries.into_iter().enumerate().map(|(index, entry)| {
             let mut caller = Caller::connect(entry);
             let ended = ended.clone();
             thread::spawn(move || {
@@ -82,9 +83,9 @@
                     if ended.load(Ordering::Relaxed) {
                         return;
                     }
-                    let id = format!("{place:x}a{number:x}");
-                    caller.send(request("GET", "/r/x", &id, headers));
-                    caller.answer().expect("an answer");
+                    let id = format!("{index:x}a{number:x}");
+                    caller.send(request_head("GET", "/r/x", &id, headers));
+                    caller.read_response().expect("the entry responds");
                     thread::sleep(pause);
                 }
             })
@@ -100,8 +101,8 @@
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
         for caller in self.callers.drain(..) {
-            let ended = caller.join();
-            assert!(ended.is_ok() || thread::panicking(), "a caller failed");
+            let result = caller.join();
+            assert!(result.is_ok() || thread::panicking(), "a caller failed");
         }
     }
 }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,26 +1,30 @@
-//! An entry in this process, a store in memory, upstreams that follow a script, and raw callers.
+//! Entries that run in this process, an in-memory store, scripted upstreams, and callers that write raw bytes.
 
-#![allow(dead_code, unused_imports, reason = "each test program uses a part")]
+#![allow(
+    dead_code,
+    unused_imports,
+    reason = "each test target uses a part of this module"
+)]
 
 mod load;
 mod store;
 mod upstream;
 
 pub(crate) use load::{
-    entries,
-    most_within,
+    max_within,
+    start_entries,
     Load,
-    NAMES, //
+    ENTRY_NAMES, //
 };
 pub(crate) use store::{
+    JsonRows, //
     MemoryStore,
-    PlainRows, //
 };
 pub(crate) use upstream::{
-    good,
+    ok_response,
     Connection,
+    ReceivedRequest,
     Script,
-    Sent,
     Upstream, //
 };
 
@@ -73,30 +77,31 @@
 };
 use tokio::sync::oneshot;
 
-/// Window of the entries' retry budget. In its first one a process has no part of the constant, and tests wait for
-/// that to pass.
+/// Window of the entries' retry budget. During its first window a process gets no share of the budget's constant
+/// part, so tests wait until that window has passed.
 const RETRY_WINDOW: Duration = Duration::from_millis(400);
-/// Wait where an answer is to come, however busy the machine.
-pub(crate) const AMPLE: Duration = Duration::from_secs(20);
+/// Timeout for expected events; long enough for a busy machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 static METRICS: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// First of the ports for entries: below those that the system gives to connections, of which one might
-/// take a port between its choice here and the entry's start.
+/// First port for entries. The range lies below the ephemeral ports: an outgoing connection could otherwise take a
+/// port between its selection here and the start of the entry.
 const FIRST_PORT: u16 = 4_000;
-/// How many there are, up to those of the rig.
-const PORTS: u16 = 5_000;
-/// How far apart processes begin.
-const PORTS_APART: u32 = 331;
+/// Number of ports for entries; the ports of crate `rig` follow.
+const PORT_COUNT: u16 = 5_000;
+/// Distance between the first ports of test processes with consecutive ids.
+const PORT_STRIDE: u32 = 331;
 
-/// Addresses on loopback, each given out once by this process.
+/// Returns free loopback addresses; each is returned once per process.
 fn free_addrs<const N: usize>() -> [SocketAddr; N] {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let base = std::process::id().wrapping_mul(PORTS_APART) % u32::from(PORTS);
+    let base = std::process::id().wrapping_mul(PORT_STRIDE) % u32::from(PORT_COUNT);
     std::array::from_fn(|_| loop {
         let offset = base + u32::from(NEXT.fetch_add(1, Ordering::Relaxed));
-        let within = u16::try_from(offset % u32::from(PORTS)).expect("below the range's length");
-        let addr = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + within));
+        let index = u16::try_from(offset % u32::from(PORT_COUNT))
+            .expect("the remainder is below the number of ports");
+        let addr = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + index));
         if TcpListener::bind(addr).is_ok() {
             return addr;
         }
@@ -114,19 +119,19 @@
 }
 
 impl Entry {
-    /// Starts one in `region-a`, and waits until it is ready, has counted the others and has its part of the retry
-    /// budget: before that it sends nothing twice.
+    /// Starts an entry in `region-a`, and waits until it is ready, has counted the other entries and has its share of
+    /// the retry budget; before that it sends no request twice.
     pub(crate) fn start(name: &'static str, store: &MemoryStore) -> Self {
-        let before = store.entries_read();
+        let before = store.scans();
         let entry = Self::start_uncounted(name, store);
-        eventually("the others counted", || {
-            (store.entries_read() > before).then_some(())
+        eventually("the scan of entries", || {
+            (store.scans() > before).then_some(())
         });
         thread::sleep(RETRY_WINDOW);
         entry
     }
 
-    /// The same without waiting for that.
+    /// Like [`Self::start`], but only waits until the entry is ready.
     pub(crate) fn start_uncounted(name: &'static str, store: &MemoryStore) -> Self {
         let entry = Self::start_unready(name, "region-a", store, Duration::from_secs(6));
         entry.wait_ready(true);
@@ -143,7 +148,7 @@
         Self::start_in_domain(name, region, &domain, store, grace)
     }
 
-    /// The same in a failure domain of this name.
+    /// Starts an entry in this failure domain without waiting until it is ready.
     pub(crate) fn start_in_domain(
         name: &'static str,
         region: &'static str,
@@ -179,46 +184,54 @@
             cpu_milli: 1000,
         };
         let store = store.clone();
-        let kept = settings.clone();
+        let initial_settings = settings.clone();
         let (changes, changed) = std::sync::mpsc::channel();
         let (stop, stopped) = oneshot::channel();
         thread::spawn(move || {
             let reload: Reload = Box::new(move || changed.try_recv().ok());
             let handle = METRICS.get_or_init(|| PrometheusBuilder::new().build_recorder().handle());
-            let until = async move {
-                // A test that forgets its entry stops it, too.
+            let shutdown = async move {
+                // Dropping the `Entry` stops the entry as well.
                 let _ = stopped.await;
                 Ok(())
             };
-            let rows = PlainRows;
+            let rows = JsonRows;
             let dialect = Dialect::own();
-            let make = || store;
-            entry::run(settings, dialect, rows, handle.clone(), make, reload, until)
-                .expect("an entry that runs");
+            let open_store = || store;
+            entry::run(
+                settings,
+                dialect,
+                rows,
+                handle.clone(),
+                open_store,
+                reload,
+                shutdown,
+            )
+            .expect("the entry runs until it is stopped");
         });
         Self {
             callers,
             lookups,
             ready,
-            settings: kept,
+            settings: initial_settings,
             changes,
             stop: Some(stop),
         }
     }
 
-    /// Changes its settings file: to these settings, or to one with findings.
+    /// Simulates a change of the settings file, to other settings or to invalid ones with these findings.
     pub(crate) fn change_settings(
         &self,
         change: impl FnOnce(Settings) -> Result<Settings, Vec<String>>,
     ) {
         let changed = change(self.settings.clone());
-        self.changes.send(changed).expect("it runs");
+        self.changes.send(changed).expect("the entry is running");
     }
 
-    /// Begins the planned stop.
+    /// Starts the planned stop.
     pub(crate) fn stop(&mut self) {
-        let stop = self.stop.take().expect("stopped once");
-        stop.send(()).expect("it runs");
+        let stop = self.stop.take().expect("the entry is stopped only once");
+        stop.send(()).expect("the entry is running");
     }
 
     pub(crate) fn wait_ready(&self, ready: bool) {
@@ -229,29 +242,33 @@
     }
 }
 
-/// Asks again and again until there is an answer.
-pub(crate) fn eventually<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until there is a value, and returns it.
+///
+/// # Panics
+///
+/// If there is none within [`TIMEOUT`].
+pub(crate) fn eventually<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(answer) = ask() {
-            return answer;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(begun.elapsed() < AMPLE, "{what}: not in time");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 fn status_of(addr: SocketAddr, path: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(AMPLE)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).ok()?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).ok()?;
-    Answer::parse(&answer).map(|answer| answer.status)
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).ok()?;
+    Response::parse(&response).map(|response| response.status)
 }
 
-/// Routes of `app.example`: `/r/` idempotent, `/f/` not, `/d/` downloads; all by service `svc`.
+/// Routes of `app.example`, all to service `svc`: `/r/` is idempotent, `/f/` is not, `/d/` is for downloads.
 pub(crate) fn routes(version: u64) -> Routes {
     let route = |id: &'static str, prefix: &'static str, kind| Route {
         id: id.into(),
@@ -294,8 +311,8 @@
     }
 }
 
-/// An upstream's row.
-pub(crate) fn listed(id: impl Into<UpstreamId>, addr: SocketAddr) -> ListedUpstream {
+/// Row of an upstream in `region-a` with 8 slots that is warm.
+pub(crate) fn upstream_row(id: impl Into<UpstreamId>, addr: SocketAddr) -> ListedUpstream {
     ListedUpstream {
         id: id.into(),
         service: "svc".into(),
@@ -309,23 +326,23 @@
     }
 }
 
-/// Head of a request for `app.example`.
-pub(crate) fn request(method: &str, path: &str, id: &str, rest: &str) -> String {
+/// Head of a request for `app.example`; `rest` holds further header lines.
+pub(crate) fn request_head(method: &str, path: &str, id: &str, rest: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nhost: app.example\r\njasmine-request: {id}\r\n\
          jasmine-deadline-ms: 3000\r\n{rest}\r\n"
     )
 }
 
-/// A caller's connection.
+/// A caller's connection to an entry.
 pub(crate) struct Caller {
     pub(crate) stream: TcpStream,
-    read: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
@@ -333,47 +350,51 @@
 
 impl Caller {
     pub(crate) fn connect(entry: &Entry) -> Self {
-        Self::try_connect(entry).expect("the callers' port")
+        Self::try_connect(entry).expect("the port for callers is open")
     }
 
-    /// A connection, unless the port is closed.
+    /// Connects to the entry; `None` if its port is closed.
     pub(crate) fn try_connect(entry: &Entry) -> Option<Self> {
         let stream = TcpStream::connect(entry.callers).ok()?;
-        stream.set_read_timeout(Some(AMPLE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the timeout is valid");
         Some(Self {
             stream,
-            read: Vec::new(),
+            buffer: Vec::new(),
         })
     }
 
     pub(crate) fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        self.stream.write_all(bytes.as_ref()).expect("it is read");
+        self.stream
+            .write_all(bytes.as_ref())
+            .expect("the connection is open");
     }
 
-    /// The next whole answer; `None` if the connection ends before it is whole.
-    pub(crate) fn answer(&mut self) -> Option<Answer> {
+    /// Reads the next response; `None` if the connection ends before it is complete.
+    pub(crate) fn read_response(&mut self) -> Option<Response> {
         loop {
-            if let Some((answer, length)) = whole(&self.read) {
-                self.read.drain(..length);
-                return Some(answer);
+            if let Some((response, length)) = complete_response(&self.buffer) {
+                self.buffer.drain(..length);
+                return Some(response);
             }
             let mut buf = [0; 4096];
             match self.stream.read(&mut buf) {
                 Ok(0) | Err(_) => return None,
-                Ok(read) => self.read.extend_from_slice(&buf[..read]),
+                Ok(read) => self.buffer.extend_from_slice(&buf[..read]),
             }
         }
     }
 
-    /// Whether the connection ends without another byte.
-    pub(crate) fn ends(&mut self) -> bool {
-        self.read.is_empty() && !matches!(self.stream.read(&mut [0; 1]), Ok(1..))
+    /// Waits for the next byte or the end of the connection; returns whether it ended.
+    pub(crate) fn is_closed(&mut self) -> bool {
+        self.buffer.is_empty() && !matches!(self.stream.read(&mut [0; 1]), Ok(1..))
     }
 }
 
-impl Answer {
+impl Response {
     fn parse(bytes: &[u8]) -> Option<Self> {
-        let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
+        let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
         let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
         let status = head.split(' ').nth(1)?.parse().ok()?;
         let body = bytes[end..].to_vec();
@@ -389,34 +410,34 @@
     }
 }
 
-/// The first answer in `bytes` if it is whole by its own framing, and its length.
-fn whole(bytes: &[u8]) -> Option<(Answer, usize)> {
-    let mut answer = Answer::parse(bytes)?;
-    let head = answer.head.len();
-    if let Some(length) = answer.header("content-length") {
+/// Returns the first response in `bytes`, and its length, if it is complete by its own framing.
+fn complete_response(bytes: &[u8]) -> Option<(Response, usize)> {
+    let mut response = Response::parse(bytes)?;
+    let head = response.head.len();
+    if let Some(length) = response.header("content-length") {
         let length: usize = length.parse().ok()?;
-        if answer.body.len() < length {
+        if response.body.len() < length {
             return None;
         }
-        answer.body.truncate(length);
-        return Some((answer, head + length));
+        response.body.truncate(length);
+        return Some((response, head + length));
     }
-    if answer.header("transfer-encoding").is_none() {
-        answer.body.clear();
-        return Some((answer, head));
+    if response.header("transfer-encoding").is_none() {
+        response.body.clear();
+        return Some((response, head));
     }
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
-        let rest = &answer.body[at..];
-        let line = rest.windows(2).position(|two| two == b"\r\n")?;
+        let rest = &response.body[at..];
+        let line = rest.windows(2).position(|window| window == b"\r\n")?;
         let size = usize::from_str_radix(std::str::from_utf8(&rest[..line]).ok()?, 16).ok()?;
         let data = rest.get(line + 2..line + 2 + size)?;
         rest.get(line + 2 + size..line + 4 + size)?;
         body.extend_from_slice(data);
         at += line + 4 + size;
         if size == 0 {
-            answer.body = body;
-            return Some((answer, head + at));
+            response.body = body;
+            return Some((response, head + at));
         }
     }
 }
--- a/crates/entry/tests/support/store.rs
+++ b/crates/entry/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with the outages that tests switch on.
+//! An in-memory store that can be made to refuse calls.
 
 use bytes::Bytes;
 use bytestring::ByteString;
@@ -43,50 +43,50 @@
     },
 };
 
-/// Pause between two looks for changes.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a waiting call checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Default)]
 struct State {
     version: u64,
-    /// Key `table/name` to version and value; a removed row keeps its version.
+    /// Version and value by key (`table/name`); a removed row has the version of its removal and no value.
     rows: BTreeMap<String, (u64, Option<Bytes>)>,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Version up to which the history of changes has been discarded.
+    compacted_version: u64,
 }
 
-/// A store; clones share it, but each has an outage of its own.
+/// A handle to the store. Clones share its outage and counters; [`Self::handle`] returns one with its own.
 #[derive(Clone, Default)]
 pub(crate) struct MemoryStore {
     state: Arc<Mutex<State>>,
-    /// All calls of this handle are refused.
+    /// Whether all calls of this handle are refused.
     pub(crate) down: Arc<AtomicBool>,
-    /// Reads of the rows of entries are refused.
-    pub(crate) entries_hidden: Arc<AtomicBool>,
-    /// The only entries whose rows this handle reads; empty is all.
-    shown: Arc<Mutex<Vec<&'static str>>>,
-    /// Reads of the rows of entries by this handle.
-    entries_read: Arc<AtomicUsize>,
-    /// Answers with changes of this handle.
-    changes_told: Arc<AtomicUsize>,
-    /// Calls of this handle for changes.
-    changes_asked: Arc<AtomicUsize>,
-    /// Whole tables that this handle read.
-    tables_read: Arc<AtomicUsize>,
+    /// Whether scans are refused, for all handles.
+    pub(crate) scans_refused: Arc<AtomicBool>,
+    /// Entries whose rows are returned by scans of this handle; all if empty.
+    visible_entries: Arc<Mutex<Vec<&'static str>>>,
+    /// Number of scans by this handle.
+    scans: Arc<AtomicUsize>,
+    /// Number of calls for changes by this handle that returned rows.
+    change_batches: Arc<AtomicUsize>,
+    /// Number of calls for changes by this handle.
+    change_calls: Arc<AtomicUsize>,
+    /// Number of reads of a whole table by this handle.
+    table_reads: Arc<AtomicUsize>,
 }
 
 impl MemoryStore {
-    /// Another handle to the same rows, with an outage of its own.
+    /// Returns another handle to the same rows, with its own outage and counters.
     pub(crate) fn handle(&self) -> Self {
         Self {
             state: self.state.clone(),
             down: Arc::default(),
-            entries_hidden: self.entries_hidden.clone(),
-            shown: Arc::default(),
-            entries_read: Arc::default(),
-            changes_told: Arc::default(),
-            changes_asked: Arc::default(),
-            tables_read: Arc::default(),
+            scans_refused: self.scans_refused.clone(),
+            visible_entries: Arc::default(),
+            scans: Arc::default(),
+            change_batches: Arc::default(),
+            change_calls: Arc::default(),
+            table_reads: Arc::default(),
         }
     }
 
@@ -94,15 +94,21 @@
         self.down.store(down, Ordering::Relaxed);
     }
 
-    /// From now on this handle reads the rows of these entries and of no others.
+    /// Restricts scans of this handle to the rows of these entries; all if empty.
     pub(crate) fn show_only(&self, entries: &[&'static str]) {
-        *self.shown.lock().expect("no test panics with it") = entries.to_vec();
+        *self
+            .visible_entries
+            .lock()
+            .expect("no test panics while it holds the lock") = entries.to_vec();
     }
 
-    fn shows(&self, key: &str) -> bool {
-        let shown = self.shown.lock().expect("no test panics with it");
+    fn is_visible(&self, key: &str) -> bool {
+        let visible_entries = self
+            .visible_entries
+            .lock()
+            .expect("no test panics while it holds the lock");
         let entry = key.strip_prefix("entries/");
-        entry.is_none_or(|entry| shown.is_empty() || shown.contains(&entry))
+        entry.is_none_or(|entry| visible_entries.is_empty() || visible_entries.contains(&entry))
     }
 
     pub(crate) fn put(&self, key: &str, value: impl Into<Bytes>) -> u64 {
@@ -128,67 +134,69 @@
         state.rows.insert(key.to_owned(), (version, None));
     }
 
-    /// Forgets all history.
+    /// Discards the history of changes.
     pub(crate) fn compact(&self) {
         let mut state = self.lock();
-        state.forgotten = state.version;
+        state.compacted_version = state.version;
         state.rows.retain(|_, (_, value)| value.is_some());
     }
 
     pub(crate) fn put_routes(&self, routes: &Routes) {
-        let value = serde_json::to_vec(routes).expect("plain data");
+        let value = serde_json::to_vec(routes).expect("the row serialises to JSON");
         self.put("operator/routes", value);
     }
 
-    pub(crate) fn put_upstream(&self, listed: &ListedUpstream) {
-        let value = serde_json::to_vec(listed).expect("plain data");
-        self.put(&format!("upstreams/{}", listed.id), value);
+    pub(crate) fn put_upstream(&self, row: &ListedUpstream) {
+        let value = serde_json::to_vec(row).expect("the row serialises to JSON");
+        self.put(&format!("upstreams/{}", row.id), value);
     }
 
-    /// How often the rows of entries were read by this handle.
-    pub(crate) fn entries_read(&self) -> usize {
-        self.entries_read.load(Ordering::Relaxed)
+    /// Returns the number of scans by this handle.
+    pub(crate) fn scans(&self) -> usize {
+        self.scans.load(Ordering::Relaxed)
     }
 
-    /// How often this handle answered with changes of any table.
-    pub(crate) fn changes_told(&self) -> usize {
-        self.changes_told.load(Ordering::Relaxed)
+    /// Returns the number of calls for changes of any table by this handle that returned rows.
+    pub(crate) fn change_batches(&self) -> usize {
+        self.change_batches.load(Ordering::Relaxed)
     }
 
-    /// How often this handle asked for changes of any table.
-    pub(crate) fn changes_asked(&self) -> usize {
-        self.changes_asked.load(Ordering::Relaxed)
+    /// Returns the number of calls for changes of any table by this handle.
+    pub(crate) fn change_calls(&self) -> usize {
+        self.change_calls.load(Ordering::Relaxed)
     }
 
-    /// How many whole tables this handle read.
-    pub(crate) fn tables_read(&self) -> usize {
-        self.tables_read.load(Ordering::Relaxed)
+    /// Returns the number of reads of a whole table by this handle.
+    pub(crate) fn table_reads(&self) -> usize {
+        self.table_reads.load(Ordering::Relaxed)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no test panics with it")
+        self.state
+            .lock()
+            .expect("no test panics while it holds the lock")
     }
 
-    fn check_up(&self) -> Result<(), Reason> {
+    fn check_available(&self) -> Result<(), Reason> {
         if self.down.load(Ordering::Relaxed) {
             return Err(Reason::Refused);
         }
         Ok(())
     }
 
-    fn rows_after(&self, table: &str, position: u64, removed: bool) -> Rows {
+    fn rows_after(&self, table: &str, position: u64, include_removed: bool) -> Rows {
         let state = self.lock();
         let prefix = format!("{table}/");
-        let of_table = state.rows.iter().filter_map(|(key, (version, value))| {
+        let table_rows = state.rows.iter().filter_map(|(key, (version, value))| {
             let key = key.strip_prefix(&prefix)?;
-            let wanted = *version > position && (removed || value.is_some());
-            wanted.then(|| FeedRow {
+            let matches = *version > position && (include_removed || value.is_some());
+            matches.then(|| FeedRow {
                 key: key.into(),
                 version: *version,
                 value: value.clone(),
             })
         });
-        let mut rows: Vec<FeedRow> = of_table.collect();
+        let mut rows: Vec<FeedRow> = table_rows.collect();
         rows.sort_by_key(|row| row.version);
         Rows {
             rows,
@@ -199,8 +207,8 @@
 
 impl Feed for MemoryStore {
     async fn read_all(&self, table: &str) -> Result<Rows, ReadError> {
-        self.check_up().map_err(ReadError)?;
-        self.tables_read.fetch_add(1, Ordering::Relaxed);
+        self.check_available().map_err(ReadError)?;
+        self.table_reads.fetch_add(1, Ordering::Relaxed);
         Ok(self.rows_after(table, 0, false))
     }
 
@@ -210,45 +218,45 @@
         position: u64,
         wait: Duration,
     ) -> Result<Changes, ReadError> {
-        let begun = Instant::now();
-        self.changes_asked.fetch_add(1, Ordering::Relaxed);
+        let started = Instant::now();
+        self.change_calls.fetch_add(1, Ordering::Relaxed);
         loop {
-            self.check_up().map_err(ReadError)?;
-            if position < self.lock().forgotten {
+            self.check_available().map_err(ReadError)?;
+            if position < self.lock().compacted_version {
                 return Ok(Changes::HistoryGone);
             }
             let rows = self.rows_after(table, position, true);
-            let told = usize::from(!rows.rows.is_empty());
-            self.changes_told.fetch_add(told, Ordering::Relaxed);
-            if told > 0 || begun.elapsed() >= wait {
+            let batches = usize::from(!rows.rows.is_empty());
+            self.change_batches.fetch_add(batches, Ordering::Relaxed);
+            if batches > 0 || started.elapsed() >= wait {
                 return Ok(Changes::Rows(rows));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 impl Table for MemoryStore {
     async fn read(&self, keys: &[ByteString]) -> Result<Vec<Option<Row>>, ReadError> {
-        self.check_up().map_err(ReadError)?;
+        self.check_available().map_err(ReadError)?;
         Ok(keys.iter().map(|key| self.row(key)).collect())
     }
 
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, ReadError> {
-        self.check_up().map_err(ReadError)?;
-        if self.entries_hidden.load(Ordering::Relaxed) {
+        self.check_available().map_err(ReadError)?;
+        if self.scans_refused.load(Ordering::Relaxed) {
             return Err(ReadError(Reason::Refused));
         }
-        self.entries_read.fetch_add(1, Ordering::Relaxed);
+        self.scans.fetch_add(1, Ordering::Relaxed);
         let keys: Vec<String> = self.lock().rows.keys().cloned().collect();
         let keys = keys
             .iter()
-            .filter(|key| key.starts_with(prefix) && self.shows(key));
+            .filter(|key| key.starts_with(prefix) && self.is_visible(key));
         Ok(keys.filter_map(|key| self.row(key)).collect())
     }
 
     async fn commit(&self, txn: Txn) -> Outcome<Commit> {
-        if let Err(reason) = self.check_up() {
+        if let Err(reason) = self.check_available() {
             return Outcome::NotDone(reason);
         }
         let mut state = self.lock();
@@ -260,7 +268,7 @@
                 state.row(key)
             })
             .collect();
-        let holds = txn
+        let all_hold = txn
             .checks
             .iter()
             .zip(&rows)
@@ -270,7 +278,7 @@
                     row.as_ref().is_some_and(|row| row.version == *version)
                 }
             });
-        if !holds {
+        if !all_hold {
             return Outcome::Done(Commit::Conflict { rows });
         }
         state.version += 1;
@@ -304,10 +312,10 @@
     }
 }
 
-/// Rows that hold the product's own types as JSON.
-pub(crate) struct PlainRows;
+/// Reads rows that hold [`Routes`] and [`ListedUpstream`] as JSON.
+pub(crate) struct JsonRows;
 
-impl RowReader for PlainRows {
+impl RowReader for JsonRows {
     fn tables(&self) -> Tables {
         Tables {
             operator: "operator",
--- a/crates/entry/tests/support/upstream.rs
+++ b/crates/entry/tests/support/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that follows a script, byte by byte.
+//! An upstream whose responses are written byte by byte by a script.
 
 use std::{
     collections::HashSet,
@@ -28,19 +28,19 @@
     },
 };
 
-/// A request as an upstream read it.
+/// A request as received by an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Sent {
-    /// When its head was read.
+pub(crate) struct ReceivedRequest {
+    /// Time at which the head was read.
     pub(crate) at: Instant,
     /// Number of the connection, from 0.
     pub(crate) connection: usize,
     pub(crate) head: String,
-    /// What of the body was read before the script went on.
+    /// The part of the body that was read before the script was called.
     pub(crate) body: Vec<u8>,
 }
 
-impl Sent {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| {
@@ -54,26 +54,30 @@
     }
 }
 
-/// What an upstream does with a request; gives whether it goes on with the connection.
-pub(crate) type Script = Box<dyn Fn(usize, &Sent, &mut Connection) -> bool + Send + Sync>;
+/// Handles a request, given its number; returns whether to read another one from the connection.
+pub(crate) type Script =
+    Box<dyn Fn(usize, &ReceivedRequest, &mut Connection) -> bool + Send + Sync>;
 
 /// Simulated process of an upstream, which a script may crash.
 struct Process {
     addr: SocketAddr,
-    ended: AtomicBool,
+    crashed: AtomicBool,
     port_closed: AtomicBool,
     connections: Mutex<Vec<Weak<TcpStream>>>,
 }
 
 impl Process {
     fn register(&self, stream: &Arc<TcpStream>) {
-        let mut connections = self.connections.lock().expect("no script panics with it");
+        let mut connections = self
+            .connections
+            .lock()
+            .expect("no script panics while it holds the lock");
         connections.push(Arc::downgrade(stream));
     }
 
     /// Simulates a crash: closes the port and resets all connections.
     fn crash(&self) {
-        if self.ended.swap(true, Ordering::Relaxed) {
+        if self.crashed.swap(true, Ordering::Relaxed) {
             return;
         }
         while !self.port_closed.load(Ordering::Relaxed) {
@@ -81,7 +85,10 @@
             let _ = TcpStream::connect(self.addr);
             thread::sleep(Duration::from_millis(1));
         }
-        let connections = self.connections.lock().expect("no script panics with it");
+        let connections = self
+            .connections
+            .lock()
+            .expect("no script panics while it holds the lock");
         for stream in connections.iter().filter_map(Weak::upgrade) {
             reset(&stream);
             // Fails if the connection is already closed.
@@ -93,28 +100,28 @@
 fn reset(stream: &TcpStream) {
     socket2::SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("an open socket");
+        .expect("the socket is open");
 }
 
 /// The connection that a script writes to.
 pub(crate) struct Connection {
     stream: Arc<TcpStream>,
-    read: Vec<u8>,
+    buffer: Vec<u8>,
     process: Arc<Process>,
 }
 
 impl Connection {
     pub(crate) fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        // An entry that has gone is what some scripts wait for.
+        // Fails if the entry has closed the connection, which some scripts wait for.
         let _ = (&*self.stream).write_all(bytes.as_ref());
     }
 
     pub(crate) fn close(&mut self) {
-        // It may be closed already.
+        // Fails if the connection is already closed.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Ends the connection by a reset.
+    /// Makes the connection end by a reset when it is closed.
     pub(crate) fn reset(&mut self) {
         reset(&self.stream);
     }
@@ -124,8 +131,8 @@
         self.process.crash();
     }
 
-    /// Waits until the other end has closed; what comes is read over.
-    pub(crate) fn wait_for_end(&mut self) {
+    /// Waits until the peer has closed the connection; discards what it sends until then.
+    pub(crate) fn wait_for_close(&mut self) {
         while matches!((&*self.stream).read(&mut [0; 4096]), Ok(1..)) {}
     }
 
@@ -134,113 +141,123 @@
         match (&*self.stream).read(&mut buf) {
             Ok(0) | Err(_) => false,
             Ok(read) => {
-                self.read.extend_from_slice(&buf[..read]);
+                self.buffer.extend_from_slice(&buf[..read]);
                 true
             }
         }
     }
 
-    /// The next request; its body only if `whole`.
-    fn request(&mut self, connection: usize, whole: bool) -> Option<Sent> {
+    /// Reads the next request, with its body only if `read_body`; `None` if the connection ended.
+    fn read_request(&mut self, connection: usize, read_body: bool) -> Option<ReceivedRequest> {
         let end = loop {
-            if let Some(at) = self.read.windows(4).position(|four| four == b"\r\n\r\n") {
+            if let Some(at) = self
+                .buffer
+                .windows(4)
+                .position(|window| window == b"\r\n\r\n")
+            {
                 break at + 4;
             }
             if !self.fill() {
                 return None;
             }
         };
-        let head: Vec<u8> = self.read.drain(..end).collect();
+        let head: Vec<u8> = self.buffer.drain(..end).collect();
         let head = String::from_utf8_lossy(&head).into_owned();
-        let mut sent = Sent {
+        let mut request = ReceivedRequest {
             at: Instant::now(),
             connection,
             head,
             body: Vec::new(),
         };
-        if !whole {
-            return Some(sent);
+        if !read_body {
+            return Some(request);
         }
-        if let Some(length) = sent.header("content-length").and_then(|l| l.parse().ok()) {
-            while self.read.len() < length {
+        if let Some(length) = request
+            .header("content-length")
+            .and_then(|l| l.parse().ok())
+        {
+            while self.buffer.len() < length {
                 if !self.fill() {
-                    return Some(sent);
+                    return Some(request);
                 }
             }
-            sent.body = self.read.drain(..length).collect();
-        } else if sent.header("transfer-encoding").is_some() {
-            while !self.read.ends_with(b"0\r\n\r\n") {
+            request.body = self.buffer.drain(..length).collect();
+        } else if request.header("transfer-encoding").is_some() {
+            while !self.buffer.ends_with(b"0\r\n\r\n") {
                 if !self.fill() {
-                    return Some(sent);
+                    return Some(request);
                 }
             }
-            sent.body = std::mem::take(&mut self.read);
+            request.body = std::mem::take(&mut self.buffer);
         }
-        Some(sent)
+        Some(request)
     }
 }
 
-/// A whole answer of a well-behaved upstream.
-pub(crate) fn good(sent: &Sent, body: &str) -> String {
+/// A complete 200 response with all headers that an entry expects of an upstream.
+pub(crate) fn ok_response(request: &ReceivedRequest, body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\njasmine-request: {}\r\nupstream-id: s\r\n\
          content-length: {}\r\n\r\n{body}",
-        sent.id(),
+        request.id(),
         body.len()
     )
 }
 
-/// An upstream on a port of its own.
+/// An upstream that listens on its own port.
 pub(crate) struct Upstream {
     pub(crate) addr: SocketAddr,
-    seen: Arc<Mutex<Vec<Sent>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl Upstream {
-    /// Starts one; `script` is called with the number of each request, from 0.
+    /// Starts an upstream that calls `script` with the number of each request, from 0.
     pub(crate) fn start(script: Script) -> Self {
-        Self::start_reading(true, script)
+        Self::start_with(true, script)
     }
 
-    /// Starts one that answers before it has read bodies.
-    pub(crate) fn start_reading(whole: bool, script: Script) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        Self::serve(listener, whole, script)
+    /// Like [`Self::start`]; without `read_bodies`, the script is called once a head has been read.
+    pub(crate) fn start_with(read_bodies: bool, script: Script) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        Self::serve(listener, read_bodies, script)
     }
 
-    /// Starts one at a listener that is bound already, whoever waits there.
-    pub(crate) fn serve(listener: TcpListener, whole: bool, script: Script) -> Self {
-        let addr = listener.local_addr().expect("bound");
-        let seen = Arc::new(Mutex::new(Vec::<Sent>::new()));
-        let log = seen.clone();
+    /// Like [`Self::start_with`], on a listener that is already bound and may have pending connections.
+    pub(crate) fn serve(listener: TcpListener, read_bodies: bool, script: Script) -> Self {
+        let addr = listener.local_addr().expect("the listener is bound");
+        let requests = Arc::new(Mutex::new(Vec::<ReceivedRequest>::new()));
+        let request_log = requests.clone();
         let script = Arc::new(script);
         let process = Arc::new(Process {
             addr,
-            ended: AtomicBool::new(false),
+            crashed: AtomicBool::new(false),
             port_closed: AtomicBool::new(false),
             connections: Mutex::default(),
         });
         thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
-                if process.ended.load(Ordering::Relaxed) {
+                if process.crashed.load(Ordering::Relaxed) {
                     break;
                 }
                 let stream = Arc::new(stream);
                 process.register(&stream);
-                let (log, script, process) = (log.clone(), script.clone(), process.clone());
+                let (request_log, script, process) =
+                    (request_log.clone(), script.clone(), process.clone());
                 thread::spawn(move || {
                     let mut connection = Connection {
                         stream,
-                        read: Vec::new(),
+                        buffer: Vec::new(),
                         process,
                     };
-                    while let Some(sent) = connection.request(number, whole) {
+                    while let Some(request) = connection.read_request(number, read_bodies) {
                         let count = {
-                            let mut log = log.lock().expect("no script panics with it");
-                            log.push(sent.clone());
-                            log.len() - 1
+                            let mut request_log = request_log
+                                .lock()
+                                .expect("no script panics while it holds the lock");
+                            request_log.push(request.clone());
+                            request_log.len() - 1
                         };
-                        if !script(count, &sent, &mut connection) {
+                        if !script(count, &request, &mut connection) {
                             return;
                         }
                     }
@@ -249,30 +266,36 @@
             drop(listener);
             process.port_closed.store(true, Ordering::Relaxed);
         });
-        Self { addr, seen }
+        Self { addr, requests }
     }
 
-    /// One that answers all requests with this body.
-    pub(crate) fn good(body: &'static str) -> Self {
-        Self::start(Box::new(move |_, sent, connection| {
-            connection.write(good(sent, body));
+    /// Starts an upstream that responds to all requests with this body.
+    pub(crate) fn responding(body: &'static str) -> Self {
+        Self::start(Box::new(move |_, request, connection| {
+            connection.write(ok_response(request, body));
             true
         }))
     }
 
-    /// One that takes `cold` for a key's first request, and a fifth of it for its next ones.
+    /// Starts an upstream that takes `cold` for the first request with a key, and a fifth of it for later ones.
     pub(crate) fn caching(body: &'static str, cold: Duration) -> Self {
-        let had = Mutex::new(HashSet::new());
-        Self::start(Box::new(move |_, sent, connection| {
-            let key = sent.header("cookie").unwrap_or("").to_owned();
-            let is_new = had.lock().expect("no script panics with it").insert(key);
+        let cached_keys = Mutex::new(HashSet::new());
+        Self::start(Box::new(move |_, request, connection| {
+            let key = request.header("cookie").unwrap_or("").to_owned();
+            let is_new = cached_keys
+                .lock()
+                .expect("no script panics while it holds the lock")
+                .insert(key);
             thread::sleep(if is_new { cold } else { cold / 5 });
-            connection.write(good(sent, body));
+            connection.write(ok_response(request, body));
             true
         }))
     }
 
-    pub(crate) fn seen(&self) -> Vec<Sent> {
-        self.seen.lock().expect("no script panics with it").clone()
+    pub(crate) fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests
+            .lock()
+            .expect("no script panics while it holds the lock")
+            .clone()
     }
 }
--- a/crates/entry/tests/system.rs
+++ b/crates/entry/tests/system.rs
@@ -1,4 +1,4 @@
-//! Entries, a store and upstreams together: what is in force when, and how an entry stops.
+//! Entries with a store and upstreams: when changes of rows and settings take effect, and how an entry stops.
 
 mod support;
 
@@ -23,10 +23,10 @@
 };
 use support::{
     eventually,
-    good,
-    listed,
-    request,
+    ok_response,
+    request_head,
     routes,
+    upstream_row,
     Caller,
     Entry,
     MemoryStore,
@@ -35,21 +35,25 @@
 
 fn status(entry: &Entry, method: &str, path: &str, id: &str) -> u16 {
     let mut caller = Caller::connect(entry);
-    caller.send(request(method, path, id, "content-length: 0\r\n"));
-    caller.answer().expect("an answer").status
+    caller.send(request_head(method, path, id, "content-length: 0\r\n"));
+    caller.read_response().expect("the entry responds").status
 }
 
-/// Addresses that a look-up names for callers of a region.
-fn looked_up(entry: &Entry, region: &str) -> Vec<SocketAddr> {
-    let mut stream = TcpStream::connect(entry.lookups).expect("the look-ups' port");
+/// Returns the addresses in the response to a lookup for callers in this region; empty if it cannot be parsed.
+fn lookup(entry: &Entry, region: &str) -> Vec<SocketAddr> {
+    let mut stream = TcpStream::connect(entry.lookups).expect("the port for lookups is open");
     let head = format!(
         "GET /v1/entries?name=app.example&region={region}&zone=z HTTP/1.1\r\nhost: x\r\n\
          connection: close\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).expect("it is read");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    let Some((_, body)) = answer.split_once("\r\n\r\n") else {
+    stream
+        .write_all(head.as_bytes())
+        .expect("the connection is open");
+    let mut response = String::new();
+    stream
+        .read_to_string(&mut response)
+        .expect("the entry responds");
+    let Some((_, body)) = response.split_once("\r\n\r\n") else {
         return Vec::new();
     };
     let Ok(body) = serde_json::from_str::<serde_json::Value>(body) else {
@@ -58,48 +62,48 @@
     let addresses = body["entries"].as_array().cloned().unwrap_or_default();
     let addresses = addresses
         .iter()
-        .filter_map(|one| one.as_str()?.parse().ok());
+        .filter_map(|address| address.as_str()?.parse().ok());
     addresses.collect()
 }
 
-/// An entry that knows no routes yet says when to come back, never that there is no such route.
+/// An entry that has no routes yet responds with 503 and a time to retry after, not with 404.
 #[test]
-fn entry_without_routes_refuses_for_now() {
+fn entry_without_routes_responds_with_retry_after() {
     let store = MemoryStore::default();
     store.set_down(true);
     let grace = Duration::from_secs(6);
     let entry = Entry::start_unready("entry-1", "region-a", &store, grace);
     entry.wait_ready(false);
     let mut caller = Caller::connect(&entry);
-    caller.send(request("GET", "/r/x", "a1", ""));
-    let answer = caller.answer().expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+    caller.send(request_head("GET", "/r/x", "a1", ""));
+    let response = caller.read_response().expect("the entry responds");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     store.put_routes(&routes(1));
-    let upstream = Upstream::good("ok");
-    store.put_upstream(&listed("u-1", upstream.addr));
+    let upstream = Upstream::responding("ok");
+    store.put_upstream(&upstream_row("u-1", upstream.addr));
     store.set_down(false);
     entry.wait_ready(true);
-    eventually("an answer", || {
+    eventually("a response with status 200", || {
         (status(&entry, "GET", "/r/x", "a2") == 200).then_some(())
     });
 }
 
-/// A version comes into force, an older one does not, and one that can't be read leaves the last one.
+/// A newer version of the routes takes effect. An older one or one that cannot be parsed leaves the current one.
 #[test]
 fn routes_follow_the_store() {
     let store = MemoryStore::default();
     store.put_routes(&routes(3));
-    let upstream = Upstream::good("ok");
-    store.put_upstream(&listed("u-1", upstream.addr));
+    let upstream = Upstream::responding("ok");
+    store.put_upstream(&upstream_row("u-1", upstream.addr));
     let entry = Entry::start("entry-1", &store);
-    eventually("an answer", || {
+    eventually("a response with status 200", || {
         (status(&entry, "GET", "/r/x", "a") == 200).then_some(())
     });
     let mut next = routes(4);
     next.hosts[0].routes.remove(0);
     store.put_routes(&next);
-    eventually("the new routes", || {
+    eventually("the new routes to take effect", || {
         (status(&entry, "GET", "/r/x", "b") == 404).then_some(())
     });
     store.put_routes(&routes(2));
@@ -109,57 +113,65 @@
     assert_eq!(status(&entry, "GET", "/d/x", "d"), 200);
     store.compact();
     store.put_routes(&routes(6));
-    eventually("routes after a lost history", || {
+    eventually("the routes stored after the history was discarded", || {
         (status(&entry, "GET", "/r/x", "e") == 200).then_some(())
     });
 }
 
-/// Symptom: requests were sent to a gone upstream's address again and again, each time to learn that another
-/// one has it. Sequence: that answer comes while the list still names the upstream; then something else
-/// changes, and control publishes what it knows. Cause: what traffic had closed was opened by that.
+/// Guards against requests that are sent again and again to the address of a former upstream, which another process
+/// now uses. This happened when that process had responded with 421 while the row of the upstream still existed, and
+/// another change made control publish a new snapshot: this reopened the upstream that traffic had closed.
 #[test]
-fn an_upstream_whose_address_another_has_stays_closed() {
+fn upstream_whose_address_is_reused_stays_closed() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
     let other = Upstream::start(Box::new(|_, _, connection| {
         connection.write("HTTP/1.1 421 Other\r\ncontent-length: 0\r\n\r\n");
         true
     }));
-    let sound = Upstream::good("ok");
-    store.put_upstream(&listed("u-1", other.addr));
-    store.put_upstream(&listed("u-2", sound.addr));
+    let healthy = Upstream::responding("ok");
+    store.put_upstream(&upstream_row("u-1", other.addr));
+    store.put_upstream(&upstream_row("u-2", healthy.addr));
     let entry = Entry::start("entry-1", &store);
-    let ask = |round: u64| {
+    let send_requests = |round: u64| {
         for number in 0..20 {
             let id = format!("{round:x}a{number:x}");
             assert_eq!(status(&entry, "POST", "/f/x", &id), 200);
         }
     };
-    ask(1);
-    assert_eq!(other.seen().len(), 1, "it is asked once");
+    send_requests(1);
+    assert_eq!(
+        other.requests().len(),
+        1,
+        "requests sent to the former address"
+    );
     for version in 2..5 {
         let mut next = routes(version);
         next.hosts[0].routes[0].prefix = format!("/r{version}/").into();
         store.put_routes(&next);
-        eventually("the next routes", || {
+        eventually("the next routes to take effect", || {
             let path = format!("/r{version}/x");
             (status(&entry, "GET", &path, "b") == 200).then_some(())
         });
-        ask(version);
+        send_requests(version);
     }
-    assert_eq!(other.seen().len(), 1, "it stays closed");
+    assert_eq!(
+        other.requests().len(),
+        1,
+        "requests sent to the former address after changes of the routes"
+    );
 }
 
-/// Symptom: after a loss of all processes each of them spends the whole constant of the retry budget. Sequence:
-/// a process knows routes and upstreams before it has read who else there is. Cause guarded against: taking
-/// nobody known for nobody there.
+/// Guards against each process spending the whole constant part of the retry budget after a restart of all of them. A
+/// process knows routes and upstreams before it has read the rows of the other entries; until then it must not assume
+/// that there are no others.
 #[test]
-fn no_part_of_the_retry_budget_before_the_others_are_counted() {
+fn no_share_of_the_retry_budget_before_entries_are_counted() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
     let failing = || {
-        Upstream::start(Box::new(|_, sent, connection| {
-            let id = sent.id();
+        Upstream::start(Box::new(|_, request, connection| {
+            let id = request.id();
             connection.write(format!(
                 "HTTP/1.1 500 Failed\r\njasmine-request: {id}\r\nupstream-id: s\r\n\
                  content-length: 0\r\n\r\n"
@@ -168,191 +180,205 @@
         }))
     };
     let upstreams = [failing(), failing()];
-    store.put_upstream(&listed("u-1", upstreams[0].addr));
-    store.put_upstream(&listed("u-2", upstreams[1].addr));
-    store.entries_hidden.store(true, Ordering::Relaxed);
+    store.put_upstream(&upstream_row("u-1", upstreams[0].addr));
+    store.put_upstream(&upstream_row("u-2", upstreams[1].addr));
+    store.scans_refused.store(true, Ordering::Relaxed);
     let entry = Entry::start_uncounted("entry-1", &store);
-    let sends = || upstreams.iter().map(|u| u.seen().len()).sum::<usize>();
+    let sends = || upstreams.iter().map(|u| u.requests().len()).sum::<usize>();
     assert_eq!(status(&entry, "GET", "/r/x", "a1"), 500);
-    assert_eq!(sends(), 1, "it isn't sent again");
-    store.entries_hidden.store(false, Ordering::Relaxed);
-    eventually("a send beyond the first", || {
+    assert_eq!(sends(), 1, "number of sends before the entries are counted");
+    store.scans_refused.store(false, Ordering::Relaxed);
+    eventually("a request that is sent twice", || {
         let before = sends();
         assert_eq!(status(&entry, "GET", "/r/x", "a2"), 500);
         (sends() == before + 2).then_some(())
     });
 }
 
-/// An upstream that leaves gets no new work; what it runs is not cut.
+/// An upstream that is leaving gets no new requests; those that it is running complete.
 #[test]
-fn leaving_upstream_gets_no_new_work() {
+fn leaving_upstream_gets_no_new_requests() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let slow = Upstream::start(Box::new(|number, sent, connection| {
+    let leaving_upstream = Upstream::start(Box::new(|number, request, connection| {
         if number == 0 {
             thread::sleep(Duration::from_millis(800));
         }
-        connection.write(good(sent, "from the first"));
+        connection.write(ok_response(request, "from the first"));
         true
     }));
-    store.put_upstream(&listed("u-1", slow.addr));
+    store.put_upstream(&upstream_row("u-1", leaving_upstream.addr));
     let entry = Entry::start("entry-1", &store);
     let mut running = Caller::connect(&entry);
-    running.send(request("GET", "/r/x", "a1", ""));
-    eventually("the request at the upstream", || {
-        (!slow.seen().is_empty()).then_some(())
+    running.send(request_head("GET", "/r/x", "a1", ""));
+    eventually("the request to reach the upstream", || {
+        (!leaving_upstream.requests().is_empty()).then_some(())
     });
-    let other = Upstream::good("from the other");
-    store.put_upstream(&listed("u-2", other.addr));
-    let mut leaving = listed("u-1", slow.addr);
-    leaving.leaving = true;
-    store.put_upstream(&leaving);
-    eventually("the other one", || {
-        let before = slow.seen().len();
-        let fine = status(&entry, "GET", "/r/x", "probe") == 200;
-        (fine && slow.seen().len() == before).then_some(())
+    let other = Upstream::responding("from the other");
+    store.put_upstream(&upstream_row("u-2", other.addr));
+    let mut leaving_row = upstream_row("u-1", leaving_upstream.addr);
+    leaving_row.leaving = true;
+    store.put_upstream(&leaving_row);
+    eventually("a request at the other upstream", || {
+        let before = leaving_upstream.requests().len();
+        let served = status(&entry, "GET", "/r/x", "probe") == 200;
+        (served && leaving_upstream.requests().len() == before).then_some(())
     });
     for number in 0..10 {
         assert_eq!(status(&entry, "GET", "/r/x", &format!("b{number}")), 200);
     }
-    assert_eq!(running.answer().expect("an answer").body, b"from the first");
-    let late = slow
-        .seen()
+    assert_eq!(
+        running.read_response().expect("the entry responds").body,
+        b"from the first"
+    );
+    let new_requests = leaving_upstream
+        .requests()
         .iter()
-        .filter(|sent| sent.id().starts_with('b'))
+        .filter(|request| request.id().starts_with('b'))
         .count();
-    assert_eq!(late, 0);
+    assert_eq!(new_requests, 0);
 }
 
-/// Symptom: an upstream that was replaced under its name got no work any more. Sequence: it says that it leaves, ends and
-/// starts again with the same name, here without its row ever being removed. Cause guarded against: taking both for one.
+/// Guards against a restarted upstream that gets no requests: it was leaving, ended, and started again under the same
+/// name without removal of its row, and must not be taken for its former incarnation.
 #[test]
-fn an_upstream_that_starts_again_under_its_name_gets_work() {
+fn upstream_restarted_under_its_name_gets_requests() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let first = Upstream::good("first life");
-    let mut row = listed("u-1", first.addr);
+    let first = Upstream::responding("first incarnation");
+    let mut row = upstream_row("u-1", first.addr);
     row.started_ms = 1000;
     store.put_upstream(&row);
     let entry = Entry::start("entry-1", &store);
-    eventually("the first life", || {
+    eventually("a response of the first incarnation", || {
         (status(&entry, "GET", "/r/x", "a1") == 200).then_some(())
     });
     row.leaving = true;
     store.put_upstream(&row);
-    eventually("it gets no new work", || {
+    eventually("the leaving upstream to get no requests", || {
         (status(&entry, "GET", "/r/x", "a2") == 503).then_some(())
     });
-    let second = Upstream::good("second life");
-    row = listed("u-1", second.addr);
+    let second = Upstream::responding("second incarnation");
+    row = upstream_row("u-1", second.addr);
     row.started_ms = 2000;
     store.put_upstream(&row);
-    eventually("the second life", || {
+    eventually("a response of the second incarnation", || {
         (status(&entry, "GET", "/r/x", "a3") == 200).then_some(())
     });
-    assert!(!second.seen().is_empty());
+    assert!(!second.requests().is_empty());
 }
 
-/// A request that is still running when its upstream starts again under its name, at another address, leaves a connection
-/// behind on which the later one's requests would go to the former one.
+/// Guards against sending requests for a new incarnation of an upstream to the former one. If a request is still
+/// running when the upstream starts again under its name at another address, its connection must not be reused
+/// afterwards.
 #[test]
-fn a_connection_of_a_former_incarnation_is_not_used_again() {
+fn connection_of_a_former_incarnation_is_not_reused() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let first = Upstream::start(Box::new(|number, sent, connection| {
+    let first = Upstream::start(Box::new(|number, request, connection| {
         if number == 0 {
             thread::sleep(Duration::from_millis(1500));
         }
-        connection.write(good(sent, "first"));
+        connection.write(ok_response(request, "first"));
         true
     }));
-    let mut row = listed("u-1", first.addr);
+    let mut row = upstream_row("u-1", first.addr);
     row.started_ms = 1000;
     store.put_upstream(&row);
     let entry = Entry::start("entry-1", &store);
     let mut running = Caller::connect(&entry);
-    running.send(request("GET", "/r/x", "a1", ""));
-    eventually("the request at the first", || {
-        (!first.seen().is_empty()).then_some(())
+    running.send(request_head("GET", "/r/x", "a1", ""));
+    eventually("the request to reach the first incarnation", || {
+        (!first.requests().is_empty()).then_some(())
     });
-    let second = Upstream::good("second");
-    row = listed("u-1", second.addr);
+    let second = Upstream::responding("second");
+    row = upstream_row("u-1", second.addr);
     row.started_ms = 2000;
     store.put_upstream(&row);
-    eventually("the second", || {
-        let fine = status(&entry, "GET", "/r/x", "probe") == 200;
-        (fine && !second.seen().is_empty()).then_some(())
+    eventually("a request at the second incarnation", || {
+        let served = status(&entry, "GET", "/r/x", "probe") == 200;
+        (served && !second.requests().is_empty()).then_some(())
     });
-    assert_eq!(running.answer().expect("an answer").body, b"first");
-    let before = first.seen().len();
+    assert_eq!(
+        running.read_response().expect("the entry responds").body,
+        b"first"
+    );
+    let before = first.requests().len();
     for number in 0..5 {
         assert_eq!(status(&entry, "GET", "/r/x", &format!("b{number}")), 200);
     }
-    assert_eq!(first.seen().len(), before);
+    assert_eq!(first.requests().len(), before);
 }
 
-/// Symptom: work went to an upstream that its row did not name any more. Sequence: another writer puts bytes that can't
-/// be read, or fields of another type, in the place of a row. Cause guarded against: what a row said before passing
-/// for what it says. The other rows hold, and the upstream's own next row brings it back.
+/// Guards against using the former content of a row that another writer has replaced by bytes that cannot be parsed
+/// or by fields of other types: the upstream must get no requests. Other rows stay valid, and the next valid row of
+/// the upstream makes it available again.
 #[test]
-fn a_row_that_cannot_be_read_names_no_upstream() {
+fn upstream_with_an_invalid_row_gets_no_requests() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let (first, second) = (Upstream::good("first"), Upstream::good("second"));
-    store.put_upstream(&listed("u-1", first.addr));
-    store.put_upstream(&listed("u-2", second.addr));
+    let (first, second) = (
+        Upstream::responding("first"),
+        Upstream::responding("second"),
+    );
+    store.put_upstream(&upstream_row("u-1", first.addr));
+    store.put_upstream(&upstream_row("u-2", second.addr));
     let entry = Entry::start("entry-1", &store);
-    let both = |number: usize| {
-        let before = (first.seen().len(), second.seen().len());
-        for request in 0..20 {
-            let id = format!("r{number}-{request}");
+    let upstreams_used = |round: usize| {
+        let before = (first.requests().len(), second.requests().len());
+        for number in 0..20 {
+            let id = format!("r{round}-{number}");
             assert_eq!(status(&entry, "GET", "/r/x", &id), 200);
         }
         (
-            first.seen().len() > before.0,
-            second.seen().len() > before.1,
+            first.requests().len() > before.0,
+            second.requests().len() > before.1,
         )
     };
-    eventually("both are used", || (both(0) == (true, true)).then_some(()));
+    eventually("requests at both upstreams", || {
+        (upstreams_used(0) == (true, true)).then_some(())
+    });
     for garbage in [&b"\xff{"[..], b"{}", br#"{"id":7}"#] {
         store.put("upstreams/u-1", garbage.to_vec());
-        eventually("only the second", || {
-            (both(1) == (false, true)).then_some(())
+        eventually("requests at the second upstream only", || {
+            (upstreams_used(1) == (false, true)).then_some(())
+        });
+        store.put_upstream(&upstream_row("u-1", first.addr));
+        eventually("requests at both upstreams again", || {
+            (upstreams_used(2) == (true, true)).then_some(())
         });
-        store.put_upstream(&listed("u-1", first.addr));
-        eventually("both again", || (both(2) == (true, true)).then_some(()));
     }
 }
 
-/// Symptom: on a quiet day of 67 entries and 190 upstreams the store had 100 calls an entry in 50 s, where 25 wait for
-/// changes. Sequence: upstreams that start write one after the other, and each of their rows ends a call of each
-/// entry. Cause guarded against: asking again at once, which brings one row a call.
+/// Guards against an entry that calls the store again immediately after each change, which returns one row per call
+/// when upstreams start one after another. Without incidents, 67 entries and 190 upstreams made 100 calls per entry
+/// in 50 s, where 25 suffice to wait for changes.
 #[test]
-fn changes_of_a_moment_are_read_together() {
+fn simultaneous_changes_are_read_in_batches() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
     let entry = Entry::start("entry-1", &store);
     entry.wait_ready(true);
-    let upstream = Upstream::good("ok");
-    let before = store.changes_told();
+    let upstream = Upstream::responding("ok");
+    let before = store.change_batches();
     for number in 0..40 {
-        store.put_upstream(&listed(format!("u-{number}"), upstream.addr));
+        store.put_upstream(&upstream_row(format!("u-{number}"), upstream.addr));
         thread::sleep(Duration::from_millis(10));
     }
-    let last = listed("u-last", upstream.addr);
+    let last = upstream_row("u-last", upstream.addr);
     store.put_upstream(&last);
-    eventually("the last upstream is used", || {
+    eventually("the last upstream to be used", || {
         (status(&entry, "GET", "/r/x", "a1") == 200).then_some(())
     });
-    let calls = store.changes_told() - before;
-    assert!(calls <= 6, "{calls} calls for 41 rows within some 400 ms");
+    let calls = store.change_batches() - before;
+    assert!(calls <= 6, "{calls} calls for 41 rows within about 400 ms");
 }
 
-/// Symptom: a sixth of all answers were late, as keys were warmed at one upstream by each entry. Sequence: an entry sends a
-/// key to an upstream; another one, or one that is started later, knows nothing of it and sends the key to the
-/// upstream that it ranks highest, which has not had it. Cause guarded against: knowing only what one saw oneself.
+/// Guards against an entry that knows only the warm keys of its own requests. Another entry, or one started later, then
+/// sends a key to the upstream that ranks highest for it, which may not have cached it; a sixth of all responses were
+/// late because each entry warmed the keys at its own choice of upstream.
 #[test]
-fn what_one_entry_warmed_the_others_know() {
+fn entries_share_which_keys_are_warm() {
     let store = MemoryStore::default();
     let mut sticky = routes(1);
     for route in sticky.hosts.iter_mut().flat_map(|host| &mut host.routes) {
@@ -360,14 +386,15 @@
     }
     store.put_routes(&sticky);
     let first = Upstream::caching("first", Duration::from_millis(150));
-    store.put_upstream(&listed("u-1", first.addr));
-    let one = Entry::start("entry-1", &store);
-    let two = Entry::start("entry-2", &store);
-    eventually("both in look-ups", || {
-        (looked_up(&one, "region-a").len() == 2 && looked_up(&two, "region-a").len() == 2)
+    store.put_upstream(&upstream_row("u-1", first.addr));
+    let first_entry = Entry::start("entry-1", &store);
+    let second_entry = Entry::start("entry-2", &store);
+    eventually("both entries in lookups", || {
+        (lookup(&first_entry, "region-a").len() == 2
+            && lookup(&second_entry, "region-a").len() == 2)
             .then_some(())
     });
-    // Keys that rank the upstream which is listed later higher.
+    // Whether the upstream that is added later ranks higher for a key.
     let ranks_second = |key: &String| {
         let key = balance::affinity_hash(key.as_bytes());
         let rank_of = |name: &[u8]| balance::rendezvous_score(key, balance::affinity_hash(name));
@@ -378,107 +405,116 @@
         .filter(ranks_second)
         .take(5)
         .collect();
-    let get = |entry: &Entry, key: &str| {
+    let send = |entry: &Entry, key: &str| {
         let mut caller = Caller::connect(entry);
         let cookie = format!("cookie: jasmine-affinity={key}\r\n");
-        caller.send(request("GET", "/r/x", &format!("{key}-1"), &cookie));
-        assert_eq!(caller.answer().expect("an answer").status, 200);
+        caller.send(request_head("GET", "/r/x", &format!("{key}-1"), &cookie));
+        assert_eq!(
+            caller.read_response().expect("the entry responds").status,
+            200
+        );
     };
     for key in &keys {
-        get(&one, key);
+        send(&first_entry, key);
     }
     let second = Upstream::caching("second", Duration::from_millis(150));
-    store.put_upstream(&listed("u-2", second.addr));
-    let mut others = (0..).map(|n| format!("o{n}")).filter(ranks_second);
-    eventually("the second upstream at both", || {
-        let before = second.seen().len();
-        get(&one, &others.next().expect("some key does"));
-        get(&two, &others.next().expect("some key does"));
-        (second.seen().len() == before + 2).then_some(())
+    store.put_upstream(&upstream_row("u-2", second.addr));
+    let mut other_keys = (0..).map(|n| format!("o{n}")).filter(ranks_second);
+    eventually("the second upstream to be used by both entries", || {
+        let before = second.requests().len();
+        send(
+            &first_entry,
+            &other_keys.next().expect("the iterator is infinite"),
+        );
+        send(
+            &second_entry,
+            &other_keys.next().expect("the iterator is infinite"),
+        );
+        (second.requests().len() == before + 2).then_some(())
     });
-    let three = Entry::start("entry-3", &store);
-    eventually("the third in look-ups", || {
-        (looked_up(&one, "region-a").len() == 3).then_some(())
+    let third_entry = Entry::start("entry-3", &store);
+    eventually("the third entry in lookups", || {
+        (lookup(&first_entry, "region-a").len() == 3).then_some(())
     });
     thread::sleep(Duration::from_millis(600));
-    let before = second.seen().len();
+    let before = second.requests().len();
     for key in &keys {
-        get(&two, key);
-        get(&three, key);
+        send(&second_entry, key);
+        send(&third_entry, key);
     }
     assert_eq!(
-        second.seen().len(),
+        second.requests().len(),
         before,
-        "keys are warm at the first upstream"
+        "keys that are warm at the first upstream were sent to the second"
     );
 }
 
-/// Symptom: an entry that the store turns away served by old routes and old upstreams for as long as
-/// that lasted, though the others knew better. Sequence: the store is down for one entry only, and the
-/// routes and the upstreams change. Cause guarded against: the store being the only way to learn.
+/// Guards against an entry that uses old routes and upstreams while the store refuses its calls only: it must learn of
+/// changes from the other entries.
 #[test]
 fn entry_without_the_store_learns_from_the_others() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let first = Upstream::good("first");
-    store.put_upstream(&listed("u-1", first.addr));
-    let cut_off = store.handle();
-    let one = Entry::start("entry-1", &store);
-    let two = Entry::start("entry-2", &cut_off);
-    eventually("both in look-ups", || {
-        (looked_up(&one, "region-a").len() == 2 && looked_up(&two, "region-a").len() == 2)
+    let first = Upstream::responding("first");
+    store.put_upstream(&upstream_row("u-1", first.addr));
+    let cut_off_store = store.handle();
+    let first_entry = Entry::start("entry-1", &store);
+    let second_entry = Entry::start("entry-2", &cut_off_store);
+    eventually("both entries in lookups", || {
+        (lookup(&first_entry, "region-a").len() == 2
+            && lookup(&second_entry, "region-a").len() == 2)
             .then_some(())
     });
-    cut_off.set_down(true);
+    cut_off_store.set_down(true);
     let mut next = routes(2);
     next.hosts[0].routes.remove(0);
     store.put_routes(&next);
-    let second = Upstream::good("second");
-    store.put_upstream(&listed("u-2", second.addr));
+    let second = Upstream::responding("second");
+    store.put_upstream(&upstream_row("u-2", second.addr));
     store.remove("upstreams/u-1");
-    eventually("the routes at the other entry", || {
-        (status(&two, "GET", "/r/x", "a") == 404).then_some(())
+    eventually("the new routes at the entry without the store", || {
+        (status(&second_entry, "GET", "/r/x", "a") == 404).then_some(())
     });
-    eventually("the upstreams at the other entry", || {
-        let before = first.seen().len();
-        let fine = status(&two, "GET", "/d/x", "b") == 200;
-        (fine && first.seen().len() == before).then_some(())
+    eventually("the new upstreams at the entry without the store", || {
+        let before = first.requests().len();
+        let served = status(&second_entry, "GET", "/d/x", "b") == 200;
+        (served && first.requests().len() == before).then_some(())
     });
 }
 
-/// Symptom: a caller's request was cut by a planned stop. Sequence: it comes just before the process
-/// ends. Cause guarded against: ending as soon as nothing runs. A request that runs is answered, one
-/// that comes late is told that it did not run, and look-ups no longer name the entry.
+/// Guards against a planned stop that ends the process as soon as no request is running, which cuts off a request that
+/// arrives just before the end. Running requests complete, later ones are refused as not run, and lookups no longer
+/// return the entry.
 #[test]
-fn planned_stop_cuts_nothing() {
+fn planned_stop_cuts_off_no_request() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let cut = Arc::new(AtomicUsize::new(0));
-    let upstream = Upstream::start(Box::new(|_, sent, connection| {
+    let cut_off = Arc::new(AtomicUsize::new(0));
+    let upstream = Upstream::start(Box::new(|_, request, connection| {
         thread::sleep(Duration::from_millis(150));
-        connection.write(good(sent, "ok"));
+        connection.write(ok_response(request, "ok"));
         true
     }));
-    store.put_upstream(&listed("u-1", upstream.addr));
+    store.put_upstream(&upstream_row("u-1", upstream.addr));
     let grace = Duration::from_secs(4);
     let mut stopping = Entry::start_unready("entry-1", "region-a", &store, grace);
     stopping.wait_ready(true);
     let staying = Entry::start("entry-2", &store);
-    eventually("both in look-ups", || {
-        (looked_up(&staying, "region-a").len() == 2).then_some(())
+    eventually("both entries in lookups", || {
+        (lookup(&staying, "region-a").len() == 2).then_some(())
     });
     stopping.stop();
-    eventually("one in look-ups", || {
-        (looked_up(&staying, "region-a") == [staying.callers]).then_some(())
+    eventually("only the other entry in lookups", || {
+        (lookup(&staying, "region-a") == [staying.callers]).then_some(())
     });
     stopping.wait_ready(false);
     let mut last = 0;
     for number in 0.. {
-        // Whoever finds the port closed uses another entry.
+        // A caller that finds the port closed uses another entry.
         let Some(mut caller) = Caller::try_connect(&stopping) else {
             break;
         };
-        let head = request(
+        let head = request_head(
             "POST",
             "/f/x",
             &format!("a{number}"),
@@ -487,32 +523,31 @@
         if caller.stream.write_all(head.as_bytes()).is_err() {
             break;
         }
-        match caller.answer() {
-            Some(answer) => {
-                assert_eq!(answer.header("connection"), Some("close"));
-                assert!(matches!(answer.status, 200 | 503), "{}", answer.head);
-                last = answer.status;
+        match caller.read_response() {
+            Some(response) => {
+                assert_eq!(response.header("connection"), Some("close"));
+                assert!(matches!(response.status, 200 | 503), "{}", response.head);
+                last = response.status;
             }
-            // Not read at all, or cut: the upstream's log tells.
+            // Cut off if the upstream has received the request, otherwise never read by the entry.
             None if upstream
-                .seen()
+                .requests()
                 .iter()
-                .any(|sent| sent.id() == format!("a{number}")) =>
+                .any(|request| request.id() == format!("a{number}")) =>
             {
-                cut.fetch_add(1, Ordering::SeqCst);
+                cut_off.fetch_add(1, Ordering::SeqCst);
             }
             None => break,
         }
     }
-    assert_eq!(cut.load(Ordering::SeqCst), 0);
-    assert_eq!(last, 503, "the last ones are told that they did not run");
+    assert_eq!(cut_off.load(Ordering::SeqCst), 0);
+    assert_eq!(last, 503, "the last request must be refused as not run");
 }
 
-/// Symptom: an entry that had heard nothing from the store yet ended half a second after the signal to
-/// stop. Sequence: the store is down from the start, and the entry is stopped. Cause guarded against: a
-/// grace period that counts as none until something was published.
+/// Guards against a grace period of zero until something has been published: an entry that had read nothing, because
+/// the store was down from the start, ended half a second after the signal to stop.
 #[test]
-fn planned_stop_before_the_first_routes_takes_its_time() {
+fn planned_stop_before_the_first_routes_waits_for_the_grace_period() {
     let store = MemoryStore::default();
     store.set_down(true);
     let grace = Duration::from_secs(4);
@@ -522,51 +557,57 @@
     thread::sleep(Duration::from_millis(1200));
     assert!(
         Caller::try_connect(&entry).is_some(),
-        "still there to refuse"
+        "the entry must still accept connections"
     );
 }
 
-/// An entry that is lost is no longer named, and callers of a region without one are sent to another.
+/// Lookups no longer return an entry that has stopped, and return one of another region if the caller's has none.
 #[test]
-fn look_ups_name_entries_that_take_callers() {
+fn lookups_return_entries_that_accept_callers() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
-    let near = Entry::start("entry-1", &store);
+    let local = Entry::start("entry-1", &store);
     let grace = Duration::from_secs(2);
-    let mut far = Entry::start_unready("entry-2", "region-b", &store, grace);
-    far.wait_ready(true);
-    eventually("the other region's entry", || {
-        (looked_up(&near, "region-b") == [far.callers]).then_some(())
+    let mut remote = Entry::start_unready("entry-2", "region-b", &store, grace);
+    remote.wait_ready(true);
+    eventually("the entry of the other region", || {
+        (lookup(&local, "region-b") == [remote.callers]).then_some(())
     });
-    assert_eq!(looked_up(&near, "region-a"), [near.callers]);
-    far.stop();
-    eventually("this region's entry for all", || {
-        (looked_up(&near, "region-b") == [near.callers]).then_some(())
+    assert_eq!(lookup(&local, "region-a"), [local.callers]);
+    remote.stop();
+    eventually("the entry of this region for callers of both", || {
+        (lookup(&local, "region-b") == [local.callers]).then_some(())
     });
 }
 
-/// Settings that change are in force without a restart; bad ones leave the last good ones so.
+/// Changed settings take effect without a restart; invalid ones leave the last valid ones in force.
 #[test]
-fn changed_settings_are_followed() {
+fn changed_settings_take_effect() {
     let store = MemoryStore::default();
     store.put_routes(&routes(1));
     let entry = Entry::start("entry-1", &store);
-    let ttl = || {
-        let mut stream = TcpStream::connect(entry.lookups).expect("the look-ups' port");
+    let has_new_ttl = || {
+        let mut stream = TcpStream::connect(entry.lookups).expect("the port for lookups is open");
         let head =
             "GET /v1/entries?region=region-a HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        stream.write_all(head.as_bytes()).expect("it is read");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        answer.contains("\"ttl_s\":0.5")
+        stream
+            .write_all(head.as_bytes())
+            .expect("the connection is open");
+        let mut response = String::new();
+        stream
+            .read_to_string(&mut response)
+            .expect("the entry responds");
+        response.contains("\"ttl_s\":0.5")
     };
-    assert!(!ttl());
+    assert!(!has_new_ttl());
     entry.change_settings(|mut settings| {
         settings.bounds.lookup_ttl_max = Duration::from_millis(500);
         Ok(settings)
     });
-    eventually("the new bound", || ttl().then_some(()));
+    eventually("the new bound to take effect", || {
+        has_new_ttl().then_some(())
+    });
     entry.change_settings(|_| Err(vec!["bounds.grace-s: no figure".to_owned()]));
     thread::sleep(Duration::from_millis(2500));
-    assert!(ttl());
+    assert!(has_new_ttl());
 }
