--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,19 +1,19 @@
-//! What lives as long as a version: the immutable picture that traffic threads decide from.
+//! The immutable snapshot that traffic threads read; one per configuration version and view.
 //!
-//! Control builds a [`Snapshot`] whenever the configuration or the picture of instances changes
-//! and publishes it through an atomic pointer. Traffic threads load it once for each request and
-//! never wait for control. What changes with every request, such as the use of slots, is in the
-//! process-long [`crate::process::pool::Pool`]s that the snapshot points to.
+//! Control builds a [`Snapshot`] whenever the configuration or the membership view changes and
+//! publishes it through an atomic pointer. Traffic threads load it once per request and never wait
+//! for control. State that changes with every request, such as slot use, is in the
+//! [`crate::process::pool::Pool`]s that the snapshot refers to; they live as long as the process.
 
-mod outlook;
+mod placement;
 mod snapshot;
 
 pub(crate) use self::{
-    outlook::{
+    placement::{
         ClassOutlook,
         Flow,
         Handed,
-        HandedGuard,
+        HandoverGuard,
         Outlook,
         Sibling,
         Spill,
@@ -30,5 +30,5 @@
 use arc_swap::ArcSwap;
 use std::sync::Arc;
 
-/// Place where the newest snapshot is found.
+/// Atomic pointer to the current snapshot.
 pub(crate) type Published = Arc<ArcSwap<Snapshot>>;
--- a/crates/daemon/src/version/snapshot.rs
+++ b/crates/daemon/src/version/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot itself.
+//! Snapshot of the configuration and the membership view.
 
 use crate::process::{
     link::Link,
@@ -27,7 +27,7 @@
     ClassTarget, //
 };
 
-/// One entry, as look-up answers name it.
+/// One entry, as lookup responses name it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Entry {
     pub(crate) instance: InstanceId,
@@ -38,49 +38,49 @@
     pub(crate) dial_addr: ByteString,
 }
 
-/// One region, as this daemon sees it.
+/// One region in this daemon's view.
 #[derive(Clone, Debug)]
 pub(crate) struct RegionView {
     pub(crate) id: RegionId,
-    /// Entries that take work, sorted by name.
+    /// Entries that accept work, sorted by name.
     pub(crate) entries: Vec<Entry>,
-    /// Whether operators drain it.
+    /// Whether operators are draining it.
     pub(crate) drained: bool,
 }
 
-/// One class with its pool in this region.
+/// One class, with its pool in this region.
 #[derive(Debug)]
 pub(crate) struct ClassView {
     pub(crate) class: Class,
     pub(crate) pool: Arc<Pool>,
-    /// The class's target, as decisions take it.
+    /// The class's target, as placement uses it.
     pub(crate) target: ClassTarget,
-    /// Admission of the classes that share the service.
+    /// Admission control of the classes that share the service.
     pub(crate) admit: Arc<AdmissionControl>,
-    /// Index of this class in it.
+    /// Index of this class in the admission control.
     pub(crate) place: usize,
-    /// Classes of the service that go before this one.
+    /// Number of classes of the service that precede this one in the queue.
     pub(crate) rank: usize,
-    /// Its own requests are probes, since no class of the service can be copied.
+    /// Whether its own requests serve as probes, since no class of the service can be copied.
     pub(crate) is_probe: bool,
 }
 
-/// All that a traffic thread decides from; never changed once published.
+/// State that traffic threads decide from; immutable once published.
 pub(crate) struct Snapshot {
     pub(crate) version: Version,
     pub(crate) stage: Stage,
-    /// Index of the own region in `regions`.
+    /// Index of this daemon's region in `regions`.
     pub(crate) own: usize,
     pub(crate) regions: Vec<RegionView>,
     pub(crate) classes: FastMap<ClassId, Arc<ClassView>>,
-    /// Caller's block to regions, most preferred first.
+    /// Maps a caller's address block to regions, most preferred first.
     pub(crate) blocks: Arc<Table>,
     /// Links to the other regions.
     pub(crate) links: BTreeMap<RegionId, Arc<Link>>,
 }
 
 impl Snapshot {
-    /// Snapshot of a process that has no configuration.
+    /// Snapshot of a process that has no configuration yet.
     pub(crate) fn starting(own: RegionId) -> Self {
         Self {
             version: 0,
@@ -97,31 +97,31 @@
         }
     }
 
-    /// Whether a configuration is in force and work is taken.
-    pub(crate) fn ready(&self) -> bool {
+    /// Whether a configuration is in force and work is accepted.
+    pub(crate) fn is_ready(&self) -> bool {
         matches!(self.stage, Stage::Serving | Stage::Withdrawn)
     }
 
-    /// Own region.
+    /// This daemon's region.
     pub(crate) fn own_region(&self) -> &RegionView {
         &self.regions[self.own]
     }
 
-    /// Whether `region` is the one that a caller prefers to all others, live or not.
+    /// Whether `region` is the caller's most preferred region, live or not.
     pub(crate) fn is_home(&self, region: &RegionView, block: Option<IpAddr>) -> bool {
         let listed = block.and_then(|addr| self.blocks.lookup(addr));
         let home = listed.and_then(|listed| listed.first());
         home.map_or(self.own_region().id == region.id, |home| *home == region.id)
     }
 
-    /// Regions for a caller, most preferred first: those of its block, then the own one, then the
-    /// rest. Regions that operators drain come last, so that a caller always gets an answer.
+    /// Regions for a caller, most preferred first: those listed for its block, then this daemon's
+    /// own, then the rest. Drained regions come last, so that the list is never empty.
     pub(crate) fn preference(&self, block: Option<IpAddr>) -> Vec<&RegionView> {
         let listed = block.and_then(|addr| self.blocks.lookup(addr));
         let rank = |region: &RegionView| {
             let listed = listed.and_then(|listed| listed.iter().position(|id| *id == region.id));
-            let own = self.regions[self.own].id != region.id;
-            (region.drained, listed.unwrap_or(usize::MAX), own)
+            let is_remote = self.regions[self.own].id != region.id;
+            (region.drained, listed.unwrap_or(usize::MAX), is_remote)
         };
         let mut regions: Vec<&RegionView> = self.regions.iter().collect();
         regions.sort_by_key(|region| rank(region));
