--- a/crates/daemon/src/connection/callers.rs
+++ b/crates/daemon/src/connection/callers.rs
@@ -1,16 +1,16 @@
-//! The callers' port: the HTTP library's server, and what becomes of requests that it can't parse.
+//! The callers' port: the HTTP library's server, and the handling of requests that it can't parse.
 //!
-//! The library answers a malformed head by itself, with 400 or 431 and without a claim about the
-//! run, and tells nobody but its caller, by an error. A body whose framing is malformed it doesn't
-//! answer at all. So the port is made of the library's own parts, as its `HttpServer` does it, with
-//! one step around each connection: [`serve`] waits for its end, counts what was malformed, and
-//! puts the claim into the answer, which the [`Wire`] has kept back, or answers itself.
-//! docs/design/input.md says what was weighed.
+//! The library answers a malformed head itself, with 400 or 431 and without a run outcome, and
+//! reports it only as the error that ends the connection. It doesn't answer a body with malformed
+//! framing at all. The port is therefore assembled from the library's parts, as `HttpServer` does
+//! it, with a wrapper around each connection: [`serve`] waits for its end, counts malformed
+//! requests, and adds the run outcome to the response, which the [`CallerStream`] has buffered, or
+//! writes a response of its own. docs/design/input.md describes the alternatives.
 
 use crate::{
-    connection::wire::{
-        Held,
-        Wire, //
+    connection::stream::{
+        CallerStream,
+        SharedStream, //
     },
     process::{
         metric,
@@ -19,7 +19,7 @@
     request::{
         self,
         header,
-        Traffic, //
+        TrafficThread, //
     },
 };
 use actix_codec::Encoder;
@@ -82,16 +82,16 @@
     time::timeout, //
 };
 
-/// Time that a caller has to send the head of a request.
+/// Time limit for receiving the head of a request.
 ///
-/// What goes wrong with the library's five seconds: the process is paused for longer, requests
-/// arrive meanwhile, and on waking their timers have run out before their bytes are read. Their
-/// callers get 408 without a claim about the run. A longer time bounds the pause that they can
-/// notice in this way; a caller who sends nothing holds a connection for as long.
+/// With the library's default of five seconds, a process that is paused for longer finds on
+/// resuming that the timers of the requests that arrived meanwhile have expired before their bytes
+/// are read, and their callers get 408 without a run outcome. A longer limit tolerates longer
+/// pauses; a caller that sends nothing holds a connection for as long.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time that an idle connection of a caller is kept.
+/// Time after which an idle connection of a caller is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Longest wait for a caller who goes on sending while his connection is closed.
+/// Longest wait for a caller that keeps sending while its connection is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Serves callers on the traffic threads.
@@ -102,25 +102,28 @@
     let stop = builder.graceful_shutdown_signal();
     let shared = Arc::clone(shared);
     let builder = builder.listen("callers", listener, move || {
-        let refusals = Rc::new(Refusals::new(&shared));
-        let (stop, stopped) = (stop.clone(), Rc::clone(&refusals));
-        let traffic = Rc::new(Traffic::new(Arc::clone(&shared)));
+        let malformed = Rc::new(MalformedHandler::new(&shared));
+        let (stop, stopped) = (stop.clone(), Rc::clone(&malformed));
+        let traffic = Rc::new(TrafficThread::new(Arc::clone(&shared)));
         let app = App::new().app_data(traffic).configure(request::routes);
         let app = app
             .into_factory()
             .map_err(|error: Error| error.as_response_error().error_response());
         let app = apply_fn_factory(app, |request: Request, app: &_| {
-            let wire = request.conn_data::<Rc<RefCell<Wire>>>().map(Rc::clone);
-            let answer = Service::call(app, request);
+            let stream = request
+                .conn_data::<Rc<RefCell<CallerStream>>>()
+                .map(Rc::clone);
+            let response = Service::call(app, request);
             async move {
-                let note = |awaited| {
-                    wire.iter()
-                        .for_each(|w| w.borrow_mut().set_awaited(awaited))
+                let set_pending = |pending| {
+                    stream
+                        .iter()
+                        .for_each(|stream| stream.borrow_mut().set_response_pending(pending))
                 };
-                note(true);
-                let answer = answer.await;
-                note(false);
-                answer
+                set_pending(true);
+                let response = response.await;
+                set_pending(false);
+                response
             }
         });
         let http = HttpService::build()
@@ -134,22 +137,22 @@
             .keep_alive(KEEP_ALIVE)
             .client_request_timeout(HEAD_TIMEOUT)
             .client_disconnect_timeout(CLOSE_TIMEOUT)
-            // What goes wrong with `false`: the library ends the connection of a good request, its
-            // answer unsent, when what follows it is no HTTP. [`serve`] looks for callers who go.
+            // With `false`, the library closes the connection of a valid request without sending
+            // its response when malformed bytes follow it. [`serve`] detects callers that leave.
             .h1_allow_half_closed(true)
-            .on_connect_ext(|held: &Held, data: &mut Extensions| {
-                data.insert(Rc::clone(&held.0));
+            .on_connect_ext(|shared: &SharedStream, data: &mut Extensions| {
+                data.insert(Rc::clone(&shared.0));
             })
             .finish(map_config(app, |()| AppConfig::default()));
         apply_fn_factory(http, move |stream: TcpStream, http: &_| {
-            // An answer's end must not wait for the caller's delayed acknowledgement of what came
-            // before; failing to set the option only costs time.
+            // Without it, the end of a response waits for the caller's delayed acknowledgement of
+            // earlier segments. A failure to set it only costs latency.
             let _ = stream.set_nodelay(true);
             let caller = stream.peer_addr().ok();
-            let wire = Rc::new(RefCell::new(Wire::new(stream)));
-            let held = Held(Rc::clone(&wire));
-            let connection = Service::call(http, (held, Protocol::Http1, caller));
-            serve(connection, wire, Rc::clone(&refusals))
+            let stream = Rc::new(RefCell::new(CallerStream::new(stream)));
+            let shared = SharedStream(Rc::clone(&stream));
+            let connection = Service::call(http, (shared, Protocol::Http1, caller));
+            serve(connection, stream, Rc::clone(&malformed))
         })
     })?;
     Ok(builder.run())
@@ -157,11 +160,11 @@
 
 /// Serves one connection to its end.
 ///
-/// A caller who goes away ends its request, which cancels it at the upstream.
+/// When the caller disconnects, its request is dropped, which cancels it at the upstream.
 async fn serve(
     connection: impl Future<Output = Result<(), DispatchError>>,
-    wire: Rc<RefCell<Wire>>,
-    refusals: Rc<Refusals>,
+    stream: Rc<RefCell<CallerStream>>,
+    malformed: Rc<MalformedHandler>,
 ) -> Result<(), DispatchError> {
     let ended = {
         let mut connection = pin!(connection);
@@ -169,11 +172,11 @@
             if let Poll::Ready(ended) = connection.as_mut().poll(cx) {
                 return Poll::Ready(Some(ended));
             }
-            let mut wire = wire.borrow_mut();
-            if let Err(error) = ready!(wire.poll_send(cx)) {
+            let mut stream = stream.borrow_mut();
+            if let Err(error) = ready!(stream.poll_send(cx)) {
                 return Poll::Ready(Some(Err(error.into())));
             }
-            if wire.other_ended() {
+            if stream.peer_closed() {
                 Poll::Ready(None)
             } else {
                 Poll::Pending
@@ -182,42 +185,47 @@
         ended.await
     };
     match &ended {
-        Some(Err(DispatchError::Parse(error))) => refusals.head(error, &mut wire.borrow_mut()),
-        // The library drops a connection without ending it for one reason: the framing of a
-        // request's body can't be parsed.
-        Some(Ok(())) if !wire.borrow().ended() => refusals.body(&mut wire.borrow_mut()),
+        Some(Err(DispatchError::Parse(error))) => {
+            malformed.handle_head(error, &mut stream.borrow_mut())
+        }
+        // The library drops a connection without shutting it down for one reason only: the framing
+        // of a request body can't be parsed.
+        Some(Ok(())) if !stream.borrow().is_shut_down() => {
+            malformed.handle_body(&mut stream.borrow_mut())
+        }
         _ => return ended.unwrap_or(Ok(())),
     }
-    // A caller who doesn't read his answer, or sends for ever, isn't waited for.
-    let _ = timeout(CLOSE_TIMEOUT, close(&wire)).await;
+    // Bounds the wait for a caller that doesn't read its response or never stops sending.
+    let _ = timeout(CLOSE_TIMEOUT, lingering_close(&stream)).await;
     ended.unwrap_or(Ok(()))
 }
 
-/// Ends the connection so that the caller gets the answer.
+/// Closes the connection so that the caller receives the response.
 ///
-/// What goes wrong with a plain close: bytes that were not read make the kernel reset the
-/// connection, and the caller may lose the answer that was sent. It would show as a caller with no
-/// answer to an oversized head. Here the sending side ends first, and what still comes is read.
-async fn close(wire: &RefCell<Wire>) -> io::Result<()> {
-    poll_fn(|cx| wire.borrow_mut().poll_end(cx)).await?;
-    poll_fn(|cx| wire.borrow_mut().poll_discard(cx)).await
+/// After a plain close, unread bytes make the kernel reset the connection, and the caller may lose
+/// a response that was already sent, such as that to an oversized head. The sending side is
+/// therefore shut down first, and incoming bytes are read and discarded.
+async fn lingering_close(stream: &RefCell<CallerStream>) -> io::Result<()> {
+    poll_fn(|cx| stream.borrow_mut().poll_shutdown_write(cx)).await?;
+    poll_fn(|cx| stream.borrow_mut().poll_discard(cx)).await
 }
 
-/// What one traffic thread does with requests that are no HTTP.
-struct Refusals {
+/// Counts and answers the malformed requests of one traffic thread.
+struct MalformedHandler {
     heads: Counter,
     oversized_heads: Counter,
     bodies: Counter,
-    /// Header lines of the system's own.
+    /// Header lines of a response whose outcome is `not-run`.
     not_run: String,
+    /// Header lines of a response whose outcome is `unknown`.
     unknown: String,
     codec: RefCell<Codec>,
-    /// The library drops refusals unsent while it stops, and then the end of the connection says
-    /// nothing about what was written last.
+    /// While it stops, the library drops its refusals unsent, so that the error which ends a
+    /// connection says nothing about the last bytes written.
     stopping: Cell<bool>,
 }
 
-impl Refusals {
+impl MalformedHandler {
     fn new(shared: &Shared) -> Self {
         let counter =
             |reason: &'static str| metrics::counter!(metric::MALFORMED, "reason" => reason);
@@ -243,25 +251,25 @@
         }
     }
 
-    /// Counts a head that the library has refused, and puts the claim into its answer.
+    /// Counts a head that the library has refused, and adds the outcome to its response.
     ///
-    /// The claim is true: what the library could not parse has reached nothing behind it.
-    fn head(&self, error: &ParseError, wire: &mut Wire) {
+    /// The outcome is `not-run`: a request that the library can't parse reaches no handler.
+    fn handle_head(&self, error: &ParseError, stream: &mut CallerStream) {
         match error {
             ParseError::TooLarge => self.oversized_heads.increment(1),
             _ => self.heads.increment(1),
         }
         if !self.stopping.get() {
-            wire.add_headers(&self.not_run);
+            stream.add_headers(&self.not_run);
         }
     }
 
-    /// Counts a body that the library gave up, and answers its request unless it has an answer.
+    /// Counts a malformed body, and answers its request unless it already has a response.
     ///
-    /// Part of the body may have gone to an upstream, so nothing is known of the run.
-    fn body(&self, wire: &mut Wire) {
+    /// Part of the body may have been sent to an upstream, so the outcome is `unknown`.
+    fn handle_body(&self, stream: &mut CallerStream) {
         self.bodies.increment(1);
-        if !wire.awaited() {
+        if !stream.response_pending() {
             return;
         }
         let mut refusal = Response::bad_request().drop_body();
@@ -269,9 +277,9 @@
             .head_mut()
             .set_connection_type(ConnectionType::Close);
         let refusal = Message::Item((refusal, BodySize::Sized(0)));
-        let written = self.codec.borrow_mut().encode(refusal, wire.held());
+        let written = self.codec.borrow_mut().encode(refusal, stream.buffer_mut());
         if written.is_ok() {
-            wire.add_headers(&self.unknown);
+            stream.add_headers(&self.unknown);
         }
     }
 }
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -1,14 +1,13 @@
-//! What lives as long as a connection: the callers' port, and the clients that hold connections to
-//! upstreams and to the entries of other regions.
+//! Connections: the callers' port, and the HTTP clients of upstreams and other entries.
 //!
-//! Each traffic thread has one [`Clients`], with one HTTP client for each address, so that the
-//! connections to one address can be retired together. A connection goes silent for good when
-//! something between its ends has lost track of it; its siblings are then as likely lost, while a
-//! new connection works. Whoever misses a deadline on an address therefore calls
-//! [`Clients::retire`], and the next request opens a fresh connection.
+//! Each traffic thread has one [`Clients`], with one HTTP client per address, so that all
+//! connections to an address can be retired together. A connection stays silent for good when a
+//! middlebox has dropped its state; other connections to the same address are then probably dead
+//! too, while a new one works. A request that times out therefore calls [`Clients::retire`] for its
+//! address, and the next request opens a new connection.
 
 mod callers;
-mod wire;
+mod stream;
 
 pub(crate) use self::callers::serve_callers;
 
@@ -27,22 +26,22 @@
 /// Time after which an idle connection is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// An HTTP client of one address, and what became of its connections.
+/// An HTTP client of one address, and the connections that it gave up.
 #[derive(Clone)]
 pub(crate) struct Channel {
     pub(crate) client: Client,
-    /// Connections that were given up, until the other end has closed them.
+    /// Connections given up, until the peer has closed them.
     pub(crate) closing: Closing,
 }
 
-/// HTTP clients of one traffic thread, one for each address.
+/// HTTP clients of one traffic thread, one per address.
 pub(crate) struct Clients {
     connect_timeout: Duration,
     by_addr: RefCell<FastMap<ByteString, Channel>>,
 }
 
 impl Clients {
-    /// Makes an empty set; a connect that takes longer than `connect_timeout` fails.
+    /// Creates an empty set; connection attempts that exceed `connect_timeout` fail.
     pub(crate) fn new(connect_timeout: Duration) -> Self {
         Self {
             connect_timeout,
@@ -59,15 +58,15 @@
             .clone()
     }
 
-    /// Client whose connection nothing used before, and nothing uses after.
+    /// Client with a connection of its own, which is not pooled.
     ///
-    /// For work that must not run twice: a pooled connection may have been closed by the other
-    /// end a moment ago, and then nobody can tell whether the request was read.
-    pub(crate) fn fresh(&self) -> Channel {
+    /// For requests that must not run twice: the peer may have just closed a pooled connection,
+    /// and then it is unknown whether the request was read.
+    pub(crate) fn unpooled(&self) -> Channel {
         Channel::new(self.connect_timeout)
     }
 
-    /// Forgets the connections to `addr`; requests on them go on.
+    /// Removes the connections to `addr` from the pool; requests in flight on them continue.
     pub(crate) fn retire(&self, addr: &ByteString) {
         self.by_addr.borrow_mut().remove(addr);
     }
