--- a/crates/daemon/src/request/filing/claim.rs
+++ b/crates/daemon/src/request/filing/claim.rs
@@ -174,7 +174,7 @@
     hasher.update(b"\n");
     match body {
         Body::Whole(bytes) => hasher.update(bytes),
-        // A streaming body can't be read twice, so only its declared length enters the digest.
+        // A streaming body can't be read twice, so its declared length represents it.
         Body::Stream(_) => match request.headers().get(CONTENT_LENGTH) {
             Some(length) => hasher.update(length.as_bytes()),
             None => &mut hasher,
