--- a/crates/daemon/src/process/control/claims.rs
+++ b/crates/daemon/src/process/control/claims.rs
@@ -1,8 +1,9 @@
-//! Callers' keys: claims them in the table for the traffic threads that ask.
+//! Claims caller keys in the table on behalf of traffic threads.
 //!
-//! The claims of many callers go into one transaction, one at a time, so that a burst of filings
-//! stays within the table's writes. Each claim is a state machine of crate `filing`; here its
-//! steps are carried out, and whoever is gone by the time of the answer has his claim released.
+//! Claims of many callers are batched into one transaction, with one transaction in progress at a
+//! time, so that a burst of filings stays within the table's write rate. Each claim is a state
+//! machine of crate `filing`; this module executes its steps, and releases the claim when the
+//! requester is gone before the answer.
 
 use crate::process::{
     control::Control,
@@ -48,16 +49,16 @@
 };
 use tokio::sync::oneshot;
 
-/// Claims in one transaction.
+/// Maximum number of claims in one transaction.
 const BATCH_MAX: usize = 64;
-/// Wait before a release is tried again.
+/// Delay before a release is retried.
 const RELEASE_RETRY: Duration = Duration::from_secs(1);
 
-/// Claims under way.
+/// Claims in progress.
 pub(super) struct Claims {
     batch: Batch,
     pending: BTreeMap<u64, Pending>,
-    next: u64,
+    next_caller: u64,
 }
 
 struct Pending {
@@ -70,33 +71,33 @@
         Self {
             batch: Batch::new(BATCH_MAX),
             pending: BTreeMap::new(),
-            next: 0,
+            next_caller: 0,
         }
     }
 }
 
 impl Control {
-    /// Starts to claim a key.
-    pub(super) fn claim(&mut self, wanted: ClaimWanted, ctx: &mut Context<Self>) {
-        let (claimer, step) = Claimer::start(wanted.claimant, Guards::default());
-        let caller = self.claims.next;
-        self.claims.next += 1;
+    /// Starts claiming a key.
+    pub(super) fn claim(&mut self, request: ClaimWanted, ctx: &mut Context<Self>) {
+        let (claimer, step) = Claimer::start(request.claimant, Guards::default());
+        let caller = self.claims.next_caller;
+        self.claims.next_caller += 1;
         let pending = Pending {
             claimer,
-            reply: wanted.reply,
+            reply: request.reply,
         };
         self.claims.pending.insert(caller, pending);
         self.run_claim_step(caller, step, ctx);
     }
 
-    /// Writes what came of a claimed filing; until it is there repeats are told `unknown`.
+    /// Writes the outcome of a claimed filing; until it is stored, repeats receive `unknown`.
     pub(super) fn write_outcome(&mut self, insert: ConditionalWrite, ctx: &mut Context<Self>) {
         self.claims.batch.push(insert);
         self.commit_claims(ctx);
     }
 
-    /// Tries the writes again that failed and that nobody waits for.
-    pub(super) fn unpark_claims(&mut self, ctx: &mut Context<Self>) {
+    /// Retries failed writes that no caller waits for.
+    pub(super) fn retry_deferred_claims(&mut self, ctx: &mut Context<Self>) {
         self.claims.batch.retry_deferred();
         self.commit_claims(ctx);
     }
@@ -121,7 +122,7 @@
                 if let Some(Pending { claimer, reply }) = self.claims.pending.remove(&caller) {
                     if let Err(ClaimReply::Ready(claimer)) = reply.send(ClaimReply::Ready(claimer))
                     {
-                        self.give_up(claimer, ctx);
+                        self.abandon_claim(claimer, ctx);
                     }
                 }
             }
@@ -130,15 +131,15 @@
                     self.release(releaser.clone(), ctx);
                 }
                 if let Some(pending) = self.claims.pending.remove(&caller) {
-                    // A caller who is gone needs no answer.
+                    // The caller may be gone.
                     let _ = pending.reply.send(ClaimReply::Over(answer));
                 }
             }
         }
     }
 
-    /// Gives up a claim whose caller is gone.
-    fn give_up(&mut self, mut claimer: Claimer, ctx: &mut Context<Self>) {
+    /// Releases a claim whose caller is gone.
+    fn abandon_claim(&mut self, mut claimer: Claimer, ctx: &mut Context<Self>) {
         if let ClaimStep::Respond(ClaimResult::NotRun(Some(releaser))) = claimer.release() {
             self.release(releaser, ctx);
         }
@@ -157,7 +158,7 @@
     }
 
     fn on_claim_event(&mut self, caller: u64, event: ClaimEvent, ctx: &mut Context<Self>) {
-        // Writes of outcomes have no one waiting.
+        // Outcome writes have no pending caller.
         if let Some(pending) = self.claims.pending.get_mut(&caller) {
             let step = pending.claimer.on_event(event);
             self.run_claim_step(caller, step, ctx);
@@ -169,10 +170,10 @@
             return;
         };
         let platform = Rc::clone(&self.platform);
-        let sent = async move { commit_rows(&platform, commit.writes).await };
-        ctx.spawn(sent.into_actor(self).map(|answer, control, ctx| {
+        let call = async move { commit_rows(&platform, commit.writes).await };
+        ctx.spawn(call.into_actor(self).map(|answer, control, ctx| {
             let failed = matches!(answer, CommitResult::Lost | CommitResult::Down);
-            control.note_call("claims", !failed);
+            control.count_platform_call("claims", !failed);
             for (caller, event) in control.claims.batch.complete(answer) {
                 control.on_claim_event(caller, event, ctx);
             }
@@ -180,7 +181,7 @@
         }));
     }
 
-    /// Works a claim out of the table, through outages.
+    /// Removes a claim from the table, retrying through outages.
     pub(super) fn release(&mut self, releaser: Releaser, ctx: &mut Context<Self>) {
         let step = releaser.start();
         self.run_release_step(releaser, step, ctx);
@@ -210,7 +211,7 @@
                 };
                 let write = async move { commit_rows(&platform, vec![insert]).await };
                 ctx.spawn(write.into_actor(self).map(|answer, control, ctx| {
-                    let step = releaser.on_event(only_event(answer));
+                    let step = releaser.on_event(single_event(answer));
                     control.run_release_step(releaser, step, ctx);
                 }));
             }
@@ -218,18 +219,18 @@
     }
 }
 
-/// Tells control to give up a claim, from a traffic thread.
+/// Asks control to release a claim; called from traffic threads.
 pub(crate) fn release_later(
     notes: &tokio::sync::mpsc::UnboundedSender<Note>,
     answer: &ClaimResult,
 ) {
     if let ClaimResult::NotRun(Some(releaser)) = answer {
-        // A closed channel means that the process ends; its claims lapse with its lease.
+        // A closed channel means that the process is exiting; its claims lapse with its lease.
         let _ = notes.send(Note::Release(releaser.clone()));
     }
 }
 
-fn only_event(answer: CommitResult) -> ClaimEvent {
+fn single_event(answer: CommitResult) -> ClaimEvent {
     match answer {
         CommitResult::Committed { version } => ClaimEvent::Committed { version },
         CommitResult::Conflict { rows } => ClaimEvent::Conflict(rows.into_iter().next().flatten()),
--- a/crates/daemon/src/process/control/config/accept/edit.rs
+++ b/crates/daemon/src/process/control/config/accept/edit.rs
@@ -16,7 +16,7 @@
     Target, //
 };
 
-/// An operator's wish that the configuration in force be changed in one respect.
+/// An operator's request to change one aspect of the configuration in force.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Result<Accepted, Refusal>")]
 pub(crate) struct Edit {
@@ -25,7 +25,7 @@
     pub(super) change: EditChange,
 }
 
-/// What an edit changes.
+/// The change made by an edit.
 #[derive(Clone, Debug)]
 pub(super) enum EditChange {
     Drain(DrainAction, DrainTarget),
@@ -54,7 +54,11 @@
 }
 
 impl EditChange {
-    /// `config` with the edit.
+    /// Applies the edit to `config`.
+    ///
+    /// # Errors
+    ///
+    /// When the edited configuration is not valid.
     pub(super) fn apply(&self, config: &Config) -> Result<Config, Refusal> {
         let edited = match self {
             Self::Drain(DrainAction::Start, target) => config.with_drain(target),
@@ -66,8 +70,8 @@
         })
     }
 
-    /// Whether `config` is as the edit would make it.
-    pub(super) fn holds(&self, config: &Config) -> bool {
+    /// Whether the edit leaves `config` unchanged.
+    pub(super) fn is_satisfied_by(&self, config: &Config) -> bool {
         self.apply(config).is_ok_and(|edited| edited == *config)
     }
 }
--- a/crates/daemon/src/process/control/config/accept/mod.rs
+++ b/crates/daemon/src/process/control/config/accept/mod.rs
@@ -1,25 +1,25 @@
-//! Operators' configurations, drains and targets: the accepts of crate `spec`.
+//! Accepts configurations, drains and targets submitted by operators.
 //!
-//! A drain or a target is the configuration in force with one edit, accepted like any other. Such
-//! edits commute with most of what other operators do, so when one is raced it is made again on
-//! what is in force by then. An operator's file does not commute: whoever raced is told by whom and
-//! by what.
+//! A drain or a target is an edit of the configuration in force, accepted like any other
+//! configuration. Such edits commute with most concurrent changes, so an edit that loses a race is
+//! reapplied to the new version in force. A full configuration file does not commute: its operator
+//! is told who won the race and what changed.
 //!
-//! - `edit`: what drains and targets change.
-//! - `run`: the state machine's requests to the platform.
-//! - `tell`: what the operator is told.
+//! - `edit`: the changes made by drains and targets.
+//! - `run`: platform requests of the accept state machine.
+//! - `response`: responses to the operator.
 
 mod edit;
+mod response;
 mod run;
-mod tell;
 
 pub(crate) use self::edit::Edit;
 
 use crate::process::control::{
     config::adopt::{
         read_heads,
+        AwaitHead, //
         GetAdopted,
-        Observe, //
     },
     Control,
 };
@@ -58,35 +58,36 @@
     time::Duration, //
 };
 
-/// Name of an operator's text in findings.
-const FILE: &str = "configuration";
-/// Longest accept id.
+/// File name of an operator's configuration in findings.
+const CONFIG_FILE: &str = "configuration";
+/// Maximum length of an accept id.
 const ID_MAX_BYTES: usize = 128;
-/// Times that a drain or a target is made anew on what another operator accepted meanwhile.
-const EDIT_TRIES: u32 = 8;
-/// Longest pause before that; the pause is random, so that two don't race in step.
-const EDIT_PAUSE_MS: u64 = 100;
+/// Maximum number of attempts to apply a drain or a target when other accepts win the race.
+const EDIT_ATTEMPTS: u32 = 8;
+/// Maximum backoff before a retry; the backoff is random, so that two operators don't race in
+/// lockstep.
+const EDIT_BACKOFF_MS: u64 = 100;
 
-/// An operator's wish that a configuration be in force.
+/// An operator's request to put a configuration in force.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Result<Accepted, Refusal>")]
 pub(crate) struct Accept {
     pub(crate) request: AcceptRequest,
-    /// Blocks that were read already, in place of those in the request.
+    /// Blocks that are parsed already; they replace those in the request.
     pub(crate) blocks: Option<BlockChange>,
 }
 
 impl Accept {
-    /// Name of an operator's blocks in findings.
+    /// File name of an operator's blocks in findings.
     pub(crate) const BLOCKS_FILE: &'static str = "blocks";
 }
 
-/// Where the accepts of one request go.
+/// Context in which one request's accepts run.
 struct Driver {
     platform: Rc<HttpPlatform>,
     control: Addr<Control>,
     accepted_at_ms: u64,
-    /// Why the platform failed last, for whoever is told that nothing was done.
+    /// Last platform failure, reported when an accept fails.
     last_failure: String,
 }
 
@@ -122,7 +123,7 @@
 impl Driver {
     async fn accept(mut self, accept: Accept) -> Result<Accepted, Refusal> {
         let Accept { request, blocks } = accept;
-        let accept_id = accept_id(&request.accept_id)?;
+        let accept_id = parse_accept_id(&request.accept_id)?;
         let AcceptRequest {
             author,
             base_version,
@@ -130,20 +131,20 @@
             blocks: blocks_text,
             ..
         } = request;
-        let read = off_thread(move || read_files(&text, blocks_text.as_deref()));
+        let read = run_blocking(move || parse_files(&text, blocks_text.as_deref()));
         let (config, inline_blocks) = read.await??;
         let blocks = blocks.unwrap_or(inline_blocks);
         let base = self.base(base_version).await?;
         let wanted = config.clone();
         let table = match &blocks {
-            // Cloning shares all that is large.
+            // The clone shares all large parts.
             BlockChange::Replace(table) => Some(Arc::new(table.clone())),
             BlockChange::Keep | BlockChange::Apply(_) => None,
         };
         let mut proposal = self
             .propose(accept_id, author, base.clone(), config, blocks)
             .await?;
-        // On a base that is out of force the accept ends as raced, or as accepted long ago.
+        // With an outdated base the accept ends as raced, or as already accepted.
         proposal.base = base_version.unwrap_or(proposal.base);
         match self.run(&proposal).await? {
             AcceptOutcome::Accepted(head) => {
@@ -159,12 +160,12 @@
     }
 
     async fn edit(mut self, edit: Edit) -> Result<Accepted, Refusal> {
-        let accept_id = accept_id(&edit.accept_id)?;
-        for _ in 0..EDIT_TRIES {
+        let accept_id = parse_accept_id(&edit.accept_id)?;
+        for _ in 0..EDIT_ATTEMPTS {
             let (base, earlier) = self.observe(accept_id).await?;
             if let Some(head) = earlier {
                 return self
-                    .repeated(head, |config| edit.change.holds(config))
+                    .repeated(head, |config| edit.change.is_satisfied_by(config))
                     .await;
             }
             let Some(base) = base else {
@@ -189,22 +190,23 @@
                 AcceptOutcome::Accepted(head) => {
                     return Ok(self.accepted(&proposal, head, Some(&base), None));
                 }
-                // Read and told from other accepts at the next turn.
+                // The next iteration reads the head and determines whether this request made it.
                 AcceptOutcome::AlreadyAccepted(_) => {}
                 AcceptOutcome::Raced { .. } => {
-                    let pause_ms = rand::rng().random_range(0..EDIT_PAUSE_MS);
-                    actix_rt::time::sleep(Duration::from_millis(pause_ms)).await;
+                    let backoff_ms = rand::rng().random_range(0..EDIT_BACKOFF_MS);
+                    actix_rt::time::sleep(Duration::from_millis(backoff_ms)).await;
                 }
                 AcceptOutcome::NotAccepted => return Err(self.not_done()),
                 AcceptOutcome::Unknown => return Err(self.unknown()),
             }
         }
         Err(Refusal::NotDone {
-            detail: format!("other operators' accepts came first {EDIT_TRIES} times"),
+            detail: format!("lost the race against other operators' accepts {EDIT_ATTEMPTS} times"),
         })
     }
 
-    /// The version to build on: the one that is named if it is in force here, else the head's.
+    /// Returns the base version: the version in force here if it is at least `wanted`, else that of
+    /// the head.
     async fn base(&mut self, wanted: Option<Version>) -> Result<Option<Arc<Adopted>>, Refusal> {
         let adopted = self.adopted().await?;
         let version = adopted.as_ref().map_or(0, |adopted| adopted.version());
@@ -217,10 +219,10 @@
     }
 
     async fn adopted(&self) -> Result<Option<Arc<Adopted>>, Refusal> {
-        self.control.send(GetAdopted).await.map_err(|_| stopped())
+        self.control.send(GetAdopted).await.map_err(|_| stopping())
     }
 
-    /// The version in force by the table, adopted here, and what `accept_id` made earlier.
+    /// Returns the table's version, adopted here, and the head that `accept_id` created earlier.
     async fn observe(
         &mut self,
         accept_id: AcceptId,
@@ -230,7 +232,7 @@
         Ok((base, others.pop().flatten()))
     }
 
-    /// Reads rows of which the first is the head's, and waits until that head is in force here.
+    /// Reads rows, the first of which is the head's, and waits until that head is in force here.
     async fn observe_head(
         &mut self,
         keys: &[RowKey],
@@ -243,9 +245,9 @@
             return Ok((None, heads));
         };
         let version = head.version;
-        let adopted = self.control.send(Observe(head)).await;
-        let adopted = adopted.map_err(|_| stopped())?;
-        // What another daemon accepted a moment ago may be in force here already.
+        let adopted = self.control.send(AwaitHead(head)).await;
+        let adopted = adopted.map_err(|_| stopping())?;
+        // A version that another daemon accepted meanwhile may already be in force here.
         match adopted.filter(|adopted| adopted.version() >= version) {
             Some(adopted) => Ok((Some(adopted), heads)),
             None => Err(Refusal::NotDone {
@@ -263,7 +265,7 @@
         blocks: BlockChange,
     ) -> Result<Proposal, Refusal> {
         let at_ms = self.accepted_at_ms;
-        let proposal = off_thread(move || {
+        let proposal = run_blocking(move || {
             Proposal::new(accept_id, author, at_ms, base.as_deref(), config, blocks)
         });
         proposal.await?.map_err(|error| Refusal::Findings {
@@ -272,9 +274,9 @@
     }
 }
 
-/// Reads an operator's files.
-fn read_files(text: &str, blocks: Option<&str>) -> Result<(Config, BlockChange), Refusal> {
-    let config = parse(FILE, text);
+/// Parses an operator's files.
+fn parse_files(text: &str, blocks: Option<&str>) -> Result<(Config, BlockChange), Refusal> {
+    let config = parse(CONFIG_FILE, text);
     let blocks = match blocks {
         Some(blocks) => parse_blocks(Accept::BLOCKS_FILE, blocks),
         None => Ok(BlockChange::Keep),
@@ -291,8 +293,8 @@
     }
 }
 
-/// Id of an accept by the name that the operator gave it: its 32 digits, or any other short text.
-fn accept_id(name: &str) -> Result<AcceptId, Refusal> {
+/// Parses an accept id: its 32 digits, or a hash of any other short text.
+fn parse_accept_id(name: &str) -> Result<AcceptId, Refusal> {
     if name.is_empty() || name.len() > ID_MAX_BYTES {
         return Err(Refusal::BadRequest {
             detail: format!("`accept_id` must have 1 to {ID_MAX_BYTES} bytes"),
@@ -302,21 +304,23 @@
         let hash = blake3::hash(name.as_bytes());
         let (first, _) = hash.as_bytes().split_at(size_of::<u128>());
         AcceptId(u128::from_be_bytes(
-            first.try_into().expect("as long as an id"),
+            first
+                .try_into()
+                .expect("the slice has the size of an accept id"),
         ))
     }))
 }
 
-/// Runs what takes a while on another thread.
-async fn off_thread<T: Send + 'static>(
+/// Runs blocking work on another thread.
+async fn run_blocking<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, Refusal> {
     let done = actix_rt::task::spawn_blocking(work).await;
-    done.map_err(|_| stopped())
+    done.map_err(|_| stopping())
 }
 
-fn stopped() -> Refusal {
+fn stopping() -> Refusal {
     Refusal::NotDone {
-        detail: "this daemon stops".to_owned(),
+        detail: "this daemon is stopping".to_owned(),
     }
 }
--- a/crates/daemon/src/process/control/config/accept/tell.rs
+++ b/crates/daemon/src/process/control/config/accept/response.rs
@@ -1,8 +1,8 @@
-//! What an operator is told of an accept.
+//! Responses to the operator of an accept.
 
 use crate::process::control::config::{
     accept::Driver,
-    adopt::Learn,
+    adopt::HeadAccepted,
     history::{
         read_body,
         read_version, //
@@ -28,7 +28,8 @@
 use std::sync::Arc;
 
 impl Driver {
-    /// Tells control of a version that was made here, and the operator of its difference.
+    /// Announces a version that was accepted here to control, and returns its difference to the
+    /// base.
     pub(super) fn accepted(
         &self,
         proposal: &Proposal,
@@ -37,16 +38,19 @@
         table: Option<Arc<Table>>,
     ) -> Accepted {
         let version = head.version;
-        let made = proposal.objects.last().map(|(_, body)| body.clone());
-        let made = made.and_then(|body| body_of(&proposal.body, &body));
-        let difference = match (base, made) {
-            (Some(base), Some(made)) => difference(&Side::from(base), &Side::from(&made)),
+        let new_body = proposal.objects.last().map(|(_, body)| body.clone());
+        let new_body = new_body.and_then(|body| parse_body(&proposal.body, &body));
+        let difference = match (base, new_body) {
+            (Some(base), Some(new_body)) => difference(
+                &VersionContent::from(base),
+                &VersionContent::from(&new_body),
+            ),
             _ => Vec::new(),
         };
         let snapshot = proposal.objects.iter();
         let mut snapshot = snapshot.filter(|(_, bytes)| BlockObject::is_snapshot(bytes));
         let snapshot = snapshot.next().map(|(digest, _)| *digest).zip(table);
-        self.control.do_send(Learn {
+        self.control.do_send(HeadAccepted {
             head,
             objects: proposal.objects.clone(),
             snapshot,
@@ -58,15 +62,15 @@
         }
     }
 
-    /// Answers a repeat, once it is known that its accept id stood for the same wish before.
+    /// Answers a repeated accept, after checking that its accept id was used for the same request.
     pub(super) async fn repeated(
         &self,
         head: Head,
-        holds: impl FnOnce(&Config) -> bool,
+        is_same_request: impl FnOnce(&Config) -> bool,
     ) -> Result<Accepted, Refusal> {
         let body = read_body(&self.platform, &head).await;
-        // Without the store the accept id alone has to do.
-        if body.is_ok_and(|body| !holds(&body.config)) {
+        // If the store is unavailable, the accept id alone has to suffice.
+        if body.is_ok_and(|body| !is_same_request(&body.config)) {
             return Err(Refusal::Reused {
                 version: head.version,
                 author: head.author,
@@ -79,7 +83,7 @@
         })
     }
 
-    /// Tells who came first, and what he changed since the base.
+    /// Reports the author of the winning version, and its changes since the base.
     pub(super) async fn raced(
         &self,
         base_version: Version,
@@ -88,16 +92,16 @@
     ) -> Refusal {
         let Some(head) = head.filter(|head| head.version > base_version) else {
             return Refusal::NotFound {
-                detail: format!("there is no version {base_version} to build on"),
+                detail: format!("there is no version {base_version} to base the change on"),
             };
         };
         let before = match base.filter(|base| base.version() == base_version) {
-            Some(base) => Some(Side::from(&*base)),
-            None => self.side_of(base_version).await,
+            Some(base) => Some(VersionContent::from(&*base)),
+            None => self.version_content(base_version).await,
         };
         let after = read_body(&self.platform, &head).await.ok();
         let steps = match (before, after) {
-            (Some(before), Some(after)) => difference(&before, &Side::from(&after)),
+            (Some(before), Some(after)) => difference(&before, &VersionContent::from(&after)),
             _ => Vec::new(),
         };
         Refusal::Raced {
@@ -107,10 +111,10 @@
         }
     }
 
-    async fn side_of(&self, version: Version) -> Option<Side> {
+    async fn version_content(&self, version: Version) -> Option<VersionContent> {
         let head = read_version(&self.platform, version).await.ok()?;
         let body = read_body(&self.platform, &head).await.ok()?;
-        Some(Side::from(&body))
+        Some(VersionContent::from(&body))
     }
 
     pub(super) fn not_done(&self) -> Refusal {
@@ -126,13 +130,13 @@
     }
 }
 
-/// One side of a difference.
-struct Side {
+/// One version of a comparison.
+struct VersionContent {
     config: Arc<Config>,
     blocks: Option<Digest>,
 }
 
-impl From<&Adopted> for Side {
+impl From<&Adopted> for VersionContent {
     fn from(adopted: &Adopted) -> Self {
         Self {
             config: Arc::clone(adopted.config()),
@@ -141,7 +145,7 @@
     }
 }
 
-impl From<&Body> for Side {
+impl From<&Body> for VersionContent {
     fn from(body: &Body) -> Self {
         Self {
             config: Arc::clone(&body.config),
@@ -150,8 +154,8 @@
     }
 }
 
-/// Steps from one version to another, as text.
-fn difference(before: &Side, after: &Side) -> Vec<String> {
+/// Changes from one version to another, as text.
+fn difference(before: &VersionContent, after: &VersionContent) -> Vec<String> {
     let changes = diff(&before.config, &after.config);
     let mut steps: Vec<String> = changes.iter().map(ToString::to_string).collect();
     if before.blocks != after.blocks {
@@ -160,7 +164,7 @@
     steps
 }
 
-fn body_of(digest: &Digest, bytes: &[u8]) -> Option<Body> {
+fn parse_body(digest: &Digest, bytes: &[u8]) -> Option<Body> {
     match spec::Object::read(digest, bytes) {
         Ok(spec::Object::Body(body)) => Some(body),
         _ => None,
--- a/crates/daemon/src/process/control/config/accept/run.rs
+++ b/crates/daemon/src/process/control/config/accept/run.rs
@@ -1,4 +1,4 @@
-//! Carries out what the accept's state machine asks of the platform.
+//! Executes the platform requests of the accept state machine.
 
 use crate::process::control::config::accept::Driver;
 use bytes::Bytes;
@@ -25,7 +25,7 @@
 };
 
 impl Driver {
-    /// Runs the accept to its end.
+    /// Runs the accept to completion.
     pub(super) async fn run(&mut self, proposal: &Proposal) -> Result<AcceptOutcome, Refusal> {
         let (mut accept, mut action) = spec::Accept::start(proposal.clone(), Guards::ALL);
         loop {
--- a/crates/daemon/src/process/control/config/adopt.rs
+++ b/crates/daemon/src/process/control/config/adopt.rs
@@ -1,4 +1,4 @@
-//! Heads: who tells of them, and putting one in force.
+//! Adoption of heads announced by the table or by peers.
 
 use crate::process::{
     control::Control,
@@ -46,45 +46,46 @@
 };
 use tokio::sync::oneshot;
 
-/// Time between two daemons' reads of the head, on average: a hundred reads a second in all.
+/// Average interval between head reads of different daemons: a hundred a second in total.
 ///
-/// The table gives about two thousand reads a second. Without this, the reads of a large
-/// deployment would grow with it until they crowd out those of leases and shares.
+/// The table handles about two thousand reads a second. Without this limit, the head reads of a
+/// large deployment would grow with it until they crowd out those of leases and shares.
 const HEAD_READ_SPACING: Duration = Duration::from_millis(10);
-/// Longest wait of an accept until the version that it builds on is in force here.
-const ADOPT_LIMIT: Duration = Duration::from_secs(3);
+/// Maximum wait of an accept for its base version to be in force here.
+const ADOPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Someone who waits until a version is in force here.
+/// A waiter for a version to be in force here.
 pub(super) struct Waiter {
     version: Version,
     done: oneshot::Sender<()>,
 }
 
-/// Asks for the version in force.
+/// Requests the version in force.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Option<Arc<Adopted>>")]
 pub(super) struct GetAdopted;
 
-/// Tells of a head; answered once it is in force here, or could not be made so in time.
+/// Offers a head; answered once it is in force here, or after a timeout.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "Option<Arc<Adopted>>")]
-pub(super) struct Observe(pub(super) Head);
+pub(super) struct AwaitHead(pub(super) Head);
 
-/// Tells of a head that was accepted here, with its objects.
+/// Announces a head that was accepted here, with its objects.
 #[derive(Clone, Debug, Message)]
 #[rtype(result = "()")]
-pub(super) struct Learn {
+pub(super) struct HeadAccepted {
     pub(super) head: Head,
     pub(super) objects: Vec<(Digest, Bytes)>,
-    /// The block table that one of them is a snapshot of, so that it needn't be read back.
+    /// The block table of which one of the objects is a snapshot, to avoid parsing it again.
     pub(super) snapshot: Option<(Digest, Arc<blocks::Table>)>,
 }
 
 impl Control {
-    /// Starts to ask the table and the partners for the version in force.
+    /// Starts asking the table and the partners for the version in force.
     ///
-    /// Called once the platform's list was read, or could not be, so that it is known whom to ask.
-    pub(in crate::process::control) fn begin_adoption(&mut self, ctx: &mut Context<Self>) {
+    /// Called after the first attempt to read the platform's list, when the partners to ask are
+    /// known.
+    pub(in crate::process::control) fn start_adoption(&mut self, ctx: &mut Context<Self>) {
         if self.versions.adopt.is_some() {
             return;
         }
@@ -96,21 +97,21 @@
             .chain([Source::Table])
             .collect();
         self.versions.adopt = Some(Adopt::new(sources, Guards::ALL));
-        self.versions.unheard = peers.into_iter().map(|peer| (peer, None)).collect();
-        self.versions.give_up_at = self.now() + self.shared.settings.terms.beat_silent;
+        self.versions.unreported_peers = peers.into_iter().map(|peer| (peer, None)).collect();
+        self.versions.peers_deadline = self.now() + self.shared.settings.terms.beat_silent;
         self.read_head(ctx);
     }
 
-    /// Reads the head now and again after its interval.
+    /// Reads the head, and schedules the next read.
     fn read_head(&mut self, ctx: &mut Context<Self>) {
         let platform = Rc::clone(&self.platform);
         let read = async move { read_head(&platform).await };
         ctx.spawn(read.into_actor(self).map(|read, control, ctx| {
-            control.note_call("head", read.is_ok());
+            control.count_platform_call("head", read.is_ok());
             match read {
                 Ok(Some(head)) => control.offer(Source::Table, Offer::Head(head), ctx),
                 Ok(None) => control.offer(Source::Table, Offer::Nothing, ctx),
-                // Tried again; whether the table is given up is for the tick to say.
+                // Retried; `tick_versions` decides whether the table counts as unreachable.
                 Err(_) => {}
             }
             let interval = control.head_interval();
@@ -118,14 +119,14 @@
         }));
     }
 
-    /// Time to the next read of the head, which grows with the number of daemons that read it.
+    /// Interval to the next read of the head, which grows with the number of daemons.
     fn head_interval(&mut self) -> Duration {
-        let interval = self.spaced(self.shared.settings.terms.head, HEAD_READ_SPACING);
+        let interval = self.fleet_interval(self.shared.settings.terms.head, HEAD_READ_SPACING);
         self.jittered(interval)
     }
 
-    /// Takes another daemon's word that it has `version` in force; asks it for a higher one.
-    pub(in crate::process::control) fn offer_version(
+    /// Handles the version reported by another daemon; requests the head if it is newer.
+    pub(in crate::process::control) fn on_peer_version(
         &mut self,
         from: &InstanceId,
         version: Version,
@@ -134,17 +135,17 @@
         if self.versions.adopt.is_none() {
             return;
         }
-        if let Some(told) = self.versions.unheard.get_mut(from) {
-            *told = Some(version);
+        if let Some(reported) = self.versions.unreported_peers.get_mut(from) {
+            *reported = Some(version);
         }
         if version > self.highest_version() {
-            self.want_head(from, version);
+            self.request_head(from, version);
         } else {
-            self.settle_heard(ctx);
+            self.resolve_peers(ctx);
         }
     }
 
-    /// Highest version that is in force here or on its way; zero before the first.
+    /// Highest version that is in force here or being fetched; zero before the first.
     pub(in crate::process::control) fn highest_version(&self) -> Version {
         let adopt = self.versions.adopt.as_ref();
         adopt
@@ -156,7 +157,7 @@
         self.run_adopt(AdoptEvent::Offered { source, offer }, ctx);
     }
 
-    /// Feeds the state machine and carries out what it asks for.
+    /// Feeds the state machine and executes its actions.
     pub(super) fn run_adopt(&mut self, event: AdoptEvent, ctx: &mut Context<Self>) {
         let Some(adopt) = &mut self.versions.adopt else {
             return;
@@ -164,58 +165,59 @@
         for action in adopt.handle(event) {
             match action {
                 AdoptAction::Fetch { digest, failures } => self.fetch(digest, failures, ctx),
-                AdoptAction::Adopt(adopted) => self.put_in_force(&adopted),
+                AdoptAction::Adopt(adopted) => self.activate(&adopted),
             }
         }
-        self.settle_heard(ctx);
+        self.resolve_peers(ctx);
         self.serve_if_ready();
     }
 
-    /// Crosses off the peers whose version is known by now.
-    fn settle_heard(&mut self, ctx: &mut Context<Self>) {
+    /// Resolves peers whose reported version is no longer newer than the known one.
+    fn resolve_peers(&mut self, ctx: &mut Context<Self>) {
         let highest = self.highest_version();
-        let is_known = |told: &Option<Version>| told.is_some_and(|version| version <= highest);
-        let known = self.versions.unheard.iter();
+        let is_known =
+            |reported: &Option<Version>| reported.is_some_and(|version| version <= highest);
+        let known = self.versions.unreported_peers.iter();
         let known: Vec<InstanceId> = known
-            .filter(|(_, told)| is_known(told))
+            .filter(|(_, reported)| is_known(reported))
             .map(|(peer, _)| peer.clone())
             .collect();
         for peer in known {
-            self.versions.unheard.remove(&peer);
+            self.versions.unreported_peers.remove(&peer);
             self.offer(Source::Peer(peer), Offer::Nothing, ctx);
         }
     }
 
-    /// Lets time pass: gives up what was not heard and what was not answered.
+    /// Handles timeouts of peers and fetches.
     pub(in crate::process::control) fn tick_versions(&mut self, ctx: &mut Context<Self>) {
         self.tick_fetch(ctx);
         self.serve_if_ready();
-        if self.now() < self.versions.give_up_at {
+        if self.now() < self.versions.peers_deadline {
             return;
         }
-        let silent = std::mem::take(&mut self.versions.unheard);
+        let silent = std::mem::take(&mut self.versions.unreported_peers);
         for peer in silent.into_keys() {
             self.offer(Source::Peer(peer), Offer::Unreachable, ctx);
         }
         if self.stage == Stage::Starting && self.highest_version() > 0 {
-            // The lease was taken, so the table answered a moment ago. If it doesn't now, what
-            // the peers have in force is all that can be known.
+            // The lease was acquired, so the table was reachable a moment ago. If it is unreachable
+            // now, the versions of the peers are the best information available.
             self.offer(Source::Table, Offer::Unreachable, ctx);
         }
     }
 
-    fn put_in_force(&mut self, adopted: &Arc<Adopted>) {
+    fn activate(&mut self, adopted: &Arc<Adopted>) {
         let version = adopted.version();
         let author = adopted.head().author.to_string();
         spdlog::info!("configuration in force", kv: { version, author });
         self.config = Some((version, Arc::clone(adopted.config())));
         self.blocks = Arc::clone(adopted.table());
         self.publish();
-        self.beat_soon();
+        self.request_heartbeats();
         let waiters = std::mem::take(&mut self.versions.waiters);
         for waiter in waiters {
             if waiter.version <= version {
-                // Whoever stopped waiting is gone.
+                // The waiter may have timed out.
                 let _ = waiter.done.send(());
             } else {
                 self.versions.waiters.push(waiter);
@@ -223,19 +225,19 @@
         }
     }
 
-    /// Begins to answer callers once the state machine says that nothing newer may be known and
-    /// this entry has its part of the slots: one that serves before that refuses all it gets.
+    /// Starts serving callers once the state machine has ruled out a newer known version and this
+    /// entry has its share of the slots. An entry that serves before that refuses all its work.
     fn serve_if_ready(&mut self) {
         let is_ready = self.versions.adopt.as_ref().is_some_and(Adopt::is_ready);
         if self.stage == Stage::Starting && is_ready && self.shares_joined() {
             self.stage = Stage::Serving;
             spdlog::info!("serving", kv: { version = self.version() });
             self.publish();
-            self.beat_soon();
+            self.request_heartbeats();
         }
     }
 
-    /// Version in force with all that belongs to it.
+    /// The version in force with its objects.
     pub(super) fn adopted(&self) -> Option<&Arc<Adopted>> {
         self.versions.adopt.as_ref()?.adopted()
     }
@@ -249,10 +251,10 @@
     }
 }
 
-impl Handler<Observe> for Control {
+impl Handler<AwaitHead> for Control {
     type Result = ResponseFuture<Option<Arc<Adopted>>>;
 
-    fn handle(&mut self, Observe(head): Observe, ctx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, AwaitHead(head): AwaitHead, ctx: &mut Self::Context) -> Self::Result {
         let version = head.version;
         self.offer(Source::Table, Offer::Head(head), ctx);
         let (done, waited) = oneshot::channel();
@@ -263,36 +265,36 @@
         }
         let control = ctx.address();
         Box::pin(async move {
-            // Late or not, what is in force by then is the answer.
-            let _ = actix_rt::time::timeout(ADOPT_LIMIT, waited).await;
+            // The version in force is the answer, even after a timeout.
+            let _ = actix_rt::time::timeout(ADOPT_TIMEOUT, waited).await;
             control.send(GetAdopted).await.ok().flatten()
         })
     }
 }
 
-impl Handler<Learn> for Control {
+impl Handler<HeadAccepted> for Control {
     type Result = ();
 
-    fn handle(&mut self, learn: Learn, ctx: &mut Self::Context) {
-        for (digest, bytes) in &learn.objects {
-            self.versions.objects.keep(*digest, bytes);
+    fn handle(&mut self, accepted: HeadAccepted, ctx: &mut Self::Context) {
+        for (digest, bytes) in &accepted.objects {
+            self.versions.object_cache.insert(*digest, bytes);
         }
-        if let Some((digest, table)) = &learn.snapshot {
-            self.versions.objects.keep_snapshot(*digest, table);
+        if let Some((digest, table)) = &accepted.snapshot {
+            self.versions.object_cache.insert_snapshot(*digest, table);
         }
-        self.offer(Source::Table, Offer::Head(learn.head), ctx);
-        // Others should hear of it now, not at the next tick.
-        self.tick_beats();
+        self.offer(Source::Table, Offer::Head(accepted.head), ctx);
+        // Announce the version to peers now instead of at the next tick.
+        self.tick_heartbeats();
     }
 }
 
-/// Reads the head's row.
+/// Reads the row of the head.
 pub(super) async fn read_head(platform: &HttpPlatform) -> Result<Option<Head>, ReadError> {
     let rows = read_heads(platform, &[RowKey::Head]).await?;
     Ok(rows.into_iter().next().flatten())
 }
 
-/// Reads rows that hold heads, at one time; one that holds none counts as absent.
+/// Reads rows that contain heads, in one call; a malformed row counts as absent.
 pub(super) async fn read_heads(
     platform: &HttpPlatform,
     keys: &[RowKey],
--- a/crates/daemon/src/process/control/config/confirm.rs
+++ b/crates/daemon/src/process/control/config/confirm.rs
@@ -1,9 +1,9 @@
-//! Which instances have a version in force.
+//! Determines which instances have a version in force.
 //!
-//! Heartbeats carry versions, and a version only grows within an incarnation, so news of any age
-//! confirms. An instance that has not confirmed is waited for, unless nothing is heard of it and
-//! its lease has lapsed: such a one is gone, or serves by its floor and can't be told from one that
-//! is gone.
+//! Heartbeats carry versions, and within an incarnation the version only grows, so information of
+//! any age can confirm. An unconfirmed instance is waited for, unless it is silent and its lease
+//! has lapsed: it is then gone, or serves with its floor allotment and can't be distinguished from
+//! one that is gone.
 
 use crate::process::control::{
     lease::parse_lease,
@@ -41,7 +41,7 @@
 };
 use std::rc::Rc;
 
-/// Asks which instances have a version in force.
+/// Requests which instances have a version in force.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Confirmation")]
 pub(crate) struct GetConfirmation(pub(crate) Version);
@@ -49,8 +49,8 @@
 impl Handler<GetConfirmation> for Control {
     type Result = ResponseActFuture<Self, Confirmation>;
 
-    fn handle(&mut self, asked: GetConfirmation, _ctx: &mut Self::Context) -> Self::Result {
-        let GetConfirmation(version) = asked;
+    fn handle(&mut self, request: GetConfirmation, _ctx: &mut Self::Context) -> Self::Result {
+        let GetConfirmation(version) = request;
         let silent = self.silent_unconfirmed(version);
         let read_at = self.now();
         let platform = Rc::clone(&self.platform);
@@ -62,7 +62,7 @@
             platform.read(&keys).await
         };
         Box::pin(read.into_actor(self).map(move |rows, control, _| {
-            let gone = control.lapsed_of(&silent, rows, read_at);
+            let gone = control.lapsed_instances(&silent, rows, read_at);
             control.confirmation(version, &gone)
         }))
     }
@@ -76,24 +76,24 @@
     fn silent_unconfirmed(&self, version: Version) -> Vec<InstanceId> {
         let now = self.now();
         let unconfirmed = self
-            .picture
+            .membership_view
             .instances()
             .filter(|(_, facts)| !Self::has_confirmed(facts, version));
         unconfirmed
-            .filter(|(id, _)| self.picture.freshness(id, now) == Freshness::Silent)
+            .filter(|(id, _)| self.membership_view.freshness(id, now) == Freshness::Silent)
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Those of the silent instances whose lease is known to have lapsed, or never was.
-    fn lapsed_of(
+    /// Silent instances whose lease is absent or known to have lapsed.
+    fn lapsed_instances(
         &mut self,
         silent: &[InstanceId],
         rows: Result<Vec<Option<Row>>, ReadError>,
         read_at: Now,
     ) -> Vec<InstanceId> {
         let Ok(rows) = rows else {
-            // A platform that can't be read proves nothing.
+            // Without access to the platform nothing is known to have lapsed.
             return Vec::new();
         };
         let now = self.now();
@@ -122,7 +122,7 @@
             lapsed: Vec::new(),
         };
         let now = self.now();
-        for (instance, facts) in self.picture.instances() {
+        for (instance, facts) in self.membership_view.instances() {
             if Self::has_confirmed(facts, version) {
                 answer.confirmed.push(instance.clone());
             } else if facts.state == LeaseState::Left || gone.contains(instance) {
@@ -131,7 +131,7 @@
                 answer.missing.push(Unconfirmed {
                     instance: instance.clone(),
                     version: facts.version,
-                    freshness: self.picture.freshness(instance, now),
+                    freshness: self.membership_view.freshness(instance, now),
                     age_ms: self.age_ms(facts.as_of),
                 });
             }
@@ -155,9 +155,9 @@
         }
     }
 
-    /// Age of what was true at a time, in milliseconds.
-    pub(in crate::process::control) fn age_ms(&self, true_at: Option<Now>) -> Option<u64> {
-        let age = self.now().saturating_sub(true_at?);
+    /// Age of a fact valid as of `as_of`, in milliseconds.
+    pub(in crate::process::control) fn age_ms(&self, as_of: Option<Now>) -> Option<u64> {
+        let age = self.now().saturating_sub(as_of?);
         Some(u64::try_from(age.as_millis()).unwrap_or(u64::MAX))
     }
 }
--- a/crates/daemon/src/process/control/config/fetch.rs
+++ b/crates/daemon/src/process/control/config/fetch.rs
@@ -1,7 +1,8 @@
-//! Fetching the objects that a head names, from a peer or from the store.
+//! Fetches the objects that a head refers to, from a peer or from the store.
 //!
-//! One object at a time. A peer is asked first where one has the version: it answers within a round
-//! trip, however slow the platform is. After each failure the other kind of source has its turn.
+//! Objects are fetched one at a time. A peer that has the version is asked first: it answers within
+//! a round trip, however slow the platform is. After each failure the fetch alternates between the
+//! two kinds of source.
 
 use crate::process::control::Control;
 use actix::{
@@ -40,54 +41,56 @@
     time::Duration, //
 };
 
-/// Wait for a peer's next part, or for its head, before someone else is asked.
+/// Timeout for a peer's next part, or for its head, before another source is asked.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait before the first repeat of a fetch; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Repeats up to which the wait grows, to 1.6 seconds.
-const PAUSE_DOUBLINGS: u8 = 6;
-/// Longest object that a peer may send.
-const OBJECT_LIMIT_BYTES: u64 = 128 << 20;
-/// Objects of this size are read off the control thread.
-const LARGE_BYTES: usize = 64 << 10;
+/// Backoff before the first retry of a fetch; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Number of retries up to which the backoff grows, to 1.6 seconds.
+const BACKOFF_GROWTH_LIMIT: u8 = 6;
+/// Maximum size of an object from a peer.
+const MAX_OBJECT_BYTES: u64 = 128 << 20;
+/// Minimum size of objects that are parsed off the control thread.
+const LARGE_OBJECT_BYTES: usize = 64 << 10;
 
-/// Head that a peer was asked for.
-pub(super) struct Want {
+/// A pending request for a head.
+pub(super) struct HeadRequest {
     version: Version,
     at: Now,
 }
 
-/// Object that is being fetched.
+/// A fetch in progress.
 pub(super) struct Fetch {
     digest: Digest,
     failures: u8,
     stage: FetchStage,
 }
 
-/// How far a fetch is.
+/// Stage of a fetch.
 enum FetchStage {
-    /// Waits before it asks again.
-    Pausing,
-    /// Waits for a peer's parts.
+    /// Waiting before the request.
+    Backoff,
+    /// Receiving parts from a peer.
     Peer {
-        /// Who was asked.
+        /// The peer that was asked.
         peer: InstanceId,
-        /// When it was asked or last sent a part.
+        /// Time of the request or of the last received part.
         heard_at: Now,
     },
-    /// Waits for the store, or is being read.
-    Underway,
+    /// Waiting for the store, or being parsed.
+    InProgress,
 }
 
 impl Control {
-    /// Asks a peer for a head that it told of, unless another was asked just now.
-    pub(super) fn want_head(&mut self, from: &InstanceId, version: Version) {
+    /// Requests a head announced by a peer, unless a recent request covers it.
+    pub(super) fn request_head(&mut self, from: &InstanceId, version: Version) {
         let now = self.now();
-        let asked = self.versions.want.as_ref();
-        if asked.is_some_and(|want| want.version >= version && now < want.at + PEER_TIMEOUT) {
+        let pending = self.versions.head_request.as_ref();
+        if pending
+            .is_some_and(|request| request.version >= version && now < request.at + PEER_TIMEOUT)
+        {
             return;
         }
-        self.versions.want = Some(Want { version, at: now });
+        self.versions.head_request = Some(HeadRequest { version, at: now });
         let want = ConfigWant {
             version,
             object: None,
@@ -97,79 +100,79 @@
         }
     }
 
-    /// Starts to fetch an object; what was being fetched before is given up.
+    /// Starts to fetch an object, abandoning the previous fetch.
     pub(super) fn fetch(&mut self, digest: Digest, failures: u8, ctx: &mut Context<Self>) {
         self.versions.fetch = Some(Fetch {
             digest,
             failures,
-            stage: FetchStage::Pausing,
+            stage: FetchStage::Backoff,
         });
         if failures == 0 {
-            self.ask_for_object(digest, ctx);
+            self.request_object(digest, ctx);
             return;
         }
-        let pause = FIRST_PAUSE * (1 << (failures.min(PAUSE_DOUBLINGS) - 1));
-        let pause = self.jittered(pause);
-        ctx.run_later(pause, move |control, ctx| {
-            control.ask_for_object(digest, ctx);
+        let backoff = INITIAL_BACKOFF * (1 << (failures.min(BACKOFF_GROWTH_LIMIT) - 1));
+        let backoff = self.jittered(backoff);
+        ctx.run_later(backoff, move |control, ctx| {
+            control.request_object(digest, ctx);
         });
     }
 
-    fn ask_for_object(&mut self, digest: Digest, ctx: &mut Context<Self>) {
+    fn request_object(&mut self, digest: Digest, ctx: &mut Context<Self>) {
         let Some(fetch) = self.current_fetch(&digest) else {
             return;
         };
-        if !matches!(fetch.stage, FetchStage::Pausing) {
+        if !matches!(fetch.stage, FetchStage::Backoff) {
             return;
         }
         let failures = fetch.failures;
-        if let Some(bytes) = self.versions.objects.get(&digest) {
+        if let Some(bytes) = self.versions.object_cache.get(&digest) {
             self.read_object(digest, bytes, ctx);
             return;
         }
-        if let Some(table) = self.versions.objects.snapshot(&digest) {
+        if let Some(table) = self.versions.object_cache.snapshot(&digest) {
             let object = Object::Blocks(BlockObject::Snapshot(table));
             self.fetched(digest, Ok(object), ctx);
             return;
         }
-        match self.peer_to_ask(&digest, failures) {
-            Some(peer) => self.ask_peer(digest, peer),
-            None => self.ask_store(digest, ctx),
+        match self.choose_peer(&digest, failures) {
+            Some(peer) => self.request_from_peer(digest, peer),
+            None => self.request_from_store(digest, ctx),
         }
     }
 
-    /// The fetch of `digest`, if that is what is being fetched.
+    /// The current fetch, if it is for `digest`.
     fn current_fetch(&mut self, digest: &Digest) -> Option<&mut Fetch> {
         let fetch = self.versions.fetch.as_mut();
         fetch.filter(|fetch| fetch.digest == *digest)
     }
 
-    /// Peer to ask for an object, if it is a peer's turn and one has the version.
-    fn peer_to_ask(&mut self, digest: &Digest, failures: u8) -> Option<InstanceId> {
+    /// Selects a peer to ask for an object, if it is a peer's turn and one has the version.
+    fn choose_peer(&mut self, digest: &Digest, failures: u8) -> Option<InstanceId> {
         let head = self.versions.adopt.as_ref()?.highest()?;
-        // A daemon that has no table yet needs a snapshot, which a peer would have to write out.
-        let store_first = head.digest != *digest && self.blocks.is_empty();
-        if (failures % 2 == 0) == store_first {
+        // A daemon without a block table needs a snapshot, which a peer would have to serialise.
+        let prefers_store = head.digest != *digest && self.blocks.is_empty();
+        if (failures % 2 == 0) == prefers_store {
             return None;
         }
         let version = head.version;
         let peers = self.mesh.as_ref()?.peers().into_iter();
         let has_version = |peer: &InstanceId| {
-            let facts = self.picture.instance(peer);
+            let facts = self.membership_view.instance(peer);
             facts.is_some_and(|facts| facts.version >= version)
         };
-        let mut able: Vec<InstanceId> = peers
+        let mut candidates: Vec<InstanceId> = peers
             .map(|info| info.instance)
             .filter(has_version)
             .collect();
-        if able.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let index = self.rng.random_range(0..able.len());
-        Some(able.swap_remove(index))
+        let index = self.rng.random_range(0..candidates.len());
+        Some(candidates.swap_remove(index))
     }
 
-    fn ask_peer(&mut self, digest: Digest, peer: InstanceId) {
+    fn request_from_peer(&mut self, digest: Digest, peer: InstanceId) {
         let want = ConfigWant {
             version: self.highest_version(),
             object: Some(digest.to_string().into()),
@@ -183,14 +186,14 @@
         }
     }
 
-    fn ask_store(&mut self, digest: Digest, ctx: &mut Context<Self>) {
+    fn request_from_store(&mut self, digest: Digest, ctx: &mut Context<Self>) {
         if let Some(fetch) = self.current_fetch(&digest) {
-            fetch.stage = FetchStage::Underway;
+            fetch.stage = FetchStage::InProgress;
         }
         let platform = Rc::clone(&self.platform);
         let get = async move { platform.get(&digest.object_name()).await };
         ctx.spawn(get.into_actor(self).map(move |got, control, ctx| {
-            control.note_call("object", got.is_ok());
+            control.count_platform_call("object", got.is_ok());
             match got {
                 Ok(Some(bytes)) => control.read_object(digest, bytes, ctx),
                 Ok(None) | Err(_) => control.fetch_failed(digest, FetchFailure::Unavailable, ctx),
@@ -198,7 +201,7 @@
         }));
     }
 
-    /// Gives up a peer that doesn't answer.
+    /// Abandons the request to a peer that doesn't answer in time.
     pub(super) fn tick_fetch(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
         let Some(fetch) = &self.versions.fetch else {
@@ -211,11 +214,11 @@
         }
     }
 
-    fn fetch_failed(&mut self, digest: Digest, why: FetchFailure, ctx: &mut Context<Self>) {
-        self.fetched(digest, Err(why), ctx);
+    fn fetch_failed(&mut self, digest: Digest, failure: FetchFailure, ctx: &mut Context<Self>) {
+        self.fetched(digest, Err(failure), ctx);
     }
 
-    /// Gives an answer to the state machine, if it is the one that is awaited.
+    /// Passes a result to the state machine, if the fetch is still current.
     fn fetched(
         &mut self,
         digest: Digest,
@@ -229,14 +232,14 @@
         self.run_adopt(AdoptEvent::Fetched { digest, object }, ctx);
     }
 
-    /// Reads an object's bytes; large ones on another thread, since a snapshot takes a while.
+    /// Parses an object; large ones on another thread, since a snapshot takes a while.
     fn read_object(&mut self, digest: Digest, bytes: Bytes, ctx: &mut Context<Self>) {
         if let Some(fetch) = self.current_fetch(&digest) {
-            fetch.stage = FetchStage::Underway;
+            fetch.stage = FetchStage::InProgress;
         }
-        if bytes.len() < LARGE_BYTES {
+        if bytes.len() < LARGE_OBJECT_BYTES {
             let object = Object::read(&digest, &bytes);
-            self.take_object(digest, object.ok(), &bytes, ctx);
+            self.on_object(digest, object.ok(), &bytes, ctx);
             return;
         }
         let read = actix_rt::task::spawn_blocking(move || {
@@ -245,11 +248,11 @@
         });
         ctx.spawn(read.into_actor(self).map(move |read, control, ctx| {
             let (object, bytes) = read.unwrap_or_default();
-            control.take_object(digest, object, &bytes, ctx);
+            control.on_object(digest, object, &bytes, ctx);
         }));
     }
 
-    fn take_object(
+    fn on_object(
         &mut self,
         digest: Digest,
         object: Option<Object>,
@@ -262,14 +265,14 @@
         };
         match &object {
             Object::Blocks(BlockObject::Snapshot(table)) => {
-                self.versions.objects.keep_snapshot(digest, table);
+                self.versions.object_cache.insert_snapshot(digest, table);
             }
-            Object::Body(_) | Object::Blocks(_) => self.versions.objects.keep(digest, bytes),
+            Object::Body(_) | Object::Blocks(_) => self.versions.object_cache.insert(digest, bytes),
         }
         self.fetched(digest, Ok(object), ctx);
     }
 
-    /// Takes a part of an object from a peer.
+    /// Handles a part of an object from a peer.
     pub(in crate::process::control) fn on_config_part(
         &mut self,
         from: &InstanceId,
@@ -288,23 +291,28 @@
             .versions
             .assemblies
             .entry(from.clone())
-            .or_insert_with(|| ConfigAssembly::new(OBJECT_LIMIT_BYTES));
-        // A part that doesn't fit drops what came before; the fetch runs into its timeout.
+            .or_insert_with(|| ConfigAssembly::new(MAX_OBJECT_BYTES));
+        // A part that doesn't fit discards the earlier parts; the fetch then times out.
         if let Ok(Some(whole)) = assembly.push(part) {
-            self.on_whole(from, whole, ctx);
+            self.on_object_complete(from, whole, ctx);
         }
     }
 
-    fn on_whole(&mut self, from: &InstanceId, whole: WholeConfig, ctx: &mut Context<Self>) {
+    fn on_object_complete(
+        &mut self,
+        from: &InstanceId,
+        whole: WholeConfig,
+        ctx: &mut Context<Self>,
+    ) {
         if whole.body.is_empty() {
-            self.on_lacking(from, ctx);
+            self.on_object_missing(from, ctx);
             return;
         }
         let digest = Digest::of(&whole.body);
         let head = whole.head.parse::<Head>().ok();
         if let Some(head) = head.filter(|head| head.digest == digest) {
-            self.versions.objects.keep(digest, &whole.body);
-            self.versions.unheard.remove(from);
+            self.versions.object_cache.insert(digest, &whole.body);
+            self.versions.unreported_peers.remove(from);
             self.offer(Source::Peer(from.clone()), Offer::Head(head), ctx);
         }
         let awaited = self.current_fetch(&digest);
@@ -313,8 +321,8 @@
         }
     }
 
-    /// Takes a peer's word that it lacks what it was asked for.
-    fn on_lacking(&mut self, from: &InstanceId, ctx: &mut Context<Self>) {
+    /// Handles a peer's reply that it lacks the requested object.
+    fn on_object_missing(&mut self, from: &InstanceId, ctx: &mut Context<Self>) {
         let Some(fetch) = &self.versions.fetch else {
             return;
         };
--- a/crates/daemon/src/process/control/config/history.rs
+++ b/crates/daemon/src/process/control/config/history.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration, in force or earlier, for operators to read.
+//! Reads current and earlier versions of the configuration for operators.
 
 use crate::process::control::{
     config::adopt::{
@@ -31,15 +31,15 @@
 };
 use std::rc::Rc;
 
-/// Most versions in one answer.
+/// Maximum number of versions in one answer.
 const HISTORY_MAX: u64 = 1000;
 
-/// Asks for a version; without a number, for the one in force at this daemon.
+/// Requests a version; without a number, the one in force at this daemon.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Result<ConfigAnswer, Refusal>")]
 pub(crate) struct GetConfig(pub(crate) Option<Version>);
 
-/// Asks for the heads of the newest versions, the newest first.
+/// Requests the heads of the newest versions, newest first.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Result<Vec<Head>, Refusal>")]
 pub(crate) struct GetHistory {
@@ -49,12 +49,17 @@
 impl Handler<GetConfig> for Control {
     type Result = ResponseFuture<Result<ConfigAnswer, Refusal>>;
 
-    fn handle(&mut self, GetConfig(wanted): GetConfig, _ctx: &mut Self::Context) -> Self::Result {
+    fn handle(
+        &mut self,
+        GetConfig(requested): GetConfig,
+        _ctx: &mut Self::Context,
+    ) -> Self::Result {
         let adopted = self.adopted().cloned();
-        let in_force = adopted.filter(|adopted| wanted.is_none_or(|w| w == adopted.version()));
+        let in_force =
+            adopted.filter(|adopted| requested.is_none_or(|version| version == adopted.version()));
         let platform = Rc::clone(&self.platform);
         Box::pin(async move {
-            match (in_force, wanted) {
+            match (in_force, requested) {
                 (Some(adopted), _) => Ok(answer_of(&adopted)),
                 (None, None) => Err(Refusal::NotFound {
                     detail: "no configuration is in force at this daemon yet".to_owned(),
@@ -93,30 +98,30 @@
 }
 
 async fn read_history(platform: &HttpPlatform, limit: u64) -> Result<Vec<Head>, Refusal> {
-    let newest = read_head(platform).await.map_err(unreadable)?;
+    let newest = read_head(platform).await.map_err(read_failed)?;
     let newest = newest.map_or(0, |head| head.version);
     let oldest = newest.saturating_sub(limit.min(HISTORY_MAX)) + 1;
     let keys: Vec<RowKey> = (oldest..=newest).rev().map(RowKey::Version).collect();
-    let heads = read_heads(platform, &keys).await.map_err(unreadable)?;
+    let heads = read_heads(platform, &keys).await.map_err(read_failed)?;
     Ok(heads.into_iter().flatten().collect())
 }
 
-/// Head of a version.
+/// Reads the head of a version.
 pub(super) async fn read_version(
     platform: &HttpPlatform,
     version: Version,
 ) -> Result<Head, Refusal> {
     let read = read_heads(platform, &[RowKey::Version(version)]).await;
-    let head = read.map_err(unreadable)?.pop().flatten();
+    let head = read.map_err(read_failed)?.pop().flatten();
     head.ok_or_else(|| Refusal::NotFound {
         detail: format!("there is no version {version}"),
     })
 }
 
-/// Body that a head names, from the store.
+/// Reads the body that a head refers to from the store.
 pub(super) async fn read_body(platform: &HttpPlatform, head: &Head) -> Result<Body, Refusal> {
     let got = platform.get(&head.digest.object_name()).await;
-    let bytes = got.map_err(unreadable)?.ok_or_else(|| Refusal::NotFound {
+    let bytes = got.map_err(read_failed)?.ok_or_else(|| Refusal::NotFound {
         detail: format!("the store lacks the body of version {}", head.version),
     })?;
     match Object::read(&head.digest, &bytes) {
@@ -127,7 +132,7 @@
     }
 }
 
-fn unreadable(error: ReadError) -> Refusal {
+fn read_failed(error: ReadError) -> Refusal {
     Refusal::NotDone {
         detail: format!("the platform can't be read: {error}"),
     }
--- a/crates/daemon/src/process/control/config/mod.rs
+++ b/crates/daemon/src/process/control/config/mod.rs
@@ -1,16 +1,16 @@
-//! The accepted configuration: adopts higher versions, accepts new ones.
+//! The accepted configuration: adopts newer versions and accepts new ones.
 //!
-//! The state machines are those of crate `spec`; here their actions are carried out. A version
-//! comes by the head's row in the table and by the heartbeats of other daemons, whichever is
-//! first; its objects come from a peer or from the store. So a daemon that is cut off from the
-//! platform still adopts what the others have, and a slow platform delays only the one daemon that
-//! accepts.
+//! The state machines live in crate `spec`; this module executes their actions. A version is
+//! announced by the head's row in the table and by heartbeats of other daemons, whichever comes
+//! first; its objects are fetched from a peer or from the store. A daemon without access to the
+//! platform can thus still adopt what the others have, and a slow platform delays only the daemon
+//! that accepts a version.
 //!
-//! - `adopt`: who told of which head, and putting one in force.
-//! - `fetch`: getting the objects that a head names.
-//! - `serve`: giving them to peers.
-//! - `objects`: the few that are kept for that.
-//! - `accept`: operators' configurations, drains and targets.
+//! - `adopt`: announced heads, and activating a version.
+//! - `fetch`: fetching the objects that a head refers to.
+//! - `serve`: serving objects to peers.
+//! - `object_cache`: the cache of objects for peers.
+//! - `accept`: configurations, drains and targets submitted by operators.
 //! - `history`: earlier versions.
 //! - `confirm`: which instances have a version in force.
 
@@ -19,7 +19,7 @@
 mod confirm;
 mod fetch;
 mod history;
-mod objects;
+mod object_cache;
 mod serve;
 
 pub(crate) use self::{
@@ -38,9 +38,9 @@
     adopt::Waiter,
     fetch::{
         Fetch,
-        Want, //
+        HeadRequest, //
     },
-    objects::Objects, //
+    object_cache::ObjectCache, //
 };
 use base::{
     InstanceId,
@@ -52,28 +52,28 @@
 use spec::Adopt;
 use std::collections::BTreeMap;
 
-/// Versions as this daemon knows them, and what is under way.
+/// Configuration versions known to this daemon, and operations in progress.
 #[derive(Default)]
 pub(super) struct Versions {
-    /// The state machine, once it is known whom to ask at the start.
+    /// The adoption state machine, once the peers to ask at startup are known.
     adopt: Option<Adopt>,
-    /// Peers asked at the start that have not been heard, or have told of a version whose head is
-    /// on its way.
-    unheard: BTreeMap<InstanceId, Option<Version>>,
-    /// When those that have not been heard are given up.
-    give_up_at: Now,
-    /// Objects kept for peers.
-    objects: Objects,
-    /// Parts that peers sent so far.
+    /// Peers asked at startup that have not reported a version, or have reported one whose head has
+    /// not arrived yet.
+    unreported_peers: BTreeMap<InstanceId, Option<Version>>,
+    /// Time at which peers that have not reported count as unreachable.
+    peers_deadline: Now,
+    /// Cache of objects for peers.
+    object_cache: ObjectCache,
+    /// Partially received objects, by peer.
     assemblies: BTreeMap<InstanceId, ConfigAssembly>,
-    /// Head that a peer was asked for.
-    want: Option<Want>,
-    /// Object that is being fetched.
+    /// Pending request for a head.
+    head_request: Option<HeadRequest>,
+    /// Fetch in progress.
     fetch: Option<Fetch>,
-    /// Accepts that wait until a version is in force here.
+    /// Accepts waiting for a version to be in force here.
     waiters: Vec<Waiter>,
-    /// A snapshot is being written out for a peer.
-    is_rebuilding: bool,
-    /// Leases of silent instances, as accepts that wait for confirmations saw them.
+    /// A snapshot is being serialised for a peer.
+    is_serializing_snapshot: bool,
+    /// Observed leases of silent instances, for accepts that wait for confirmations.
     leases: Option<LeaseObserver>,
 }
--- a/crates/daemon/src/process/control/config/serve.rs
+++ b/crates/daemon/src/process/control/config/serve.rs
@@ -1,4 +1,4 @@
-//! Giving heads and objects to peers.
+//! Serves heads and objects to peers.
 
 use crate::process::control::Control;
 use actix::{
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 
 impl Control {
-    /// Answers a request for the body in force, or for an object.
+    /// Answers a peer's request for the body in force, or for an object.
     pub(in crate::process::control) fn on_config_want(
         &mut self,
         from: &InstanceId,
@@ -38,25 +38,25 @@
             return;
         };
         let digest = object.parse::<Digest>().ok();
-        if let Some(bytes) = digest.and_then(|digest| self.versions.objects.get(&digest)) {
+        if let Some(bytes) = digest.and_then(|digest| self.versions.object_cache.get(&digest)) {
             self.send_object(from, &bytes);
             return;
         }
-        let snapshot = digest.and_then(|digest| self.versions.objects.snapshot(&digest));
+        let snapshot = digest.and_then(|digest| self.versions.object_cache.snapshot(&digest));
         match snapshot {
-            // One at a time: each takes as much memory as the table's text is long.
-            Some(table) if !self.versions.is_rebuilding => {
+            // Limited to one at a time: each needs memory for the whole serialised table.
+            Some(table) if !self.versions.is_serializing_snapshot => {
                 self.send_snapshot(from.clone(), table, ctx);
             }
             _ => self.send_object(from, &Bytes::new()),
         }
     }
 
-    /// Bytes of the body in force.
+    /// Serialised body in force.
     fn body_in_force(&self) -> Option<Bytes> {
         let adopted = self.adopted()?;
-        let kept = self.versions.objects.get(adopted.body());
-        Some(kept.unwrap_or_else(|| {
+        let cached = self.versions.object_cache.get(adopted.body());
+        Some(cached.unwrap_or_else(|| {
             let body = Body {
                 config: Arc::clone(adopted.config()),
                 blocks: adopted.block_object(),
@@ -65,26 +65,27 @@
         }))
     }
 
-    /// Sends an object in parts; an empty one says that it isn't here.
+    /// Sends an object in parts; an empty object means that it is not available.
     fn send_object(&self, to: &InstanceId, bytes: &Bytes) {
         let (Some(mesh), Some(adopted)) = (&self.mesh, self.adopted()) else {
             return;
         };
         let head = adopted.head().to_string().into();
         for part in split_config(adopted.version(), &head, bytes) {
-            // Once one part finds no place the rest is of no use: the receiver asks again.
+            // If one part can't be queued, the rest is useless: the receiver requests the object
+            // again.
             if mesh.send(to, Frame::ConfigBody(part)) != SendResult::Queued {
                 return;
             }
         }
     }
 
-    /// Writes a snapshot out on another thread and sends it.
+    /// Serialises a snapshot on another thread and sends it.
     fn send_snapshot(&mut self, to: InstanceId, table: Arc<Table>, ctx: &mut Context<Self>) {
-        self.versions.is_rebuilding = true;
+        self.versions.is_serializing_snapshot = true;
         let write = actix_rt::task::spawn_blocking(move || BlockObject::Snapshot(table).to_bytes());
         ctx.spawn(write.into_actor(self).map(move |bytes, control, _| {
-            control.versions.is_rebuilding = false;
+            control.versions.is_serializing_snapshot = false;
             control.send_object(&to, &bytes.unwrap_or_default());
         }));
     }
--- a/crates/daemon/src/process/control/gauges.rs
+++ b/crates/daemon/src/process/control/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges of control's state, and counters that are kept outside of metrics.
+//! Gauges of control's state, and counters maintained outside of the metrics registry.
 
 use crate::process::{
     control::Control,
@@ -7,7 +7,7 @@
 use peer::Mesh;
 
 impl Control {
-    /// Exports all gauges, and counters that are kept elsewhere.
+    /// Exports all gauges, and counters maintained elsewhere.
     pub(super) fn export_gauges(&self) {
         metrics::gauge!(metric::ACTIVE).set(self.shared.active.count() as f64);
         self.export_pools();
@@ -38,7 +38,7 @@
     metrics::gauge!(metric::PEERS).set(mesh.peers().len() as f64);
     let counters = mesh.counters();
     metrics::counter!(metric::PEER_BYTES).absolute(counters.sent_bytes.get());
-    // From here, not from events: a flood's are dropped.
+    // Taken from the counters, because events are dropped during a flood.
     metrics::counter!(metric::STRANGERS).absolute(counters.strangers.get());
     let frames = [
         ("unknown", &counters.unknown_frames),
--- a/crates/daemon/src/process/control/handover.rs
+++ b/crates/daemon/src/process/control/handover.rs
@@ -1,8 +1,8 @@
-//! Filings at a planned stop: their records and unused tickets go to a successor.
+//! Hand-over of filing records and unused tickets to a successor at a planned stop.
 //!
-//! The successor is the first live entry of the own region that a session stands to. The offer is
-//! made once, to one incarnation, and repeated until it is acknowledged or time is up; then nobody
-//! runs the unused tickets and their callers are told `unknown`.
+//! The successor is the first connected live entry of the same region. The offer is made once, to
+//! one incarnation, and resent until it is acknowledged or the time limit expires. After that
+//! nobody runs the unused tickets, and their callers receive `unknown`.
 
 use crate::process::control::Control;
 use base::{
@@ -21,30 +21,30 @@
 };
 
 impl Control {
-    /// Forgets filings whose tickets are long over.
-    pub(super) fn forget_filings(&mut self) {
+    /// Removes filings whose tickets have expired.
+    pub(super) fn expire_filings(&mut self) {
         let now = self.now();
         self.shared.with_filings(|filings| filings.expire(now));
     }
 
-    /// Starts no filing from now on.
+    /// Stops accepting new filings.
     pub(super) fn stop_filings(&mut self) {
         self.shared.move_filings(|filings| filings.stop());
     }
 
-    /// Makes the offer to a successor, if there is one.
-    pub(super) fn hand_filings_over(&mut self) {
+    /// Offers the filings to a successor, if there is one.
+    pub(super) fn offer_filings(&mut self) {
         let now = self.now();
-        if let Some((successor, life)) = self.successor() {
-            spdlog::info!("filings go to", kv: { successor = successor.to_string() });
+        if let Some((successor, incarnation)) = self.successor() {
+            spdlog::info!("handing filings over", kv: { successor = successor.to_string() });
             self.shared
-                .move_filings(|filings| filings.offer(&successor, life, now));
-            self.repeat_offer();
+                .move_filings(|filings| filings.offer(&successor, incarnation, now));
+            self.send_offer();
         }
     }
 
-    /// Sends the offer that waits for its acknowledgement.
-    pub(super) fn repeat_offer(&mut self) {
+    /// Sends or resends the offer that awaits acknowledgement.
+    pub(super) fn send_offer(&mut self) {
         let offered = self
             .shared
             .with_filings(|filings| filings.offered().map(to_frame));
@@ -58,7 +58,7 @@
         let region = &self.shared.settings.region;
         let peers = mesh.peers();
         let live = |instance: &InstanceId| {
-            let facts = self.picture.instance(instance);
+            let facts = self.membership_view.instance(instance);
             facts.is_some_and(|facts| facts.state == LeaseState::Live)
         };
         peers
@@ -67,15 +67,15 @@
             .map(|info| (info.instance, info.incarnation))
     }
 
-    /// Whether no acknowledgement is awaited any more.
-    pub(super) fn filings_handed_over(&self) -> bool {
-        let waits = self
+    /// Whether no acknowledgement is pending.
+    pub(super) fn is_hand_over_complete(&self) -> bool {
+        let is_pending = self
             .shared
             .with_filings(|filings| filings.offered().is_some());
-        waits != Some(true)
+        is_pending != Some(true)
     }
 
-    /// Takes what a stopping instance offers.
+    /// Handles the offer of a stopping instance.
     pub(super) fn on_hand_over(
         &mut self,
         from: &InstanceId,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes a successor's answer.
+    /// Handles a successor's acknowledgement.
     pub(super) fn on_hand_over_ack(&mut self, ack: &HandOverAck) {
         let accepted = peer::from_payload::<Accepted>(&ack.payload);
         if let (true, Ok(accepted)) = (ack.accepted, accepted) {
--- a/crates/daemon/src/process/control/beats/mod.rs
+++ b/crates/daemon/src/process/control/heartbeats/mod.rs
@@ -1,24 +1,27 @@
-//! Sessions between daemons and the heartbeats on them.
+//! Sessions between daemons and the heartbeats sent over them.
 //!
-//! A beat says what the sender is and carries what the receiver doesn't know yet: its region's load
-//! where that changed, and a few of the instances that the receiver has no sessions to. News (a
-//! leaving upstream, a new version, a planned stop) goes out at once, and so does a marked change
-//! of load; all else waits for the next beat. The interval grows with the number of peers, so that
-//! a large deployment's beats stay within their share of bytes.
+//! A heartbeat states the sender's own state and carries what the receiver doesn't know yet: the
+//! load of the sender's region where it changed, and a few of the instances to which the receiver
+//! has no sessions. Urgent changes (a leaving upstream, a new version, a planned stop) are sent at
+//! once, and so is a significant change of load; everything else waits for the next heartbeat. The
+//! interval grows with the number of peers, so that heartbeats of a large deployment stay within
+//! their share of the bandwidth.
 //!
-//! That a peer lives is not told by its beats but by the pongs of its session, which cost a few
-//! bytes: with beats seconds apart a killed peer would else be named in look-ups for as long.
+//! Liveness of a peer is derived from the pongs of its session, not from its heartbeats. Pongs cost
+//! only a few bytes; with heartbeats seconds apart, look-ups would otherwise return a killed peer
+//! for that long.
 //!
-//! Here are the sessions: to whom they are kept, and where their frames go. `send` says when a beat
-//! goes out and with what, `telling` what its receiver knows already, `hear` what is made of one that
-//! came, `wire` how an instance is written on it.
+//! This module maintains the sessions and dispatches their frames. `send` decides when a heartbeat
+//! is sent and with which content, `sent_state` tracks what each receiver already knows, `receive`
+//! processes received heartbeats, and `wire` converts instance summaries to and from the wire
+//! format.
 
-mod hear;
+mod receive;
 mod send;
-mod telling;
+mod sent_state;
 mod wire;
 
-pub(super) use telling::Telling;
+pub(super) use sent_state::SentState;
 
 use crate::process::control::Control;
 use actix::{
@@ -46,13 +49,13 @@
 };
 use std::net::SocketAddr;
 
-/// Partners in each other region.
+/// Number of partners in each other region.
 const PARTNERS_PER_REGION: usize = 2;
-/// Seed of the choice of partners; the same everywhere.
+/// Seed of the partner selection; identical on all daemons.
 const PARTNERS_SEED: u64 = 0;
 
 impl Control {
-    /// Opens the peers' port.
+    /// Starts accepting peer sessions.
     pub(super) fn start_mesh(&mut self, ctx: &mut Context<Self>) {
         let Some(listener) = self.peers_listener.take() else {
             return;
@@ -67,7 +70,7 @@
         let key = Key::from_text(settings.peer_key.expose());
         let options = Options {
             seed: rand::random(),
-            // Known before silence would tell: look-ups must soon stop naming who is gone.
+            // Shorter than the silence timeout, so that look-ups stop returning a dead peer early.
             reopen_timeout: settings.terms.beat_silent / 2,
             ..Options::default()
         };
@@ -76,11 +79,11 @@
                 ctx.add_stream(events);
                 self.mesh = Some(mesh);
             }
-            Err(error) => spdlog::error!("the peers' port: {}", error),
+            Err(error) => spdlog::error!("peer sessions can't be started: {}", error),
         }
     }
 
-    /// Chooses whom to keep sessions to.
+    /// Selects the instances to keep sessions with.
     pub(super) fn set_partners(&mut self) {
         let Some(mesh) = &self.mesh else {
             return;
@@ -92,22 +95,25 @@
             failure_domain: settings.failure_domain.clone(),
         };
         let known: Vec<(InstanceLocation, SocketAddr)> = self
-            .picture
+            .membership_view
             .instances()
             .filter(|(_, facts)| facts.state != LeaseState::Left)
             .filter_map(|(_, facts)| {
                 let addr = settings.dial(&facts.identity.peers_addr);
-                Some((place_of(&facts.identity), addr.parse().ok()?))
+                Some((location_of(&facts.identity), addr.parse().ok()?))
             })
             .collect();
-        let all: Vec<InstanceLocation> = known.iter().map(|(place, _)| place.clone()).collect();
+        let all: Vec<InstanceLocation> =
+            known.iter().map(|(location, _)| location.clone()).collect();
         let chosen = partners(&me, &all, PARTNERS_PER_REGION, PARTNERS_SEED);
-        // Members of one pool have to hear each other, whatever their failure domain.
+        // Members of one pool must exchange heartbeats, whatever their failure domain.
         let wanted = known
             .into_iter()
-            .filter(|(place, _)| place.region == me.region || chosen.contains(&place.instance))
-            .map(|(place, addr)| Partner {
-                instance: place.instance,
+            .filter(|(location, _)| {
+                location.region == me.region || chosen.contains(&location.instance)
+            })
+            .map(|(location, addr)| Partner {
+                instance: location.instance,
                 addr,
             });
         let wanted: Vec<Partner> = wanted.collect();
@@ -119,10 +125,10 @@
 impl StreamHandler<Event> for Control {
     fn handle(&mut self, event: Event, ctx: &mut Context<Self>) {
         match event {
-            // What was on its way is lost; all is news to this peer, and at the next tick.
+            // Frames in flight are lost, so the next heartbeat to this peer carries the full state.
             Event::Up(peer) | Event::Reopened(peer) => {
-                self.tellings.remove(&peer.instance);
-                self.beats_sent.remove(&peer.instance);
+                self.sent_states.remove(&peer.instance);
+                self.sent_member_heartbeats.remove(&peer.instance);
             }
             Event::Frame {
                 from,
@@ -130,7 +136,7 @@
                 frame,
             } => self.on_frame(&from, incarnation, frame, ctx),
             Event::Down { .. } => self.publish(),
-            // Counted by the mesh.
+            // The mesh counts these.
             Event::Stranger { .. } => {}
         }
     }
@@ -147,7 +153,7 @@
         ctx: &mut Context<Self>,
     ) {
         match frame {
-            Frame::Beat(beat) => self.on_beat(from, incarnation, &beat, ctx),
+            Frame::Beat(beat) => self.on_heartbeat(from, incarnation, &beat, ctx),
             Frame::Share(share) => self.on_share(from, incarnation, &share),
             Frame::ConfigWant(want) => self.on_config_want(from, &want, ctx),
             Frame::ConfigBody(part) => self.on_config_part(from, part, ctx),
@@ -158,7 +164,7 @@
     }
 }
 
-fn place_of(identity: &Identity) -> InstanceLocation {
+fn location_of(identity: &Identity) -> InstanceLocation {
     InstanceLocation {
         instance: identity.instance.clone(),
         region: identity.region.clone(),
--- a/crates/daemon/src/process/control/beats/hear.rs
+++ b/crates/daemon/src/process/control/heartbeats/receive.rs
@@ -1,7 +1,7 @@
-//! What is made of a beat that came, and of the pongs between beats.
+//! Processes received heartbeats, and pongs between heartbeats.
 
 use crate::process::control::{
-    beats::wire,
+    heartbeats::wire,
     Control,
     TICK, //
 };
@@ -26,24 +26,25 @@
 };
 use std::time::Duration;
 
-/// Longest that a beat is taken to have been under way when no round trip is known.
-const TRANSIT: Duration = Duration::from_millis(200);
+/// Assumed maximum transit time of a heartbeat when no round trip is known.
+const ASSUMED_TRANSIT: Duration = Duration::from_millis(200);
 
 impl Control {
-    /// Takes the pongs that came since the last tick as signs of life.
+    /// Treats pongs received since the last tick as signs of life.
     ///
-    /// Whatever changes at a peer it says at once, so that between its beats the last one holds.
-    pub(super) fn hear_pongs(&mut self, peers: &[PeerInfo], now: Now) {
+    /// A peer reports its changes at once, so the state of its last heartbeat still holds between
+    /// heartbeats.
+    pub(super) fn apply_pongs(&mut self, peers: &[PeerInfo], now: Now) {
         for peer in peers {
-            let telling = self.tellings.entry(peer.instance.clone()).or_default();
-            if !telling.has_new_pong(peer.rtt) {
+            let sent_state = self.sent_states.entry(peer.instance.clone()).or_default();
+            if !sent_state.has_new_pong(peer.rtt) {
                 continue;
             }
-            let Some(known) = self.picture.instance(&peer.instance) else {
+            let Some(known) = self.membership_view.instance(&peer.instance) else {
                 continue;
             };
-            // What goes wrong otherwise: a life of which only the session is known would count
-            // as the one before, with that one's version.
+            // Without this check, a new incarnation known only by its session would be credited
+            // with the state and version of its predecessor.
             if known.incarnation != peer.incarnation {
                 continue;
             }
@@ -54,11 +55,12 @@
                 state: known.state,
                 age: peer.rtt + TICK,
             };
-            self.picture.apply_heartbeat(&peer.instance, &facts, now);
+            self.membership_view
+                .apply_heartbeat(&peer.instance, &facts, now);
         }
     }
 
-    pub(super) fn on_beat(
+    pub(super) fn on_heartbeat(
         &mut self,
         from: &InstanceId,
         incarnation: Incarnation,
@@ -73,14 +75,14 @@
             identity,
             incarnation,
             version: beat.version,
-            state: wire::state_of(beat.state == BeatState::Leaving),
-            age: TRANSIT,
+            state: wire::lease_state(beat.state == BeatState::Leaving),
+            age: ASSUMED_TRANSIT,
         };
-        let before = self.picture.instance(from).map(|facts| {
-            let silent = self.picture.freshness(from, now) == Freshness::Silent;
+        let before = self.membership_view.instance(from).map(|facts| {
+            let silent = self.membership_view.freshness(from, now) == Freshness::Silent;
             (facts.state, facts.incarnation, facts.version, silent)
         });
-        self.picture.apply_heartbeat(from, &facts, now);
+        self.membership_view.apply_heartbeat(from, &facts, now);
         for summary in &beat.instances {
             self.on_summary(summary, now);
         }
@@ -91,43 +93,46 @@
         for share in &beat.shares {
             self.on_share(from, incarnation, share);
         }
-        self.offer_version(from, beat.version, ctx);
+        self.on_peer_version(from, beat.version, ctx);
         if before != Some((facts.state, incarnation, beat.version, false)) {
             self.publish();
         }
     }
 
-    fn on_summary(&mut self, told: &InstanceSummary, now: Now) {
-        let summary = wire::from_summary(told);
-        self.picture
-            .apply_summary(&told.instance, &summary, TRANSIT, now);
+    fn on_summary(&mut self, received: &InstanceSummary, now: Now) {
+        let summary = wire::from_summary(received);
+        self.membership_view
+            .apply_summary(&received.instance, &summary, ASSUMED_TRANSIT, now);
     }
 
-    fn on_leaving_mark(&mut self, told: &LeavingUpstream, now: Now) {
+    fn on_leaving_mark(&mut self, received: &LeavingUpstream, now: Now) {
         let mark = LeavingMark {
-            upstream: told.upstream.clone(),
-            age_ms: told.age_ms,
+            upstream: received.upstream.clone(),
+            age_ms: received.age_ms,
         };
-        if self.picture.apply_upstream_mark(&mark, TRANSIT, now) {
-            self.mark_leaving(&told.upstream);
-            self.beat_soon();
+        if self
+            .membership_view
+            .apply_upstream_mark(&mark, ASSUMED_TRANSIT, now)
+        {
+            self.mark_leaving(&received.upstream);
+            self.request_heartbeats();
         }
     }
 
-    /// Marks an upstream of this region in its pool.
+    /// Marks an upstream of this region as leaving in its pool.
     fn mark_leaving(&mut self, id: &str) {
         for pool in self.pools.values() {
             let upstreams = pool.upstreams();
             if let Some(upstream) = upstreams.iter().find(|upstream| upstream.id == id) {
                 if upstream.mark_leaving() {
-                    spdlog::info!("upstream leaves", kv: { upstream = id.to_string() });
+                    spdlog::info!("upstream is leaving", kv: { upstream = id.to_string() });
                 }
             }
         }
     }
 
     fn identity_of(&self, instance: &InstanceId) -> Option<Identity> {
-        let known = self.picture.instance(instance)?;
+        let known = self.membership_view.instance(instance)?;
         Some(known.identity.clone())
     }
 }
--- a/crates/daemon/src/process/control/beats/wire.rs
+++ b/crates/daemon/src/process/control/heartbeats/wire.rs
@@ -1,4 +1,4 @@
-//! Facts of instances and upstreams as beats carry them.
+//! Conversions between membership facts and their wire format in heartbeats.
 
 use base::InstanceId;
 use bytestring::ByteString;
@@ -13,15 +13,15 @@
     LeavingUpstream, //
 };
 
-/// Writes what is known of an instance.
+/// Converts a summary to the wire format.
 pub(super) fn to_summary(
     instance: &InstanceId,
     summary: &Summary,
     known: Option<&Identity>,
 ) -> InstanceSummary {
-    // Places and addresses of listed instances are left out: everyone can read the list.
+    // Location and addresses of listed instances are omitted: every daemon can read the list.
     let unlisted = known.filter(|_| summary.identity.is_some());
-    let place = unlisted.map_or_else(
+    let location = unlisted.map_or_else(
         || (ByteString::new(), ByteString::new()),
         |identity| (identity.region.clone(), identity.failure_domain.clone()),
     );
@@ -45,31 +45,31 @@
         callers_addr,
         peers_addr,
         operator_addr,
-        region: place.0,
-        failure_domain: place.1,
+        region: location.0,
+        failure_domain: location.1,
     }
 }
 
-/// Reads what another daemon knows of an instance.
-pub(super) fn from_summary(told: &InstanceSummary) -> Summary {
-    let identity = (!told.callers_addr.is_empty()).then(|| Identity {
-        instance: told.instance.clone(),
-        region: told.region.clone(),
-        failure_domain: told.failure_domain.clone(),
-        callers_addr: told.callers_addr.clone(),
-        peers_addr: told.peers_addr.clone(),
-        operator_addr: told.operator_addr.clone(),
+/// Converts a summary from the wire format.
+pub(super) fn from_summary(received: &InstanceSummary) -> Summary {
+    let identity = (!received.callers_addr.is_empty()).then(|| Identity {
+        instance: received.instance.clone(),
+        region: received.region.clone(),
+        failure_domain: received.failure_domain.clone(),
+        callers_addr: received.callers_addr.clone(),
+        peers_addr: received.peers_addr.clone(),
+        operator_addr: received.operator_addr.clone(),
     });
     Summary {
-        incarnation: told.incarnation,
-        version: told.version,
-        state: state_of(told.leaving),
-        age_ms: told.age_ms,
+        incarnation: received.incarnation,
+        version: received.version,
+        state: lease_state(received.leaving),
+        age_ms: received.age_ms,
         identity,
     }
 }
 
-pub(super) fn state_of(leaving: bool) -> LeaseState {
+pub(super) fn lease_state(leaving: bool) -> LeaseState {
     if leaving {
         LeaseState::Leaving
     } else {
@@ -77,7 +77,7 @@
     }
 }
 
-pub(super) fn to_leaving(mark: LeavingMark) -> LeavingUpstream {
+pub(super) fn to_leaving_upstream(mark: LeavingMark) -> LeavingUpstream {
     LeavingUpstream {
         upstream: mark.upstream,
         age_ms: mark.age_ms,
--- a/crates/daemon/src/process/control/lease.rs
+++ b/crates/daemon/src/process/control/lease.rs
@@ -1,6 +1,6 @@
 //! The incarnation of this process and its lease in the table.
 //!
-//! The state machines are those of crate `member`; here their steps are carried out on the
+//! The state machines live in crate `member`; this module executes their steps against the
 //! platform, one at a time.
 
 use crate::process::{
@@ -45,27 +45,27 @@
     time::Duration, //
 };
 
-/// Part of a clock's time by which it may run wrong.
+/// Assumed maximum clock drift, in percent.
 const DRIFT_PCT: u32 = 1;
-/// Wait before a join is tried again.
+/// Delay before a join is retried.
 const JOIN_RETRY: Duration = Duration::from_millis(500);
 
-/// Time between two daemons' renewals, on average: 125 writes a second in all.
+/// Average interval between renewals of different daemons: 125 writes a second in total.
 const RENEWAL_SPACING: Duration = Duration::from_millis(8);
 
-/// Where the process is with its lease.
+/// State of the lease of this process.
 pub(super) enum Lease {
-    /// It has none yet.
+    /// Not acquired yet.
     Joining(Option<Box<Joining>>),
-    /// It holds one, or held one.
+    /// Acquired; it may have expired since.
     Held(Box<Held>),
 }
 
-/// A lease that was taken.
+/// An acquired lease.
 pub(super) struct Held {
     pub(super) holder: LeaseHolder,
-    /// Renewal under way: sequence number, and when it was sent.
-    sent: Option<(u64, Now)>,
+    /// Sequence number and send time of the renewal in progress.
+    pending_renewal: Option<(u64, Now)>,
 }
 
 impl Control {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Starts to claim the next incarnation; goes on until that succeeds.
+    /// Starts to claim the next incarnation and retries until it succeeds.
     pub(super) fn join(&mut self, ctx: &mut Context<Self>) {
         let joining = Joining::new(self.identity(), self.lease_terms(), Guards::default());
         let step = joining.read();
@@ -99,16 +99,16 @@
         self.run_lease_step(step, ctx);
     }
 
-    /// Renews the lease when it is time.
+    /// Renews the lease when due.
     pub(super) fn tick_lease(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
         let Lease::Held(held) = &mut self.lease else {
             return;
         };
-        let left = held.holder.valid_until().saturating_sub(now);
+        let remaining = held.holder.valid_until().saturating_sub(now);
         self.shared.set_lease_until(held.holder.valid_until());
-        metrics::gauge!(metric::LEASE_LEFT).set(left.as_secs_f64());
-        if self.renewal_waits(now) {
+        metrics::gauge!(metric::LEASE_LEFT).set(remaining.as_secs_f64());
+        if self.is_renewal_deferred(now) {
             return;
         }
         let Lease::Held(held) = &mut self.lease else {
@@ -118,12 +118,12 @@
         self.run_lease_step(step, ctx);
     }
 
-    /// Whether the next renewal is put off because many daemons renew.
+    /// Whether the next renewal is deferred because many daemons renew.
     ///
-    /// Never beyond half of the lease, so that one that is lost can be made up for.
-    fn renewal_waits(&self, now: Now) -> bool {
+    /// It is never deferred beyond half of the lease, which leaves time to repeat a lost renewal.
+    fn is_renewal_deferred(&self, now: Now) -> bool {
         let terms = &self.shared.settings.terms;
-        let interval = self.spaced(terms.lease_renew, RENEWAL_SPACING);
+        let interval = self.fleet_interval(terms.lease_renew, RENEWAL_SPACING);
         let interval = interval.min(terms.lease / 2);
         let renewed = self.renewal.is_some_and(|(_, at)| now < at + interval);
         renewed && !self.is_stopping()
@@ -135,7 +135,7 @@
         match step {
             LeaseStep::Idle => {}
             LeaseStep::Superseded => {
-                spdlog::error!("another incarnation has the lease; this process ends");
+                spdlog::error!("another incarnation holds the lease; this process exits");
                 self.superseded = true;
                 ctx.stop();
             }
@@ -146,7 +146,7 @@
                 }));
             }
             LeaseStep::Commit { check, value } => {
-                self.note_sent(&value);
+                self.record_renewal_sent(&value);
                 let commit = async move { commit_lease(&platform, key, check, value).await };
                 ctx.spawn(commit.into_actor(self).map(|event, control, ctx| {
                     control.on_lease_event(event, ctx);
@@ -155,17 +155,17 @@
         }
     }
 
-    fn note_sent(&mut self, value: &str) {
+    fn record_renewal_sent(&mut self, value: &str) {
         let now = self.now();
         let row = value.parse::<LeaseRow>();
         if let (Lease::Held(held), Ok(row)) = (&mut self.lease, row) {
-            held.sent = Some((row.seq, now));
+            held.pending_renewal = Some((row.seq, now));
         }
     }
 
     fn on_lease_event(&mut self, event: LeaseEvent, ctx: &mut Context<Self>) {
         let failed = matches!(event, LeaseEvent::OutcomeUnknown | LeaseEvent::NotExecuted);
-        self.note_call("lease", !failed);
+        self.count_platform_call("lease", !failed);
         let now = self.now();
         match &mut self.lease {
             Lease::Joining(joining) => {
@@ -178,8 +178,8 @@
                 let before = held.holder.valid_until();
                 let step = held.holder.on_event(event, now);
                 let renewed = held.holder.valid_until() > before;
-                let sent = held.sent.filter(|_| renewed);
-                if let Some((seq, sent_at)) = sent {
+                let confirmed = held.pending_renewal.filter(|_| renewed);
+                if let Some((seq, sent_at)) = confirmed {
                     self.on_renewed(seq, sent_at, now);
                 }
                 self.run_lease_step(step, ctx);
@@ -203,7 +203,10 @@
             }
             JoinProgress::Joined(holder) => {
                 let incarnation = holder.incarnation();
-                self.lease = Lease::Held(Box::new(Held { holder, sent: None }));
+                self.lease = Lease::Held(Box::new(Held {
+                    holder,
+                    pending_renewal: None,
+                }));
                 self.shared.claimed(incarnation);
                 spdlog::info!("lease taken", kv: { incarnation });
                 self.start(ctx);
@@ -214,10 +217,10 @@
     }
 }
 
-/// Sequence number that a join writes.
+/// Sequence number written by a join.
 const FIRST_SEQ: u64 = 1;
 
-/// Lease in a row of the table; a malformed row counts as none, and the next write mends it.
+/// Parses the lease in a table row. A malformed row counts as absent; the next write replaces it.
 pub(super) fn parse_lease(row: &Row) -> Option<VersionedLease> {
     Some(VersionedLease {
         version: row.version,
--- a/crates/daemon/src/process/control/list.rs
+++ b/crates/daemon/src/process/control/list.rs
@@ -1,7 +1,7 @@
-//! The platform's list: which instances and upstreams there are.
+//! The platform's list of instances and upstreams.
 //!
-//! The list lags and may be stale for long. It adds what it names; it removes an upstream only
-//! when a later list leaves it out, and it never makes a leaving upstream live again.
+//! The list lags and may be stale for long periods. It adds the upstreams that it contains, removes
+//! an upstream only when a later list omits it, and never makes a leaving upstream live again.
 
 use crate::process::{
     control::Control,
@@ -39,48 +39,48 @@
     time::Duration, //
 };
 
-/// Time between two daemons' reads of the list, on average: a hundred a second in all.
+/// Average interval between list reads of different daemons: a hundred a second in total.
 const LIST_SPACING: Duration = Duration::from_millis(10);
 
 impl Control {
-    /// Reads the list now and again after its interval.
+    /// Reads the list, and schedules the next read.
     pub(super) fn read_list(&mut self, ctx: &mut Context<Self>) {
         let platform = Rc::clone(&self.platform);
         let read = async move { platform.list().await };
         ctx.spawn(read.into_actor(self).map(|read, control, ctx| {
-            control.note_call("list", read.is_ok());
+            control.count_platform_call("list", read.is_ok());
             if let Ok(list) = read {
-                control.take_list(list);
+                control.apply_list(list);
             }
-            control.begin_adoption(ctx);
-            let interval = control.spaced(control.shared.settings.terms.list, LIST_SPACING);
+            control.start_adoption(ctx);
+            let interval = control.fleet_interval(control.shared.settings.terms.list, LIST_SPACING);
             let interval = control.jittered(interval);
             ctx.run_later(interval, Self::read_list);
         }));
     }
 
-    fn take_list(&mut self, list: List) {
+    fn apply_list(&mut self, list: List) {
         let now = self.now();
         let facts = PlatformList {
             age: self.list_age(list.as_of_ms),
             instances: list.instances.iter().map(instance_facts).collect(),
             upstreams: list.upstreams.iter().map(upstream_facts).collect(),
         };
-        self.picture.apply_list(&facts, now);
-        self.take_upstreams(&list.upstreams);
+        self.membership_view.apply_list(&facts, now);
+        self.update_pools(&list.upstreams);
         self.join_pools();
         self.set_partners();
         self.publish();
     }
 
-    /// Age of what was true at `as_of_ms` of the platform's clock, at least zero.
+    /// Age of a state as of `as_of_ms` on the platform's clock; clamped at zero.
     fn list_age(&self, as_of_ms: u64) -> Duration {
         let wall_ms = self.shared.clock.wall_ms(self.now());
         Duration::from_millis(wall_ms.saturating_sub(as_of_ms))
     }
 
     /// Updates the pools of this region.
-    fn take_upstreams(&mut self, listed: &[ListedUpstream]) {
+    fn update_pools(&mut self, listed: &[ListedUpstream]) {
         let own = &self.shared.settings.region;
         let mut by_service: BTreeMap<ServiceId, Vec<&ListedUpstream>> = BTreeMap::new();
         for upstream in listed.iter().filter(|upstream| upstream.region == *own) {
@@ -95,7 +95,7 @@
                 .pools
                 .entry(service.clone())
                 .or_insert_with(|| Arc::new(Pool::new(service)));
-            update_pool(pool, &listed, &self.picture);
+            update_pool(pool, &listed, &self.membership_view);
         }
     }
 }
@@ -126,16 +126,18 @@
     }
 }
 
-/// Keeps the upstreams that stay, with what was seen of them, and adds the new ones.
-fn update_pool(pool: &Pool, listed: &[&ListedUpstream], picture: &MembershipView) {
-    let present = pool.upstreams();
+/// Replaces the pool's upstreams; unchanged ones keep their observed state.
+fn update_pool(pool: &Pool, listed: &[&ListedUpstream], membership_view: &MembershipView) {
+    let current = pool.upstreams();
     let mut next: BTreeMap<UpstreamId, Arc<Upstream>> = BTreeMap::new();
     for listed in listed {
-        let known = present.iter().find(|known| {
-            known.id == listed.id && known.addr == listed.addr && known.listed_slots == listed.slots
+        let matching = current.iter().find(|upstream| {
+            upstream.id == listed.id
+                && upstream.addr == listed.addr
+                && upstream.listed_slots == listed.slots
         });
-        let upstream = match known {
-            Some(known) => Arc::clone(known),
+        let upstream = match matching {
+            Some(matching) => Arc::clone(matching),
             None => Arc::new(Upstream::new(
                 listed.id.clone(),
                 listed.addr.clone(),
@@ -143,18 +145,18 @@
                 listed.slots,
             )),
         };
-        let leaves = picture
+        let is_leaving = membership_view
             .upstream(&listed.id)
             .is_some_and(|facts| facts.is_leaving());
-        upstream.set_leaving(leaves);
+        upstream.set_leaving(is_leaving);
         next.insert(listed.id.clone(), upstream);
     }
-    let same = present.len() == next.len()
-        && present
+    let is_unchanged = current.len() == next.len()
+        && current
             .iter()
             .zip(next.values())
             .all(|(before, after)| Arc::ptr_eq(before, after));
-    if !same {
+    if !is_unchanged {
         pool.set_upstreams(next.into_values().collect());
     }
 }
--- a/crates/daemon/src/process/control/mod.rs
+++ b/crates/daemon/src/process/control/mod.rs
@@ -1,30 +1,30 @@
-//! Control: the one thread that owns every state machine of the process.
+//! The control actor, which owns all state machines of the process on a single thread.
 //!
-//! [`Control`] is an actor. It takes events (answers of the platform, frames of peers, operators'
-//! requests, ticks), feeds them to the state machines of the pure crates, carries their actions
-//! out, and publishes a new snapshot when the picture changed. Traffic threads never wait for it.
+//! [`Control`] receives events (platform responses, peer frames, operator requests, ticks), feeds
+//! them to the state machines of the I/O-free crates, executes the resulting actions, and publishes
+//! a new snapshot when the known state changed. Traffic threads never wait for it.
 //!
 //! Each module has one concern:
 //!
 //! - `lease`: the incarnation and its lease in the table.
 //! - `list`: the platform's list of instances and upstreams.
-//! - `beats`: sessions to other daemons and the heartbeats on them.
-//! - `shares`: this instance's part of slots and caps.
-//! - `steering`: slow start, suspicion, and what other regions say of themselves.
-//! - `claims`: callers' keys, claimed in the table for traffic threads.
+//! - `heartbeats`: sessions to other daemons and the heartbeats sent over them.
+//! - `shares`: this instance's share of slots and caps.
+//! - `steering`: slow start and failure detection of upstreams, and load reports of other regions.
+//! - `claims`: caller keys, claimed in the table on behalf of traffic threads.
 //! - `config`: the accepted configuration.
-//! - `outcomes`: what came of tickets, written to the table for when this process is gone.
+//! - `outcomes`: ticket outcomes, written to the table so that they outlive this process.
 //! - `publish`: the snapshot for traffic threads.
-//! - `handover`: filings at a planned stop.
+//! - `handover`: transfer of filings during a planned stop.
 //! - `stopping`: the planned stop.
-//! - `status`: what operators see.
-//! - `gauges`: what metrics show of control's state.
+//! - `status`: state reported to operators.
+//! - `gauges`: metrics of control's state.
 
-mod beats;
 mod claims;
 mod config;
 mod gauges;
 mod handover;
+mod heartbeats;
 mod lease;
 mod list;
 mod outcomes;
@@ -55,14 +55,14 @@
 
 use crate::process::{
     control::{
-        beats::Telling,
         claims::Claims,
         config::Versions,
+        heartbeats::SentState,
         lease::Lease,
         outcomes::Outcomes,
         shares::{
-            Shared as Share,
-            Told, //
+            PoolMembership,
+            SentHeartbeat, //
         },
         steering::Steering,
         stopping::Stopping, //
@@ -117,103 +117,103 @@
 };
 use tokio::sync::oneshot;
 
-/// Part of an interval by which it varies, so that daemons don't act in step.
+/// Fraction by which intervals vary, so that daemons don't act in lockstep.
 const JITTER: f64 = 0.2;
-/// Time between ticks.
+/// Interval between ticks.
 const TICK: Duration = Duration::from_millis(100);
-/// Time between the slower ticks.
+/// Interval between slow ticks.
 const SLOW_TICK: Duration = Duration::from_secs(1);
 
-/// How control ended.
+/// Why control ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum End {
-    /// By a planned stop.
+    /// A planned stop completed.
     Planned,
     /// Another incarnation took the lease.
     Superseded,
-    /// The long term of its lease is over, so that only the next incarnation can take part.
+    /// The long-term lease expired; only a new incarnation can rejoin.
     Lapsed,
-    /// Control is gone without a word.
+    /// Control stopped without reporting a reason.
     ControlLost,
 }
 
 impl End {
-    /// What the process ends with.
+    /// Converts the reason into the result of the process.
     pub(crate) fn into_result(self) -> eyre::Result<()> {
         match self {
             Self::Planned => Ok(()),
-            Self::Superseded => bail!("another incarnation of this instance has the lease"),
-            Self::Lapsed => bail!("the lease lapsed for good; start this instance anew"),
+            Self::Superseded => bail!("another incarnation of this instance holds the lease"),
+            Self::Lapsed => bail!("the long-term lease expired; restart this instance"),
             Self::ControlLost => bail!("control ended without a planned stop"),
         }
     }
 }
 
-/// State of control.
+/// State of the control actor.
 pub(crate) struct Control {
     shared: Arc<Shared>,
     platform: Rc<HttpPlatform>,
     rng: SmallRng,
-    /// When the incarnation was claimed.
+    /// Time at which the incarnation was claimed.
     started_at: Now,
-    /// When the slower ticks last ran.
-    slow_at: Now,
+    /// Time of the last slow tick.
+    slow_ticked_at: Now,
     stage: Stage,
-    /// The planned stop, once it was asked for.
+    /// Stage of the planned stop, once requested.
     stopping: Option<Stopping>,
 
     lease: Lease,
-    /// When the last step of the join was sent.
+    /// Time at which the last step of the join was sent.
     join_sent_at: Now,
-    /// Newest confirmed renewal: sequence number, and when it was sent.
+    /// Sequence number and send time of the newest confirmed renewal.
     renewal: Option<(u64, Now)>,
     /// Another incarnation took the lease.
     superseded: bool,
-    /// The long term of this incarnation's lease is over.
+    /// The long-term lease of this incarnation expired.
     lapsed: bool,
-    /// Told how control ended.
-    ended: Option<oneshot::Sender<End>>,
+    /// Receives the reason when control ends.
+    end_sender: Option<oneshot::Sender<End>>,
 
     peers_listener: Option<TcpListener>,
     mesh: Option<Mesh>,
-    picture: MembershipView,
-    /// Those that sessions are kept to.
+    membership_view: MembershipView,
+    /// Instances to which sessions are maintained.
     partners: Vec<InstanceId>,
-    beat_seq: u64,
-    /// Something was learnt that partners should hear at once.
-    beat_news: bool,
-    /// What each peer was told.
-    tellings: BTreeMap<InstanceId, Telling>,
-    beats_sent: BTreeMap<InstanceId, BTreeMap<PoolId, Told>>,
+    heartbeat_seq: u64,
+    /// Send a heartbeat to every peer at the next tick.
+    heartbeat_requested: bool,
+    /// State last sent to each peer in heartbeats.
+    sent_states: BTreeMap<InstanceId, SentState>,
+    sent_member_heartbeats: BTreeMap<InstanceId, BTreeMap<PoolId, SentHeartbeat>>,
 
     versions: Versions,
-    /// Configuration in force, with its version.
+    /// Configuration in force and its version.
     config: Option<(Version, Arc<Config>)>,
     blocks: Arc<Table>,
 
     pools: BTreeMap<ServiceId, Arc<Pool>>,
-    /// Links to the other regions.
+    /// Links to other regions.
     links: BTreeMap<RegionId, Arc<Link>>,
-    shares: BTreeMap<PoolId, Share>,
+    shares: BTreeMap<PoolId, PoolMembership>,
     steering: Steering,
-    /// Since when operators drain the whole region.
+    /// Time at which operators began to drain the whole region.
     drained_at: Option<Now>,
     claims: Claims,
     outcomes: Outcomes,
 }
 
 impl Control {
-    /// Makes control of a process that has just started.
+    /// Creates the control state of a process that has just started.
     pub(crate) fn new(
         shared: Arc<Shared>,
         peers_listener: TcpListener,
-        ended: oneshot::Sender<End>,
+        end_sender: oneshot::Sender<End>,
     ) -> Self {
         let settings = &shared.settings;
         let terms = &settings.terms;
         let timeout = terms.platform_timeout;
         let platform = HttpPlatform::new(settings.platform_url.to_string(), timeout, timeout);
-        let picture_terms = ViewTimeouts {
+        let view_timeouts = ViewTimeouts {
             fresh_for: terms.beat_silent.mul_f32(0.7),
             old_for: terms.beat_silent,
             ..ViewTimeouts::default()
@@ -222,7 +222,7 @@
             platform: Rc::new(platform),
             rng: SmallRng::seed_from_u64(rand::random()),
             started_at: Now::ZERO,
-            slow_at: Now::ZERO,
+            slow_ticked_at: Now::ZERO,
             stage: Stage::Starting,
             stopping: None,
             lease: Lease::Joining(None),
@@ -230,15 +230,15 @@
             renewal: None,
             superseded: false,
             lapsed: false,
-            ended: Some(ended),
+            end_sender: Some(end_sender),
             peers_listener: Some(peers_listener),
             mesh: None,
-            picture: MembershipView::new(settings.instance.clone(), picture_terms),
+            membership_view: MembershipView::new(settings.instance.clone(), view_timeouts),
             partners: Vec::new(),
-            beat_seq: 0,
-            beat_news: true,
-            tellings: BTreeMap::new(),
-            beats_sent: BTreeMap::new(),
+            heartbeat_seq: 0,
+            heartbeat_requested: true,
+            sent_states: BTreeMap::new(),
+            sent_member_heartbeats: BTreeMap::new(),
             versions: Versions::default(),
             config: None,
             blocks: Arc::default(),
@@ -262,29 +262,30 @@
         self.config.as_ref().map_or(0, |(version, _)| *version)
     }
 
-    /// `interval`, varied a little.
+    /// Applies random jitter to `interval`.
     fn jittered(&mut self, interval: Duration) -> Duration {
         let factor = 1.0 + JITTER * (self.rng.random::<f64>() - 0.5);
         interval.mul_f64(factor)
     }
 
-    /// `interval`, longer where so many daemons do the same that they would be closer together than
-    /// `spacing` on average.
+    /// Returns `interval`, extended so that calls of all daemons are at least `spacing` apart on
+    /// average.
     ///
-    /// What goes wrong otherwise: the platform takes several hundred writes and about two thousand
-    /// reads a second, whatever the number of daemons, and a large deployment's routine would
-    /// leave no room for what cannot wait. One would notice slow renewals all over.
-    fn spaced(&self, interval: Duration, spacing: Duration) -> Duration {
-        let daemons = u32::try_from(self.picture.instances().count() + 1).unwrap_or(u32::MAX);
+    /// The platform handles several hundred writes and about two thousand reads a second,
+    /// regardless of the number of daemons. Without this limit, periodic calls of a large
+    /// deployment would crowd out urgent ones and slow lease renewals everywhere.
+    fn fleet_interval(&self, interval: Duration, spacing: Duration) -> Duration {
+        let daemons =
+            u32::try_from(self.membership_view.instances().count() + 1).unwrap_or(u32::MAX);
         interval.max(spacing * daemons)
     }
 
-    fn note_call(&self, call: &'static str, done: bool) {
+    fn count_platform_call(&self, call: &'static str, done: bool) {
         let result = if done { "done" } else { "failed" };
         metrics::counter!(metric::PLATFORM_CALLS, "call" => call, "result" => result).increment(1);
     }
 
-    /// Starts what needs an incarnation.
+    /// Starts the activities that require an incarnation.
     fn start(&mut self, ctx: &mut Context<Self>) {
         self.started_at = self.now();
         self.start_mesh(ctx);
@@ -299,33 +300,33 @@
         self.tick_shares(ctx);
         self.tick_steering();
         self.tick_versions(ctx);
-        self.tick_beats();
+        self.tick_heartbeats();
         self.tick_stopping(ctx);
         self.tick_slow(ctx);
         metrics::histogram!(metric::CONTROL_TICK).record(started.elapsed().as_secs_f64());
     }
 
-    /// Runs once a second what need not run at each tick.
+    /// Runs once a second the work that is not needed at each tick.
     fn tick_slow(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
-        if now < self.slow_at + SLOW_TICK {
+        if now < self.slow_ticked_at + SLOW_TICK {
             return;
         }
-        self.slow_at = now;
+        self.slow_ticked_at = now;
         if self.shares_dead() && !self.is_stopping() {
-            spdlog::error!("this incarnation lapsed for good; this process ends");
+            spdlog::error!("the long-term lease of this incarnation expired; this process exits");
             self.lapsed = true;
             ctx.stop();
             return;
         }
         self.observe_leases(ctx);
         self.set_partners();
-        self.forget_filings();
+        self.expire_filings();
         self.tick_outcomes(ctx);
-        self.unpark_claims(ctx);
+        self.retry_deferred_claims(ctx);
         self.export_gauges();
         self.shared.metrics.run_upkeep();
-        // Silence alone changes who is named in look-ups.
+        // The passage of time alone changes which instances look-ups return.
         self.publish();
     }
 }
@@ -345,9 +346,9 @@
         } else {
             End::Planned
         };
-        if let Some(ended) = self.ended.take() {
-            // Without a receiver the process is ending already.
-            let _ = ended.send(end);
+        if let Some(end_sender) = self.end_sender.take() {
+            // Without a receiver the process is already exiting.
+            let _ = end_sender.send(end);
         }
     }
 }
@@ -356,11 +357,11 @@
     fn handle(&mut self, note: Note, ctx: &mut Self::Context) {
         match note {
             Note::Leaving(upstream) => {
-                spdlog::info!("upstream leaves", kv: { upstream = upstream.to_string() });
+                spdlog::info!("upstream is leaving", kv: { upstream = upstream.to_string() });
                 let now = self.now();
-                self.picture
+                self.membership_view
                     .mark_upstream_leaving(&upstream, Duration::ZERO, now);
-                self.beat_soon();
+                self.request_heartbeats();
             }
             Note::Claim(wanted) => self.claim(wanted, ctx),
             Note::Ended(insert) => self.write_outcome(insert, ctx),
@@ -369,6 +370,6 @@
         }
     }
 
-    /// The sender lives as long as the process.
+    /// The sender lives as long as the process, so the stream does not end.
     fn finished(&mut self, _ctx: &mut Self::Context) {}
 }
--- a/crates/daemon/src/process/control/publish.rs
+++ b/crates/daemon/src/process/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: builds the snapshot that traffic threads decide from.
+//! Builds and publishes the snapshot that traffic threads use.
 
 use crate::{
     process::{
@@ -46,14 +46,14 @@
     ShiftCap, //
 };
 
-/// Time for which a region that operators drain goes on with what can't leave it yet.
+/// Time during which a drained region still serves work that cannot be shifted yet.
 ///
-/// A shift may grow no faster than its cap allows. Were the upstreams closed at once, the work
-/// above that would be refused, as if the planned stop were an outage.
+/// A shift may grow no faster than its cap allows. If the upstreams were closed at once, work above
+/// that rate would be refused, as if the drain were an outage.
 const DRAIN_GRACE: Duration = Duration::from_millis(1500);
 
 impl Control {
-    /// Publishes what is known now.
+    /// Publishes a snapshot of the current state.
     pub(super) fn publish(&mut self) {
         let Some((version, config)) = self.config.clone() else {
             return;
@@ -69,8 +69,8 @@
             .collect();
         let own = &self.shared.settings.region;
         let Some(own) = regions.iter().position(|region| region.id == *own) else {
-            // An accepted configuration that leaves out this region stops nothing here: the last
-            // snapshot stays until the configuration names the region again.
+            // A configuration that omits this region does not stop service here: the last snapshot
+            // stays in force until a configuration contains the region again.
             return;
         };
         metrics::gauge!(metric::VERSION).set(version as f64);
@@ -99,7 +99,7 @@
             };
             let targets: Vec<ClassTarget> = of_service().map(admission_of).collect();
             let place = of_service().position(|other| other.id == class.id);
-            let place = place.expect("a class is one of its service's");
+            let place = place.expect("the class is one of its service's classes");
             let admit = AdmissionControl::new(targets, QUEUE_MAX);
             let before = |other: &usize| admit.outranks(*other, place);
             let view = ClassView {
@@ -126,17 +126,18 @@
         }
     }
 
-    /// Entries of a region that look-ups may name, this one included.
+    /// Entries of a region that look-ups may return, including this one.
     ///
-    /// Entries in a drained failure domain are left out while there are others.
+    /// Entries in a drained failure domain are omitted while others exist.
     fn entries_of(&self, config: &Config, region: &RegionId) -> Vec<Entry> {
         let settings = &self.shared.settings;
-        let lost = self.lost_partners();
-        let candidates = self.picture.candidates(self.now()).into_iter();
-        let candidates = candidates.filter(|it| !lost.contains(&it.identity.instance));
-        // An instance that was heard of and serves no version yet has just started.
+        let disconnected = self.disconnected_partners();
+        let candidates = self.membership_view.candidates(self.now()).into_iter();
+        let candidates = candidates.filter(|it| !disconnected.contains(&it.identity.instance));
+        // An instance with a known incarnation but no version has just started and does not serve
+        // yet.
         let candidates = candidates.filter(|candidate| {
-            let facts = self.picture.instance(&candidate.identity.instance);
+            let facts = self.membership_view.instance(&candidate.identity.instance);
             candidate.incarnation == 0 || facts.is_some_and(|facts| facts.version > 0)
         });
         let others = candidates.map(|candidate| (candidate.identity, candidate.incarnation));
@@ -164,12 +165,12 @@
         entries
     }
 
-    /// Partners to which no session stands any more.
+    /// Partners without an open session.
     ///
-    /// A process that died is silent for seconds before the picture says so, and look-ups name it
-    /// meanwhile; its connections break at once. A partner that only this daemon has lost is left
-    /// out of this daemon's answers alone, which harms nobody.
-    fn lost_partners(&self) -> Vec<InstanceId> {
+    /// The membership view takes seconds to mark a dead process as silent, and look-ups would
+    /// return it meanwhile, but its connections break at once. A partner that only this daemon has
+    /// lost is omitted only from this daemon's answers, which is harmless.
+    fn disconnected_partners(&self) -> Vec<InstanceId> {
         let Some(mesh) = &self.mesh else {
             return Vec::new();
         };
@@ -181,7 +182,7 @@
             .collect()
     }
 
-    /// Makes the links that the configuration's caps name, and sets their caps.
+    /// Creates the links named by the configuration's caps and sets their limits.
     fn update_links(&mut self, config: &Config) {
         let own = self.shared.settings.region.clone();
         let now = self.now();
@@ -198,22 +199,22 @@
         }
     }
 
-    /// Marks the upstreams that operators drain; those of a stopped drain open again.
+    /// Sets each upstream's drained flag from the drains in the configuration.
     fn apply_drains(&mut self, config: &Config) {
         let now = self.now();
         let region = &self.shared.settings.region;
-        let whole = config.has_drain(&DrainTarget::Region(region.clone()));
+        let region_drained = config.has_drain(&DrainTarget::Region(region.clone()));
         self.drained_at = match self.drained_at {
-            _ if !whole => None,
+            _ if !region_drained => None,
             None => Some(now),
             known => known,
         };
-        let whole = self.drained_at.is_some_and(|at| now >= at + DRAIN_GRACE);
+        let region_drained = self.drained_at.is_some_and(|at| now >= at + DRAIN_GRACE);
         for pool in self.pools.values() {
             for upstream in pool.upstreams().iter() {
                 let domain =
                     DrainTarget::FailureDomain(region.clone(), upstream.failure_domain.clone());
-                let drained = whole
+                let drained = region_drained
                     || config.has_drain(&domain)
                     || config.has_drain(&DrainTarget::Upstream(upstream.id.clone()));
                 upstream.drained.store(drained, Ordering::Release);
--- a/crates/daemon/src/process/control/shares/message.rs
+++ b/crates/daemon/src/process/control/shares/message.rs
@@ -1,4 +1,4 @@
-//! What members of a pool tell each other, and when a heartbeat of theirs is news.
+//! Messages between pool members, and the rule for when a member heartbeat is sent.
 
 use base::{
     Epoch,
@@ -20,24 +20,24 @@
     time::Duration, //
 };
 
-/// Longest that a member's beats to one peer stay away when nothing changed.
-const BEAT_UNCHANGED: Duration = Duration::from_secs(2);
+/// Maximum interval between member heartbeats to one peer when nothing changed.
+const UNCHANGED_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What members of a pool tell each other.
+/// Message between members of a pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) enum ShareMessage {
     /// Heartbeat of a member.
     Beat(PoolHeartbeat),
-    /// Tokens handed over.
+    /// Transfer of tokens.
     Give(Transfer),
-    /// A row that the receiver may not be able to read.
+    /// A row that the receiver may be unable to read itself.
     Row(Arc<Row>),
 }
 
-/// What a member last told one peer of a pool.
+/// Content of the member heartbeat last sent to one peer for a pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(in crate::process::control) struct Told {
+pub(in crate::process::control) struct SentHeartbeat {
     at: Now,
     epoch: Epoch,
     acked: bool,
@@ -47,8 +47,8 @@
     demand: u32,
 }
 
-impl Told {
-    /// What `beat` tells at `at`.
+impl SentHeartbeat {
+    /// Records the content of `beat` as sent at `at`.
     pub(super) fn of(beat: &PoolHeartbeat, at: Now) -> Self {
         Self {
             at,
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Whether the peer should hear of it, having last been told `last`.
-    pub(super) fn is_news_after(&self, last: &Self) -> bool {
-        let as_before = Self {
+    /// Whether it must be sent to a peer that was last sent `last`.
+    pub(super) fn is_due_after(&self, last: &Self) -> bool {
+        let at_same_time = Self {
             at: last.at,
             ..self.clone()
         };
-        as_before != *last || self.at >= last.at + BEAT_UNCHANGED
+        at_same_time != *last || self.at >= last.at + UNCHANGED_HEARTBEAT_INTERVAL
     }
 }
 
-/// The message as it goes to a peer.
+/// Encodes the message for a peer.
 pub(super) fn to_share(pool: &PoolId, message: &ShareMessage) -> Option<Share> {
     let payload = peer::to_payload(message).ok()?;
     Some(Share {
--- a/crates/daemon/src/process/control/shares/mod.rs
+++ b/crates/daemon/src/process/control/shares/mod.rs
@@ -1,15 +1,15 @@
-//! Capacity shares: runs crate `share`'s member of each pool.
+//! Capacity shares: runs a member state machine of crate `share` for each pool.
 //!
-//! A pool is one service in this region, or the cap from this region to another. At each tick the
-//! limits go out to the traffic threads first and the requests in flight are read after that: the
-//! other way round a request could start under the old limits and not be counted.
+//! A pool is either one service in this region, or the cap from this region to another. At each
+//! tick the limits are published to the traffic threads before the requests in flight are read. In
+//! the opposite order a request could start under the old limits without being counted.
 
 mod message;
 mod rows;
 mod tokens;
 
 pub(super) use self::{
-    message::Told,
+    message::SentHeartbeat,
     tokens::Tokens, //
 };
 
@@ -22,7 +22,7 @@
         commit_row,
         read_row,
         row_key,
-        Found, //
+        RowResult, //
     },
 };
 use crate::process::{
@@ -69,39 +69,41 @@
     time::Duration, //
 };
 
-/// Least time between two rows of a pool that only follow demand; a burst lasts a few seconds.
-const REBALANCE: Duration = Duration::from_secs(3);
-/// Time between reads of a pool's row while no peer tells of a newer one.
-const ROW_INTERVAL: Duration = Duration::from_secs(5);
-/// Wait between reads of a row that a peer told of.
-const RETRY: Duration = Duration::from_millis(200);
-/// Times that work in flight may outlive its lease, of which the least that suffices is taken.
+/// Minimum interval between two rows of a pool that differ only by demand; bursts last a few
+/// seconds.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval between reads of a pool's row while no peer reports a newer one.
+const ROW_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Delay between reads of a row of which a peer reported a newer epoch.
+const ROW_RETRY: Duration = Duration::from_millis(200);
+/// Steps of the grace period for work in flight after its lease expired; the shortest sufficient
+/// step is used.
 const GRACE_STEPS: [Duration; 4] = [
     Duration::from_secs(5),
     Duration::from_secs(30),
     Duration::from_secs(120),
     Duration::from_secs(600),
 ];
-/// Longest that a new entry waits for its part before it serves.
-const JOIN_LIMIT: Duration = Duration::from_secs(15);
+/// Maximum wait of a new entry for its share before it serves.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One pool that this instance is a member of.
-pub(super) struct Shared {
+/// Membership of this instance in one pool.
+pub(super) struct PoolMembership {
     pub(super) member: Member,
     pub(super) tokens: Tokens,
-    /// Version of the row in the table, with its epoch; the check of the next proposal.
+    /// Epoch and version of the row in the table; precondition of the next proposal.
     row_version: Option<(Epoch, u64)>,
-    /// A read or a proposal is under way.
-    busy: bool,
+    /// A read or a proposal is in progress.
+    is_call_pending: bool,
     read_at: Option<Now>,
-    /// Highest epoch that a peer told of.
-    heard_epoch: Epoch,
+    /// Highest epoch reported by a peer.
+    peer_epoch: Epoch,
 }
 
 impl Control {
-    /// Joins the pools that the configuration and the list name, once each.
+    /// Joins the pools given by the configuration and the list, once each.
     pub(super) fn join_pools(&mut self) {
-        // The terms of a pool depend on the classes, so a configuration comes first.
+        // The terms of a pool depend on the classes, so a configuration is required.
         let Some((_, config)) = self.config.clone() else {
             return;
         };
@@ -120,44 +122,44 @@
         let wanted: Vec<(PoolId, Tokens)> = slots.chain(caps).collect();
         for (id, tokens) in wanted {
             if !self.shares.contains_key(&id) {
-                let joined = self.new_share(id.clone(), tokens, &config);
+                let joined = self.new_membership(id.clone(), tokens, &config);
                 self.shares.insert(id, joined);
             }
         }
     }
 
-    fn new_share(&self, id: PoolId, tokens: Tokens, config: &Config) -> Shared {
+    fn new_membership(&self, id: PoolId, tokens: Tokens, config: &Config) -> PoolMembership {
         let me = MemberId {
             instance: self.shared.settings.instance.clone(),
             incarnation: self.shared.incarnation(),
         };
-        Shared {
+        PoolMembership {
             member: Member::new(me, id, self.share_terms(&tokens, config)),
             tokens,
             row_version: None,
-            busy: false,
+            is_call_pending: false,
             read_at: None,
-            heard_epoch: 0,
+            peer_epoch: 0,
         }
     }
 
-    /// Terms of a pool, alike at all its members.
+    /// Terms of a pool, identical for all its members.
     ///
-    /// What is in flight when a lease lapses may go on until its deadline: an entry that is frozen
-    /// holds its connections, and its upstreams their slots. Whoever took those slots earlier would
-    /// have an upstream queue. So the lapse allows for the longest deadline of the pool's classes,
-    /// which callers can't exceed. It is rounded up to a step, so that a small change of a target
-    /// does not set the members' terms apart.
+    /// Requests in flight when a lease lapses may continue until their deadline: a frozen entry
+    /// holds its connections, and its upstreams keep the slots occupied. Reassigning those slots
+    /// earlier would make an upstream queue requests. The grace period therefore covers the longest
+    /// deadline of the pool's classes, which callers can't exceed. It is rounded up to a step, so
+    /// that a small change of a target does not give the members different terms.
     fn share_terms(&self, tokens: &Tokens, config: &Config) -> share::Terms {
         let terms = &self.shared.settings.terms;
-        let concerns = |class: &&Class| match tokens {
+        let uses_pool = |class: &&Class| match tokens {
             Tokens::Slots(pool) => class.service == pool.service,
             Tokens::Cap(_) => true,
         };
         let longest = config
             .classes
             .iter()
-            .filter(concerns)
+            .filter(uses_pool)
             .map(|class| class.deadline)
             .max()
             .unwrap_or_default();
@@ -165,41 +167,43 @@
         share::Terms {
             short_ttl: terms.lease,
             long_ttl: terms.lease_floor,
-            rebalance_every: REBALANCE,
+            rebalance_every: REBALANCE_INTERVAL,
             grace: grace.unwrap_or(longest),
             ..share::Terms::default()
         }
     }
 
-    /// Tells every member of a confirmed renewal.
+    /// Passes a confirmed renewal to every member.
     pub(super) fn on_renewed(&mut self, seq: u64, sent_at: Now, now: Now) {
         self.renewal = Some((seq, sent_at));
-        for shared in self.shares.values_mut() {
-            shared.member.set_lease(seq, sent_at, now);
+        for membership in self.shares.values_mut() {
+            membership.member.set_lease(seq, sent_at, now);
         }
     }
 
-    /// Lets time pass for all pools.
+    /// Advances all pools.
     pub(super) fn tick_shares(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
         let leaving = self.stage == Stage::Refusing;
         let renewal = self.renewal;
         let mut actions = Vec::new();
-        for (id, shared) in &mut self.shares {
+        for (id, membership) in &mut self.shares {
             if let Some((seq, sent_at)) = renewal {
-                shared.member.set_lease(seq, sent_at, now);
+                membership.member.set_lease(seq, sent_at, now);
             }
             if leaving {
-                shared.member.leave();
+                membership.member.leave();
             }
-            let (capacity, demand) = shared.tokens.capacity_and_demand();
-            shared.member.set_capacity(capacity);
-            shared.member.set_demand(demand);
-            shared.tokens.publish(&shared.member.limits());
-            shared.member.set_in_flight(shared.tokens.in_flight());
-            let asked = shared.member.tick(now);
-            // A tick may have raised limits or lowered them for a gift.
-            shared.tokens.publish(&shared.member.limits());
+            let (capacity, demand) = membership.tokens.capacity_and_demand();
+            membership.member.set_capacity(capacity);
+            membership.member.set_demand(demand);
+            membership.tokens.publish(&membership.member.limits());
+            membership
+                .member
+                .set_in_flight(membership.tokens.in_flight());
+            let asked = membership.member.tick(now);
+            // A tick may have raised the limits, or lowered them for a transfer.
+            membership.tokens.publish(&membership.member.limits());
             actions.extend(asked.into_iter().map(|action| (id.clone(), action)));
         }
         for (id, action) in actions {
@@ -210,9 +214,9 @@
 
     fn run_share_action(&mut self, id: &PoolId, action: Action, ctx: &mut Context<Self>) {
         match action {
-            Action::Transfer(give) => {
-                let to = give.to.instance.clone();
-                self.send_share(&to, id, &ShareMessage::Give(give));
+            Action::Transfer(transfer) => {
+                let to = transfer.to.instance.clone();
+                self.send_share(&to, id, &ShareMessage::Give(transfer));
             }
             Action::SendRow { to, row } => {
                 self.send_share(&to.instance, id, &ShareMessage::Row(row));
@@ -228,86 +232,92 @@
         row: Row,
         ctx: &mut Context<Self>,
     ) {
-        let Some(shared) = self.shares.get_mut(id) else {
+        let Some(membership) = self.shares.get_mut(id) else {
             return;
         };
-        if shared.busy {
+        if membership.is_call_pending {
             return;
         }
-        let check = match (expect_epoch, shared.row_version) {
+        let check = match (expect_epoch, membership.row_version) {
             (None, None) => None,
             (Some(epoch), Some((known, version))) if known == epoch => Some(version),
-            // The row was learnt from a peer; its version has to be read before it is replaced.
+            // The row was received from a peer; its version must be read before it can be replaced.
             _ => {
-                shared.read_at = None;
+                membership.read_at = None;
                 return;
             }
         };
-        shared.busy = true;
+        membership.is_call_pending = true;
         let platform = Rc::clone(&self.platform);
         let key = row_key(id);
         let commit = async move { commit_row(&platform, key, check, row).await };
-        self.finish_with(id.clone(), "share", commit, ctx);
+        self.spawn_row_call(id.clone(), "share", commit, ctx);
     }
 
-    /// Reads the rows that are due, or that a peer told of.
+    /// Reads the rows that are due, or of which a peer reported a newer epoch.
     fn read_rows(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
-        let due = |shared: &Shared| {
-            let newer = shared.heard_epoch > shared.member.epoch();
-            let unread = shared.read_at.is_none_or(|at| now >= at + ROW_INTERVAL);
-            !shared.busy && (unread || newer && shared.read_at.is_none_or(|at| now > at + RETRY))
+        let due = |membership: &PoolMembership| {
+            let newer = membership.peer_epoch > membership.member.epoch();
+            let unread = membership
+                .read_at
+                .is_none_or(|at| now >= at + ROW_READ_INTERVAL);
+            !membership.is_call_pending
+                && (unread || newer && membership.read_at.is_none_or(|at| now > at + ROW_RETRY))
         };
         let ids: Vec<PoolId> = self
             .shares
             .iter()
-            .filter(|(_, shared)| due(shared))
+            .filter(|(_, membership)| due(membership))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
-            let shared = self.shares.get_mut(&id).expect("listed just now");
-            shared.busy = true;
-            shared.read_at = Some(now);
+            let membership = self
+                .shares
+                .get_mut(&id)
+                .expect("the id was read from the map");
+            membership.is_call_pending = true;
+            membership.read_at = Some(now);
             let platform = Rc::clone(&self.platform);
             let key = row_key(&id);
             let read = async move { read_row(&platform, key).await };
-            self.finish_with(id, "share", read, ctx);
+            self.spawn_row_call(id, "share", read, ctx);
         }
     }
 
-    fn finish_with(
+    fn spawn_row_call(
         &mut self,
         id: PoolId,
         call: &'static str,
-        found: impl Future<Output = Found> + 'static,
+        result: impl Future<Output = RowResult> + 'static,
         ctx: &mut Context<Self>,
     ) {
-        ctx.spawn(found.into_actor(self).map(move |found, control, _| {
-            control.note_call(call, !matches!(found, Found::Nothing));
-            control.on_found(&id, found);
+        ctx.spawn(result.into_actor(self).map(move |result, control, _| {
+            control.count_platform_call(call, !matches!(result, RowResult::Unknown));
+            control.on_row_result(&id, result);
         }));
     }
 
-    fn on_found(&mut self, id: &PoolId, found: Found) {
+    fn on_row_result(&mut self, id: &PoolId, result: RowResult) {
         let now = self.now();
-        let Some(shared) = self.shares.get_mut(id) else {
+        let Some(membership) = self.shares.get_mut(id) else {
             return;
         };
-        shared.busy = false;
-        match found {
-            Found::Row(version, row) => {
-                shared.row_version = Some((row.epoch, version));
-                shared.member.on_row(&Arc::new(row), now);
+        membership.is_call_pending = false;
+        match result {
+            RowResult::Row(version, row) => {
+                membership.row_version = Some((row.epoch, version));
+                membership.member.on_row(&Arc::new(row), now);
             }
-            Found::Absent => shared.member.on_row_absent(),
-            Found::Nothing => {}
+            RowResult::Absent => membership.member.on_row_absent(),
+            RowResult::Unknown => {}
         }
     }
 
-    /// Takes a message of another member.
+    /// Handles a message of another member.
     pub(super) fn on_share(&mut self, from: &InstanceId, incarnation: Incarnation, share: &Share) {
         let now = self.now();
-        let Some(shared) = self.shares.get_mut(&share.pool) else {
+        let Some(membership) = self.shares.get_mut(&share.pool) else {
             return;
         };
         let Ok(message) = peer::from_payload::<ShareMessage>(&share.payload) else {
@@ -319,13 +329,13 @@
         };
         match message {
             ShareMessage::Beat(beat) if beat.from == sender => {
-                shared.heard_epoch = shared.heard_epoch.max(beat.epoch);
-                shared.member.on_heartbeat(&beat, now);
+                membership.peer_epoch = membership.peer_epoch.max(beat.epoch);
+                membership.member.on_heartbeat(&beat, now);
             }
-            ShareMessage::Give(give) if give.from == sender => {
-                shared.member.on_transfer(&give, now)
+            ShareMessage::Give(transfer) if transfer.from == sender => {
+                membership.member.on_transfer(&transfer, now)
             }
-            ShareMessage::Row(row) => shared.member.on_row(&row, now),
+            ShareMessage::Row(row) => membership.member.on_row(&row, now),
             ShareMessage::Beat(_) | ShareMessage::Give(_) => {}
         }
     }
@@ -336,24 +346,24 @@
         }
     }
 
-    /// Members' heartbeats that are due for `to`.
-    pub(super) fn share_beats(&mut self, to: &InstanceId) -> Vec<Share> {
+    /// Member heartbeats due for `to`.
+    pub(super) fn member_heartbeats(&mut self, to: &InstanceId) -> Vec<Share> {
         let now = self.now();
-        let sent = self.beats_sent.entry(to.clone()).or_default();
+        let sent = self.sent_member_heartbeats.entry(to.clone()).or_default();
         let mut due = Vec::new();
-        for (id, shared) in &mut self.shares {
-            let beat = shared.member.heartbeat(now);
-            let told = Told::of(&beat, now);
-            if sent.get(id).is_some_and(|last| !told.is_news_after(last)) {
+        for (id, membership) in &mut self.shares {
+            let beat = membership.member.heartbeat(now);
+            let current = SentHeartbeat::of(&beat, now);
+            if sent.get(id).is_some_and(|last| !current.is_due_after(last)) {
                 continue;
             }
-            sent.insert(id.clone(), told);
+            sent.insert(id.clone(), current);
             due.extend(to_share(id, &ShareMessage::Beat(beat)));
         }
         due
     }
 
-    /// Reads the leases of members that were not heard of for a while.
+    /// Reads the leases of members without an open session.
     pub(super) fn observe_leases(&mut self, ctx: &mut Context<Self>) {
         let silent = self.silent_members();
         if silent.is_empty() {
@@ -364,7 +374,7 @@
         let keys: Vec<ByteString> = silent.iter().map(|id| lease_key(id)).collect();
         let read = async move { platform.read(&keys).await };
         ctx.spawn(read.into_actor(self).map(move |read, control, _| {
-            control.note_call("leases", read.is_ok());
+            control.count_platform_call("leases", read.is_ok());
             let now = control.now();
             let rows = read.unwrap_or_default();
             let leases = rows.iter().flatten().filter_map(parse_lease);
@@ -373,8 +383,8 @@
                     instance: lease.row.identity.instance.clone(),
                     incarnation: lease.row.incarnation,
                 };
-                for shared in control.shares.values_mut() {
-                    shared
+                for membership in control.shares.values_mut() {
+                    membership
                         .member
                         .observe_lease(&member, lease.row.seq, read_at, now);
                 }
@@ -382,9 +392,9 @@
         }));
     }
 
-    /// Instances in this region's rows that no session stands to.
+    /// Instances in this region's rows without an open session.
     fn silent_members(&self) -> Vec<InstanceId> {
-        let up: Vec<InstanceId> = match &self.mesh {
+        let connected: Vec<InstanceId> = match &self.mesh {
             Some(mesh) => mesh.peers().into_iter().map(|info| info.instance).collect(),
             None => Vec::new(),
         };
@@ -392,35 +402,35 @@
         let rows = self
             .shares
             .values()
-            .filter_map(|shared| shared.member.row());
+            .filter_map(|membership| membership.member.row());
         let mut silent: Vec<InstanceId> = rows
             .flat_map(|row| row.members.keys())
             .map(|member| member.instance.clone())
-            .filter(|instance| instance != me && !up.contains(instance))
+            .filter(|instance| instance != me && !connected.contains(instance))
             .collect();
         silent.sort();
         silent.dedup();
         silent
     }
 
-    /// Whether this entry has its part of every pool of slots, or has waited long enough.
+    /// Whether this entry has its share of every slot pool, or has waited for the maximum time.
     ///
-    /// A member that died without a word holds its part until its lease has lapsed; the rest of
+    /// A member that died without releasing its share holds it until its lease lapses; the rest of
     /// the region must not wait for that.
     pub(super) fn shares_joined(&self) -> bool {
-        let joined = |shared: &Shared| match &shared.tokens {
-            Tokens::Slots(pool) => pool.upstreams().is_empty() || shared.member.is_settled(),
+        let joined = |membership: &PoolMembership| match &membership.tokens {
+            Tokens::Slots(pool) => pool.upstreams().is_empty() || membership.member.is_settled(),
             Tokens::Cap(_) => true,
         };
-        let listed = self.picture.upstreams().next().is_some();
+        let listed = self.membership_view.upstreams().next().is_some();
         let all = listed && self.shares.values().all(joined);
-        all || self.now() >= self.started_at + JOIN_LIMIT
+        all || self.now() >= self.started_at + JOIN_TIMEOUT
     }
 
-    /// Whether every pool has given its tokens back, and its row says so.
+    /// Whether all tokens are released, and no row lists this member any more.
     ///
-    /// A member that ends while the row still lists it keeps its floor from the others until its
-    /// long term has lapsed.
+    /// A member that ends while the row still lists it withholds its floor from the others until
+    /// its long-term lease expires.
     pub(super) fn shares_released(&self) -> bool {
         let gone = |member: &Member| {
             let listed = member
@@ -428,15 +438,17 @@
                 .is_some_and(|row| row.members.contains_key(member.id()));
             member.is_released() && !listed
         };
-        self.shares.values().all(|shared| gone(&shared.member))
+        self.shares
+            .values()
+            .all(|membership| gone(&membership.member))
     }
 
-    /// Whether a pool counts this incarnation as gone for good.
+    /// Whether a pool counts this incarnation as permanently gone.
     ///
-    /// It can take part again only as the next incarnation, which a new process takes.
+    /// It can rejoin only as the next incarnation, which requires a new process.
     pub(super) fn shares_dead(&self) -> bool {
         let now = self.now();
         let mut members = self.shares.values();
-        members.any(|shared| shared.member.is_dead(now))
+        members.any(|membership| membership.member.is_dead(now))
     }
 }
--- a/crates/daemon/src/process/control/shares/rows.rs
+++ b/crates/daemon/src/process/control/shares/rows.rs
@@ -15,46 +15,46 @@
     Row, //
 };
 
-/// What a read or a proposal found in the table.
-pub(super) enum Found {
-    /// This row, in this version.
+/// Result of a read or a proposal.
+pub(super) enum RowResult {
+    /// The row and its version.
     Row(u64, Row),
-    /// No row.
+    /// The row is absent.
     Absent,
-    /// No answer that says what is there.
-    Nothing,
+    /// The content of the table is unknown.
+    Unknown,
 }
 
-/// Row that holds a pool's allotment.
+/// Key of the row that holds a pool's allotment.
 pub(super) fn row_key(id: &PoolId) -> ByteString {
     format!("share/{id}").into()
 }
 
-/// Reads the row.
-pub(super) async fn read_row(platform: &HttpPlatform, key: ByteString) -> Found {
+/// Reads a pool's row.
+pub(super) async fn read_row(platform: &HttpPlatform, key: ByteString) -> RowResult {
     match platform.read(&[key]).await {
-        Ok(rows) => found(rows.into_iter().next().flatten()),
-        Err(_) => Found::Nothing,
+        Ok(rows) => parse_row(rows.into_iter().next().flatten()),
+        Err(_) => RowResult::Unknown,
     }
 }
 
-fn found(row: Option<plat::Row>) -> Found {
+fn parse_row(row: Option<plat::Row>) -> RowResult {
     match row {
-        None => Found::Absent,
+        None => RowResult::Absent,
         Some(row) => match serde_json::from_str(&row.value) {
-            Ok(parsed) => Found::Row(row.version, parsed),
-            Err(_) => Found::Nothing,
+            Ok(parsed) => RowResult::Row(row.version, parsed),
+            Err(_) => RowResult::Unknown,
         },
     }
 }
 
-/// Replaces the row if it is still at the version of `check`; `None`: absent.
+/// Replaces the row if it is still at version `check`, or absent if `check` is `None`.
 pub(super) async fn commit_row(
     platform: &HttpPlatform,
     key: ByteString,
     check: Option<u64>,
     row: Row,
-) -> Found {
+) -> RowResult {
     let check = match check {
         Some(version) => Check::Version {
             key: key.clone(),
@@ -62,7 +62,7 @@
         },
         None => Check::Absent { key: key.clone() },
     };
-    let value = serde_json::to_string(&row).expect("a row is plain data");
+    let value = serde_json::to_string(&row).expect("an allotment row serialises to JSON");
     let txn = Txn {
         checks: vec![check],
         writes: vec![Write::Put {
@@ -71,10 +71,10 @@
         }],
     };
     match platform.commit(txn).await {
-        Outcome::Done(Commit::Committed { version }) => Found::Row(version, row),
-        Outcome::Done(Commit::Conflict { rows }) => found(rows.into_iter().next().flatten()),
-        // The row is read back: whether it was written is then known.
+        Outcome::Done(Commit::Committed { version }) => RowResult::Row(version, row),
+        Outcome::Done(Commit::Conflict { rows }) => parse_row(rows.into_iter().next().flatten()),
+        // Reading the row back shows whether it was written.
         Outcome::Unknown(_) => read_row(platform, key).await,
-        Outcome::NotDone(_) => Found::Nothing,
+        Outcome::NotDone(_) => RowResult::Unknown,
     }
 }
--- a/crates/daemon/src/process/control/shares/tokens.rs
+++ b/crates/daemon/src/process/control/shares/tokens.rs
@@ -1,4 +1,4 @@
-//! What a pool's tokens are for, and where traffic threads find them.
+//! The resources that a pool's tokens stand for, and their publication to traffic threads.
 
 use crate::process::{
     link::{
@@ -17,16 +17,16 @@
     sync::Arc, //
 };
 
-/// What a pool's tokens are for.
+/// Resource that a pool's tokens stand for.
 pub(in crate::process::control) enum Tokens {
     /// Slots of upstreams.
     Slots(Arc<Pool>),
-    /// Parts of the cap to another region.
+    /// The cap on requests to another region.
     Cap(Arc<Link>),
 }
 
 impl Tokens {
-    /// What the pool has to share, and how many tokens this entry could use now.
+    /// Total capacity of the pool, and the number of tokens that this entry could use now.
     pub(super) fn capacity_and_demand(&self) -> (Amounts, u32) {
         match self {
             Self::Slots(pool) => {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Lets traffic threads use what the limits say.
+    /// Publishes the limits to traffic threads.
     pub(super) fn publish(&self, limits: &Limits) {
         match self {
             Self::Slots(pool) => publish_slots(pool, limits),
--- a/crates/daemon/src/process/control/status.rs
+++ b/crates/daemon/src/process/control/status.rs
@@ -1,10 +1,10 @@
-//! What operators see of this daemon.
+//! State of this daemon as reported to operators.
 
 use crate::process::{
     burn::BUCKET,
     control::{
         lease::Lease,
-        shares::Shared as Share,
+        shares::PoolMembership,
         Control, //
     },
     pool::{
@@ -55,27 +55,27 @@
     time::Duration, //
 };
 
-/// Asks for the status.
+/// Requests the status.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Status")]
 pub(crate) struct GetStatus;
 
-/// Asks for the instances that are known.
+/// Requests the known instances.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Instances")]
 pub(crate) struct GetInstances;
 
-/// Asks for the drains in force, with what is in flight there.
+/// Requests the drains in force and the requests in flight under them.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Drains")]
 pub(crate) struct GetDrains;
 
-/// Asks for this instance's capacity shares.
+/// Requests this instance's capacity shares.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Shares")]
 pub(crate) struct GetShares;
 
-/// Asks for the counts of the burn report.
+/// Requests the counts for the burn report.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "Burn")]
 pub(crate) struct GetBurn;
@@ -141,7 +141,7 @@
             instance: self.shared.settings.instance.clone(),
             protected_ms: millis(self.lease_left()),
             pools: shares
-                .map(|(id, shared)| share_status(id, shared, now))
+                .map(|(id, membership)| share_status(id, membership, now))
                 .collect(),
         })
     }
@@ -190,9 +190,9 @@
         }
     }
 
-    /// All instances, this one included, sorted by name.
+    /// All instances, including this one, sorted by name.
     fn instance_statuses(&self) -> Vec<InstanceStatus> {
-        let others = self.picture.instances().map(|(_, facts)| facts);
+        let others = self.membership_view.instances().map(|(_, facts)| facts);
         let mut all: Vec<InstanceStatus> = others.map(|facts| self.other_status(facts)).collect();
         all.push(self.own_status());
         all.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -205,9 +205,9 @@
             incarnation: facts.incarnation,
             version: facts.version,
             state: facts.state,
-            freshness: self.picture.freshness(instance, self.now()),
+            freshness: self.membership_view.freshness(instance, self.now()),
             age_ms: self.age_ms(facts.as_of),
-            ..located(&facts.identity)
+            ..with_identity(&facts.identity)
         }
     }
 
@@ -223,7 +223,7 @@
             state,
             freshness: Freshness::Fresh,
             age_ms: Some(0),
-            ..located(&self.identity())
+            ..with_identity(&self.identity())
         }
     }
 
@@ -240,11 +240,11 @@
             in_flight.extend(drained.filter_map(|upstream| in_flight_at(pool, upstream)));
         }
         let domain = &self.shared.settings.failure_domain;
-        let own = covers(target, region, domain);
+        let covers_self = covers(target, region, domain);
         DrainStatus {
             target: target.clone(),
             in_flight,
-            active: own.then(|| self.shared.active.count()),
+            active: covers_self.then(|| self.shared.active.count()),
         }
     }
 
@@ -260,7 +260,7 @@
     }
 }
 
-/// Whether a drain of a failure domain or region covers this one.
+/// Whether the drain target is, or contains, the given failure domain.
 fn covers(target: &DrainTarget, region: &RegionId, domain: &DomainId) -> bool {
     match target {
         DrainTarget::Upstream(_) => false,
@@ -278,8 +278,8 @@
     })
 }
 
-/// Where an instance is; what is known of its life is filled in by the caller.
-fn located(identity: &Identity) -> InstanceStatus {
+/// Status with only the identity set; the caller fills in the rest.
+fn with_identity(identity: &Identity) -> InstanceStatus {
     InstanceStatus {
         instance: identity.instance.clone(),
         region: identity.region.clone(),
@@ -294,11 +294,11 @@
     }
 }
 
-fn share_status(id: &ByteString, shared: &Share, now: Now) -> ShareStatus {
-    let member = &shared.member;
+fn share_status(id: &ByteString, membership: &PoolMembership, now: Now) -> ShareStatus {
+    let member = &membership.member;
     let row = member.row();
     let capacity = row.map_or_else(Amounts::new, |row| row.resources.clone());
-    let used = shared.tokens.in_flight();
+    let used = membership.tokens.in_flight();
     let known = capacity.keys().chain(member.held().keys());
     let resources: BTreeSet<&ByteString> = known.collect();
     let amount = |amounts: &Amounts, id| amounts.get(id).copied().unwrap_or(0);
--- a/crates/daemon/src/process/control/steering/flows.rs
+++ b/crates/daemon/src/process/control/steering/flows.rs
@@ -1,4 +1,4 @@
-//! How much of one service arrives here, is carried here, and goes to other regions.
+//! Demand of one service that arrives here, is served here, and goes to other regions.
 
 use crate::{
     process::pool::{
@@ -26,57 +26,58 @@
     Demand, //
 };
 
-/// Time without a whole answer after which one request is to show what the region is like.
+/// Time without a completed response after which one request is kept in this region to sample its
+/// latency.
 const SAMPLE_GAP: Duration = Duration::from_secs(1);
-/// Ticks that the shift to another region is remembered.
-const HISTORY: usize = 50;
+/// Number of ticks for which the shift to another region is recorded.
+const HISTORY_TICKS: usize = 50;
 
-/// What came in the last tick.
+/// Requests counted during the last tick.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Ticked {
-    /// Requests that asked for a slot or were sent elsewhere.
+pub(super) struct TickCounts {
+    /// Requests that needed a slot or were sent to another region.
     pub(super) offered: u32,
-    /// Those that waited for a slot or were refused one.
+    /// Requests that waited for a slot or were refused one.
     pub(super) unserved: u32,
 }
 
-/// Flows of one service at this entry.
+/// Demand of one service at this entry.
 #[derive(Debug)]
 pub(super) struct Flows {
     totals: CountTotals,
     ticked_at: Now,
-    service: Duration,
-    /// Latency that the next request may expect of an upstream here.
+    service_time: Duration,
+    /// Expected latency of the next request at an upstream of this region.
     expected: Duration,
-    completed_at: Now,
-    gap: Duration,
-    /// Work of this region's callers.
+    last_completed_at: Now,
+    completion_gap: Duration,
+    /// Demand of this region's callers.
     pub(super) arriving: Demand,
-    /// Slots that the queue here would keep busy for a second, in thousandths.
+    /// Slots that the local queue would occupy for one second, in thousandths.
     ///
-    /// It counts as demand when work is spilled: an entry that has got a queue, by chance or by the
-    /// slots that it lacks, would else only keep up with what arrives and never shorten it.
+    /// Spilling counts this as demand. Otherwise an entry with a queue, by chance or for lack of
+    /// slots, would only keep up with arrivals and never shorten its queue.
     pub(super) backlog_milli_slots: u64,
-    /// Work for this region's upstreams.
+    /// Demand on this region's upstreams.
     pub(super) carrying: Demand,
-    /// Slots open to this entry, and those in use.
+    /// Slots available to this entry, and those in use.
     pub(super) capacity: Capacity,
-    /// Work that goes to other regions.
-    pub(super) away: BTreeMap<RegionId, Away>,
+    /// Demand sent to each other region.
+    pub(super) outflows: BTreeMap<RegionId, Outflow>,
 }
 
-/// Work that goes to one other region.
+/// Demand sent to one other region.
 #[derive(Debug)]
-pub(super) struct Away {
+pub(super) struct Outflow {
     pub(super) flow: Arc<Flow>,
     total: u64,
     shifting: Demand,
     pub(super) allowance: Allowance,
-    /// Work that went there lately, in thousandths of a slot, oldest first.
+    /// Recently shifted demand in thousandths of a slot, oldest first.
     history: VecDeque<(Now, u64)>,
 }
 
-impl Away {
+impl Outflow {
     fn new(now: Now) -> Self {
         Self {
             flow: Arc::default(),
@@ -88,15 +89,15 @@
     }
 }
 
-impl Away {
-    fn remember(&mut self, now: Now) {
-        if self.history.len() == HISTORY {
+impl Outflow {
+    fn record_history(&mut self, now: Now) {
+        if self.history.len() == HISTORY_TICKS {
             self.history.pop_front();
         }
         self.history.push_back((now, self.shifting.milli_slots()));
     }
 
-    /// Work that went there at a moment of the last seconds, in thousandths of a slot.
+    /// Shifted demand as of `at`, a moment within the history, in thousandths of a slot.
     pub(super) fn shifting_at(&self, at: Now) -> u64 {
         let before = self.history.partition_point(|&(then, _)| then <= at);
         let known = self.history.get(before.saturating_sub(1));
@@ -109,84 +110,86 @@
         Self {
             totals: CountTotals::default(),
             ticked_at: now,
-            service: Duration::ZERO,
+            service_time: Duration::ZERO,
             expected: Duration::ZERO,
-            completed_at: now,
-            gap: Duration::ZERO,
+            last_completed_at: now,
+            completion_gap: Duration::ZERO,
             arriving: Demand::new(now),
             backlog_milli_slots: 0,
             carrying: Demand::new(now),
             capacity: Capacity::default(),
-            away: BTreeMap::new(),
+            outflows: BTreeMap::new(),
         }
     }
 
-    /// Takes in what traffic threads counted since the last tick, and tells them the pace.
-    pub(super) fn tick(&mut self, pool: &Pool, now: Now) -> Ticked {
+    /// Processes the counts of traffic threads since the last tick, and publishes the pace to them.
+    pub(super) fn tick(&mut self, pool: &Pool, now: Now) -> TickCounts {
         let totals = pool.counts.totals();
         let counts = totals.since(&self.totals);
         self.totals = totals;
         let elapsed = now.saturating_sub(self.ticked_at);
         self.ticked_at = now;
-        let completed = count(counts.completed);
+        let completed = saturating_u32(counts.completed);
         if let Some(mean) = Duration::from_micros(counts.held_us).checked_div(completed) {
-            self.service = smooth_latency(self.service, mean);
+            self.service_time = smooth_latency(self.service_time, mean);
         }
-        self.ask_for_sample(pool, completed > 0, now);
-        self.gap = if pool.waiting() == 0 {
+        self.request_sample(pool, completed > 0, now);
+        self.completion_gap = if pool.waiting() == 0 {
             Duration::ZERO
         } else {
-            let gap = elapsed.checked_div(completed).unwrap_or(elapsed);
-            smooth_latency(self.gap, gap)
+            let completion_gap = elapsed.checked_div(completed).unwrap_or(elapsed);
+            smooth_latency(self.completion_gap, completion_gap)
         };
-        pool.set_pace(self.service, self.gap);
-        self.arriving.tick(now, count(counts.arrived), self.service);
-        self.carrying.tick(now, count(counts.carried), self.service);
-        let service_ms = u64::try_from(self.service.as_millis()).unwrap_or(u64::MAX);
+        pool.set_pace(self.service_time, self.completion_gap);
+        self.arriving
+            .tick(now, saturating_u32(counts.arrived), self.service_time);
+        self.carrying
+            .tick(now, saturating_u32(counts.carried), self.service_time);
+        let service_ms = u64::try_from(self.service_time.as_millis()).unwrap_or(u64::MAX);
         self.backlog_milli_slots = u64::from(pool.waiting()).saturating_mul(service_ms);
         pool.set_usual(self.carrying.milli_slots());
-        for away in self.away.values_mut() {
-            let total = away.flow.total();
-            let sent = count(total - away.total);
-            away.total = total;
-            away.shifting.tick(now, sent, self.service);
-            away.remember(now);
+        for outflow in self.outflows.values_mut() {
+            let total = outflow.flow.total();
+            let sent = saturating_u32(total - outflow.total);
+            outflow.total = total;
+            outflow.shifting.tick(now, sent, self.service_time);
+            outflow.record_history(now);
         }
-        Ticked {
-            offered: count(counts.arrived.max(counts.carried)),
-            unserved: count(counts.unserved),
+        TickCounts {
+            offered: saturating_u32(counts.arrived.max(counts.carried)),
+            unserved: saturating_u32(counts.unserved),
         }
     }
 
-    /// Lets a request stay here now and then, whatever is expected of the region.
+    /// Keeps one request in this region from time to time, whatever the expected latency.
     ///
-    /// Work goes to another region while this one is expected to be slower, and what is expected
-    /// here comes from the answers given here. Without any, a slow moment would hold for ever: one
-    /// would notice a region whose upstreams idle long after they have recovered.
-    fn ask_for_sample(&mut self, pool: &Pool, any_completed: bool, now: Now) {
+    /// Work is sent to another region while this one is expected to be slower, and the expectation
+    /// comes from responses in this region. Without any responses a transient slowdown would
+    /// persist: a region would stay unused long after its upstreams recovered.
+    fn request_sample(&mut self, pool: &Pool, any_completed: bool, now: Now) {
         if any_completed {
-            self.completed_at = now;
-        } else if now.saturating_sub(self.completed_at) >= SAMPLE_GAP {
-            self.completed_at = now;
+            self.last_completed_at = now;
+        } else if now.saturating_sub(self.last_completed_at) >= SAMPLE_GAP {
+            self.last_completed_at = now;
             pool.set_sample_due();
         }
     }
 
-    /// Takes the typical latency of the upstreams that take work.
+    /// Sets the expected latency to the median of upstreams that accept work.
     ///
-    /// The mean of all answers would hold it against the region that one of its upstreams is slow,
-    /// which the choice of the upstream avoids.
-    pub(super) fn expect(&mut self, pool: &Pool, typical: Option<Duration>) {
-        self.expected = typical.unwrap_or(self.service);
+    /// The mean over all responses would let one slow upstream, which upstream selection avoids,
+    /// count against the whole region.
+    pub(super) fn set_expected(&mut self, pool: &Pool, typical: Option<Duration>) {
+        self.expected = typical.unwrap_or(self.service_time);
         pool.set_expected(self.expected);
     }
 
-    /// Latency that the next request may expect of an upstream here.
+    /// Expected latency of the next request at an upstream of this region.
     pub(super) fn expected(&self) -> Duration {
         self.expected
     }
 
-    /// Counts the slots that are open, once the limits are set.
+    /// Counts the open slots, after the limits are set.
     pub(super) fn count_open(&mut self, pool: &Pool, now: Now) {
         let right = pool.lease.right(now);
         let upstreams = pool.upstreams();
@@ -195,14 +198,14 @@
         self.capacity = Capacity::of(&views);
     }
 
-    /// Work that goes to `region`.
-    pub(super) fn away(&mut self, region: &RegionId, now: Now) -> &mut Away {
-        self.away
+    /// Demand sent to `region`.
+    pub(super) fn outflow(&mut self, region: &RegionId, now: Now) -> &mut Outflow {
+        self.outflows
             .entry(region.clone())
-            .or_insert_with(|| Away::new(now))
+            .or_insert_with(|| Outflow::new(now))
     }
 }
 
-fn count(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/crates/daemon/src/process/control/steering/loads.rs
+++ b/crates/daemon/src/process/control/steering/loads.rs
@@ -1,7 +1,7 @@
-//! The upstreams' own word about their load, which lags and may mislead.
+//! Polls the upstreams' load reports, which lag and may be wrong.
 //!
-//! It may lower what an upstream is sent, and it may say that the upstream leaves or is cold; it
-//! never raises anything.
+//! A report can only reduce the work sent to an upstream, or mark the upstream as leaving or cold;
+//! it never raises a limit.
 
 use crate::process::{
     control::Control,
@@ -25,12 +25,12 @@
     time::Duration, //
 };
 
-/// Longest answer that is read, in bytes.
-const ANSWER_MAX_BYTES: usize = 4096;
-/// Longest that one poll may take.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4096;
+/// Timeout of one poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answer of `GET /load`.
+/// Response of `GET /load`.
 #[derive(Debug, Deserialize)]
 struct Load {
     slots: u32,
@@ -41,15 +41,15 @@
     as_of_ms: u64,
 }
 
-/// Polls under way.
+/// Polls in progress.
 #[derive(Default)]
-pub(super) struct Loads {
+pub(super) struct LoadPolls {
     client: Option<Client>,
-    /// Upstreams that have not answered the last poll yet; a slow one gets no second.
+    /// Upstreams whose last poll is still pending; they are not polled again meanwhile.
     asked: Rc<RefCell<BTreeSet<UpstreamId>>>,
 }
 
-impl fmt::Debug for Loads {
+impl fmt::Debug for LoadPolls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Loads")
             .field("asked", &self.asked)
@@ -58,7 +58,7 @@
 }
 
 impl Control {
-    /// Reads the upstreams' own word about their load, now and again after its interval.
+    /// Polls the upstreams' load reports, and schedules the next poll.
     pub(in crate::process::control) fn read_loads(&mut self, ctx: &mut Context<Self>) {
         let client = self
             .steering
@@ -83,25 +83,25 @@
         let (client, upstream) = (client.clone(), Arc::clone(upstream));
         let shared = Arc::clone(&self.shared);
         actix_rt::spawn(async move {
-            let read = tokio::time::timeout(PATIENCE, read(&client, &upstream.addr)).await;
+            let read = tokio::time::timeout(POLL_TIMEOUT, read(&client, &upstream.addr)).await;
             asked.borrow_mut().remove(&upstream.id);
             if let Ok(Some(load)) = read {
-                take(&shared, &upstream, &load);
+                apply_report(&shared, &upstream, &load);
             }
         });
     }
 }
 
 async fn read(client: &Client, addr: &ByteString) -> Option<Load> {
-    let mut answer = client
+    let mut response = client
         .get(format!("http://{addr}/load"))
         .send()
         .await
         .ok()?;
-    answer.json::<Load>().limit(ANSWER_MAX_BYTES).await.ok()
+    response.json::<Load>().limit(MAX_RESPONSE_BYTES).await.ok()
 }
 
-fn take(shared: &Shared, upstream: &Upstream, load: &Load) {
+fn apply_report(shared: &Shared, upstream: &Upstream, load: &Load) {
     let now = shared.now();
     let wall_ms = shared.clock.wall_ms(now);
     let age = Duration::from_millis(wall_ms.saturating_sub(load.as_of_ms));
--- a/crates/daemon/src/process/control/steering/mod.rs
+++ b/crates/daemon/src/process/control/steering/mod.rs
@@ -1,13 +1,14 @@
-//! Steering: slow start and suspicion of upstreams, and what regions say of themselves.
+//! Steering: slow start and failure detection of upstreams, and load reports of regions.
 //!
-//! At each tick control differences what traffic threads counted, feeds the state machines of
-//! crate `steer`, and publishes their verdicts: those on upstreams into the atomics of the pools,
-//! those on regions as an [`Outlook`](crate::version::Outlook).
+//! At each tick control computes what traffic threads counted since the last one, feeds the state
+//! machines of crate `steer`, and publishes their results: those for upstreams in the atomics of
+//! the pools, those for regions as an [`Outlook`](crate::version::Outlook).
 //!
-//! - `loads`: the upstreams' own word about their load.
-//! - `upstreams`: slow start and suspicion of each upstream.
-//! - `flows`: how much of each service arrives, is carried here, and goes elsewhere.
-//! - `regions`: summaries of regions, told and heard, and the outlook made of them.
+//! - `loads`: load reports of upstreams.
+//! - `upstreams`: slow start and failure detection of each upstream.
+//! - `flows`: demand per service that arrives here, is served here, or goes to other regions.
+//! - `regions`: load summaries sent to and received from other daemons, and the outlook derived
+//!   from them.
 
 mod flows;
 mod loads;
@@ -18,9 +19,9 @@
     control::{
         steering::{
             flows::Flows,
-            loads::Loads,
+            loads::LoadPolls,
             regions::Regions,
-            upstreams::Machines, //
+            upstreams::UpstreamMonitors, //
         },
         Control, //
     },
@@ -41,37 +42,38 @@
 pub(super) struct Steering {
     services: BTreeMap<ServiceId, Service>,
     regions: Regions,
-    loads: Loads,
+    loads: LoadPolls,
 }
 
 /// State machines of one service in this region.
 #[derive(Debug)]
 struct Service {
-    machines: Machines,
+    monitors: UpstreamMonitors,
     flows: Flows,
-    relief: StarvationDetector,
+    starvation: StarvationDetector,
 }
 
 impl Service {
     fn new(now: Now) -> Self {
         Self {
-            machines: Machines::default(),
+            monitors: UpstreamMonitors::default(),
             flows: Flows::new(now),
-            relief: StarvationDetector::default(),
+            starvation: StarvationDetector::default(),
         }
     }
 
     fn tick(&mut self, pool: &Arc<Pool>, now: Now) {
         let counts = self.flows.tick(pool, now);
-        let due = self.relief.tick(counts.offered, counts.unserved);
-        self.machines.tick(pool, now, due);
-        self.flows.expect(pool, self.machines.typical());
+        let force_open = self.starvation.tick(counts.offered, counts.unserved);
+        self.monitors.tick(pool, now, force_open);
+        self.flows
+            .set_expected(pool, self.monitors.median_latency());
         self.flows.count_open(pool, now);
     }
 }
 
 impl Control {
-    /// Feeds what traffic threads saw to the state machines.
+    /// Feeds the observations of traffic threads to the state machines.
     pub(super) fn tick_steering(&mut self) {
         let now = self.now();
         for (id, pool) in &self.pools {
