--- a/crates/daemon/src/process/control/steering/regions.rs
+++ b/crates/daemon/src/process/control/steering/regions.rs
@@ -1,7 +1,7 @@
-//! Summaries of regions, told and heard, and the outlook made of them.
+//! Load summaries sent to and received from other daemons, and the outlook derived from them.
 //!
-//! Within a region each daemon tells the others of its own part. To other regions goes the sum
-//! over what it heard of its own, so that what crosses regions does not grow with their entries.
+//! Within a region each daemon reports its own part. Other regions receive the sum over all known
+//! parts, so that traffic between regions does not grow with their number of entries.
 
 use crate::{
     process::control::{
@@ -41,63 +41,63 @@
     RegionEstimate,
 };
 
-/// Age at which what one daemon of the own region said is not counted any more.
-const PART_LIFE: Duration = Duration::from_secs(10);
-/// Part of the demand heard of, in percent, from which the own part shows a burst: beyond what
-/// chance makes of it.
+/// Age beyond which the part of another daemon in this region is ignored.
+const PART_MAX_AGE: Duration = Duration::from_secs(10);
+/// Own demand scaled to all entries, in percent of the reported demand, above which a burst is
+/// assumed; it exceeds random variation.
 const BURST_PCT: u64 = 130;
-/// Time in which a made-up demand arrives; see [`demand_of`].
-const SECOND: Duration = Duration::from_secs(1);
+/// Interval over which a synthetic demand arrives; see [`demand_of`].
+const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was heard of regions.
+/// Load reports received from other daemons.
 #[derive(Debug, Default)]
 pub(super) struct Regions {
-    /// Parts of the own region, by daemon.
-    parts: BTreeMap<(ServiceId, InstanceId), Heard>,
-    /// Other regions as a whole.
-    others: BTreeMap<(ServiceId, RegionId), Heard>,
-    links: BTreeMap<RegionId, Duration>,
-    /// What was handed to other daemons of the own region.
+    /// Parts of this region, by daemon.
+    parts: BTreeMap<(ServiceId, InstanceId), Report>,
+    /// Totals of other regions.
+    other_regions: BTreeMap<(ServiceId, RegionId), Report>,
+    round_trips: BTreeMap<RegionId, Duration>,
+    /// Requests handed to other daemons of this region.
     handed: BTreeMap<(ServiceId, InstanceId), Arc<Handed>>,
 }
 
-/// One summary, and when it was true.
+/// A received summary, and the time at which it was valid.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    sum: Sum,
-    true_at: Now,
+struct Report {
+    sum: LoadSum,
+    as_of: Now,
 }
 
 /// Load of one service in one region, or of a part of it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct LoadSum {
     arriving: Demand,
     carrying: Demand,
     open: u32,
     in_use: u32,
-    service: Duration,
+    service_time: Duration,
     entries: u32,
 }
 
-impl Sum {
+impl LoadSum {
     fn of(flows: &Flows) -> Self {
         Self {
             arriving: demand_of(flows.arriving.milli_slots() + flows.backlog_milli_slots),
             carrying: flows.carrying,
             open: flows.capacity.open,
             in_use: flows.capacity.in_flight,
-            service: flows.expected(),
+            service_time: flows.expected(),
             entries: 1,
         }
     }
 
-    fn heard(summary: &RegionSummary) -> Self {
+    fn from_summary(summary: &RegionSummary) -> Self {
         Self {
             arriving: demand_of(summary.arriving_milli_slots),
             carrying: demand_of(summary.carrying_milli_slots),
-            open: saturated(summary.slots),
-            in_use: saturated(summary.in_use),
-            service: Duration::from_micros(summary.latency_us),
+            open: saturating_u32(summary.slots),
+            in_use: saturating_u32(summary.in_use),
+            service_time: Duration::from_micros(summary.latency_us),
             entries: 1,
         }
     }
@@ -107,28 +107,28 @@
         self.carrying.add(&other.carrying);
         self.open = self.open.saturating_add(other.open);
         self.in_use = self.in_use.saturating_add(other.in_use);
-        self.service = self.service.max(other.service);
+        self.service_time = self.service_time.max(other.service_time);
         self.entries += other.entries;
     }
 
-    /// Takes the own part for typical once it is far above what was heard of the others.
+    /// Extrapolates the own demand to the region once it is far above the reported demand.
     ///
-    /// Their word lags by a beat or two, and the queues of a burst grow meanwhile. Callers spread
-    /// over the region's entries, so that a burst shows at each of them at once.
-    fn follow_burst(&mut self, own: &Demand) {
+    /// Reports of other entries lag by a heartbeat or two, while the queues of a burst grow.
+    /// Callers spread over the region's entries, so a burst shows at all of them at once.
+    fn extrapolate_burst(&mut self, own: &Demand) {
         let typical = own.milli_slots() * u64::from(self.entries);
         if typical > self.arriving.milli_slots() / 100 * BURST_PCT {
             self.arriving = demand_of(typical);
         }
     }
 
-    fn tell(&self, region: &RegionId, service: &ServiceId) -> RegionSummary {
+    fn summarize(&self, region: &RegionId, service: &ServiceId) -> RegionSummary {
         RegionSummary {
             region: region.clone(),
             service: service.clone(),
             slots: u64::from(self.open),
             in_use: u64::from(self.in_use),
-            latency_us: u64::try_from(self.service.as_micros()).unwrap_or(u64::MAX),
+            latency_us: u64::try_from(self.service_time.as_micros()).unwrap_or(u64::MAX),
             age_ms: 0,
             arriving_milli_slots: self.arriving.milli_slots(),
             carrying_milli_slots: self.carrying.milli_slots(),
@@ -136,19 +136,23 @@
     }
 }
 
-/// Demand of `milli_slots` thousandths of a slot.
+/// Creates a demand of `milli_slots` thousandths of a slot.
 fn demand_of(milli_slots: u64) -> Demand {
     let mut demand = Demand::default();
-    demand.tick(SECOND, saturated(milli_slots), Duration::from_millis(1));
+    demand.tick(
+        DEMAND_INTERVAL,
+        saturating_u32(milli_slots),
+        Duration::from_millis(1),
+    );
     demand
 }
 
-fn saturated(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
 impl Control {
-    /// What this daemon says of its own region, or of its own part of it.
+    /// Summaries of this region's load, or of this entry's part for daemons in the same region.
     pub(in crate::process::control) fn region_summaries(
         &self,
         same_region: bool,
@@ -159,16 +163,16 @@
         services
             .map(|(id, service)| {
                 let sum = if same_region {
-                    Sum::of(&service.flows)
+                    LoadSum::of(&service.flows)
                 } else {
                     self.own_region_sum(id, &service.flows, now)
                 };
-                sum.tell(region, id)
+                sum.summarize(region, id)
             })
             .collect()
     }
 
-    /// Takes what another daemon says of its region.
+    /// Records the load summaries of another daemon's region.
     pub(in crate::process::control) fn on_region_summaries(
         &mut self,
         from: &InstanceId,
@@ -176,46 +180,48 @@
         now: Now,
     ) {
         let own = &self.shared.settings.region;
-        let Some(facts) = self.picture.instance(from) else {
+        let Some(facts) = self.membership_view.instance(from) else {
             return;
         };
         let region = facts.identity.region.clone();
         let regions = &mut self.steering.regions;
         for summary in summaries.iter().filter(|summary| summary.region == region) {
-            let heard = Heard {
-                sum: Sum::heard(summary),
-                true_at: now.saturating_sub(Duration::from_millis(summary.age_ms)),
+            let report = Report {
+                sum: LoadSum::from_summary(summary),
+                as_of: now.saturating_sub(Duration::from_millis(summary.age_ms)),
             };
             let service = summary.service.clone();
             if region == *own {
-                regions.parts.insert((service, from.clone()), heard);
+                regions.parts.insert((service, from.clone()), report);
             } else {
-                regions.others.insert((service, region.clone()), heard);
+                regions
+                    .other_regions
+                    .insert((service, region.clone()), report);
             }
         }
     }
 
-    /// Load of one service in this region: this entry's part and those of the others.
-    fn own_region_sum(&self, service: &ServiceId, flows: &Flows, now: Now) -> Sum {
-        let mut sum = Sum::of(flows);
+    /// Load of one service in this region: the sum of this entry's part and those of the others.
+    fn own_region_sum(&self, service: &ServiceId, flows: &Flows, now: Now) -> LoadSum {
+        let mut sum = LoadSum::of(flows);
         let parts = self.steering.regions.parts.iter();
-        for (_, heard) in parts.filter(|((of, _), _)| of == service) {
-            if now.saturating_sub(heard.true_at) < PART_LIFE {
-                sum.add(&heard.sum);
+        for (_, report) in parts.filter(|((of, _), _)| of == service) {
+            if now.saturating_sub(report.as_of) < PART_MAX_AGE {
+                sum.add(&report.sum);
             }
         }
         sum
     }
 
-    /// Works out and publishes what is expected of each region.
+    /// Computes and publishes the estimates for each region.
     pub(super) fn tick_regions(&mut self, now: Now) {
         let Some((version, config)) = self.config.clone() else {
             return;
         };
         let Regions { parts, handed, .. } = &mut self.steering.regions;
-        parts.retain(|_, heard| now.saturating_sub(heard.true_at) < PART_LIFE);
+        parts.retain(|_, report| now.saturating_sub(report.as_of) < PART_MAX_AGE);
         handed.retain(|key, _| parts.contains_key(key));
-        self.measure_links();
+        self.update_round_trips();
         let snapshot = self.shared.published.load_full();
         if snapshot.version != version {
             return;
@@ -240,8 +246,8 @@
             .store(Arc::new(Outlook { version, classes }));
     }
 
-    /// Round trips to other regions, as the sessions measure them.
-    fn measure_links(&mut self) {
+    /// Updates round trips to other regions from the sessions' measurements.
+    fn update_round_trips(&mut self) {
         let Some(mesh) = &self.mesh else {
             return;
         };
@@ -253,7 +259,7 @@
                 *known = peer.rtt.min(*known);
             }
         }
-        self.steering.regions.links.extend(least);
+        self.steering.regions.round_trips.extend(least);
     }
 
     fn service_outlook(
@@ -280,7 +286,7 @@
             Some(state) => config
                 .regions
                 .iter()
-                .map(|region| Arc::clone(&state.flows.away(&region.id, now).flow))
+                .map(|region| Arc::clone(&state.flows.outflow(&region.id, now).flow))
                 .collect(),
             None => Vec::new(),
         };
@@ -294,34 +300,40 @@
         }
     }
 
-    /// Other entries of this region, as far as their word is fresh.
+    /// Other entries of this region with fresh reports.
     fn siblings(&mut self, service: &ServiceId, now: Now) -> Vec<Sibling> {
         let Regions { parts, handed, .. } = &mut self.steering.regions;
-        let fresh = parts.iter().filter(|((of, _), heard)| {
-            let age = now.saturating_sub(heard.true_at);
+        let fresh = parts.iter().filter(|((of, _), report)| {
+            let age = now.saturating_sub(report.as_of);
             of == service && Freshness::of_age(age, &FreshnessLimits::default()).allows_new_shift()
         });
-        let siblings = fresh.map(|(key, heard)| Sibling {
+        let siblings = fresh.map(|(key, report)| Sibling {
             instance: key.1.clone(),
-            told_milli_slots: heard.sum.arriving.milli_slots(),
-            open: heard.sum.open,
+            told_milli_slots: report.sum.arriving.milli_slots(),
+            open: report.sum.open,
             handed: Arc::clone(handed.entry(key.clone()).or_default()),
         });
         siblings.collect()
     }
 
-    /// What is expected of `region`; whether it admits is filled in by the caller.
+    /// Estimate for `region`; the caller fills in `admitting` and `drained`.
     fn estimate(&self, service: &ServiceId, region: &RegionId, now: Now) -> RegionEstimate {
         let regions = &self.steering.regions;
         let own = *region == self.shared.settings.region;
-        let heard = regions.others.get(&(service.clone(), region.clone()));
+        let report = regions
+            .other_regions
+            .get(&(service.clone(), region.clone()));
         let unknown = RegionEstimate {
             wait: Duration::ZERO,
             service_time: Duration::ZERO,
             round_trip: if own {
                 Duration::ZERO
             } else {
-                regions.links.get(region).copied().unwrap_or(LINK_UNKNOWN)
+                regions
+                    .round_trips
+                    .get(region)
+                    .copied()
+                    .unwrap_or(LINK_UNKNOWN)
             },
             headroom_left_pct: 100,
             admitting: true,
@@ -340,21 +352,22 @@
                 ..unknown
             };
         }
-        let Some(heard) = heard else {
+        let Some(report) = report else {
             return unknown;
         };
-        let age = now.saturating_sub(heard.true_at);
+        let age = now.saturating_sub(report.as_of);
         RegionEstimate {
-            service_time: heard.sum.service,
-            headroom_left_pct: heard.sum.carrying.headroom_left_pct(heard.sum.open),
+            service_time: report.sum.service_time,
+            headroom_left_pct: report.sum.carrying.headroom_left_pct(report.sum.open),
             freshness: Freshness::of_age(age, &FreshnessLimits::default()),
             ..unknown
         }
     }
 
-    /// Parts of the arriving work that exceed the headroom here, by where they may go.
+    /// Fractions of arriving work that exceed the local headroom, by target region.
     ///
-    /// The nearest region comes first; what does not fit there goes to the next.
+    /// The region with the lowest expected latency comes first; what it can't take goes to the
+    /// next.
     fn spill(
         &mut self,
         config: &Config,
@@ -367,29 +380,29 @@
             return Vec::new();
         };
         let mut here = self.own_region_sum(service, flows, now);
-        let own_part = Sum::of(flows);
-        here.follow_burst(&own_part.arriving);
-        let headroom_pct = headroom_of(config, service);
+        let own_part = LoadSum::of(flows);
+        here.extrapolate_burst(&own_part.arriving);
+        let headroom_pct = headroom_target_pct(config, service);
         let senders = u32::try_from(config.regions.len().saturating_sub(1)).unwrap_or(1);
         let own = self.shared.settings.region.clone();
         let mut order: Vec<usize> = (0..estimates.len())
             .filter(|&index| config.regions[index].id != own)
             .collect();
         order.sort_by_key(|&index| (estimates[index].expected_latency(), index));
-        let mut left = here
-            .arriving
-            .spill_permille(here.open, headroom_pct, &boundless());
+        let mut left =
+            here.arriving
+                .spill_permille(here.open, headroom_pct, &unlimited_allowance());
         let here_excess = left;
-        // Slots are not shared out evenly at each moment: the entry that has fewest for its work
-        // shifts most, or its queue grows while the others have none.
+        // Slots are not distributed evenly at each moment: the entry with the fewest slots for its
+        // work shifts the most. Otherwise its queue would grow while others have none.
         let own_excess =
             own_part
                 .arriving
-                .spill_permille(own_part.open, headroom_pct, &boundless());
+                .spill_permille(own_part.open, headroom_pct, &unlimited_allowance());
         let mut spill = Vec::new();
         for index in order {
             let region = &config.regions[index].id;
-            let allowance = self.allow(
+            let allowance = self.update_allowance(
                 service,
                 region,
                 &estimates[index],
@@ -415,13 +428,13 @@
         spill
     }
 
-    /// Percent of their slots that other regions keep free when work is shifted to them.
+    /// Percentage of slots that other regions keep free when work is shifted to them.
     ///
-    /// It is the target as long as there is a way to keep it. When the work here exceeds all slots
-    /// of this region, half of it is given up: callers here would else wait for seconds while slots
-    /// stay free elsewhere.
+    /// This is the headroom target while it can be met. When the demand here exceeds all slots of
+    /// this region, it is halved: otherwise callers here would wait for seconds while slots
+    /// elsewhere stay free.
     fn headroom_away_pct(&self, config: &Config, service: &ServiceId, now: Now) -> u32 {
-        let headroom_pct = headroom_of(config, service);
+        let headroom_pct = headroom_target_pct(config, service);
         let Some(state) = self.steering.services.get(service) else {
             return headroom_pct;
         };
@@ -434,57 +447,58 @@
         }
     }
 
-    /// Follows the room of one other region for this region's spill.
-    fn allow(
+    /// Updates the allowance for this region's shift to one other region from that region's free
+    /// capacity.
+    fn update_allowance(
         &mut self,
         service: &ServiceId,
         region: &RegionId,
         estimate: &RegionEstimate,
-        here: &Sum,
+        here: &LoadSum,
         (headroom_pct, senders): (u32, u32),
         now: Now,
     ) -> Allowance {
         let usable =
             estimate.admitting && !estimate.drained && estimate.freshness.allows_new_shift();
-        let heard = self
+        let report = self
             .steering
             .regions
-            .others
+            .other_regions
             .get(&(service.clone(), region.clone()));
-        let known_at = heard.map_or(now, |heard| heard.true_at);
-        let known_at = known_at.saturating_sub(estimate.round_trip + TICK);
-        let there = heard.filter(|_| usable).map(|heard| heard.sum);
+        let reported_as_of = report.map_or(now, |report| report.as_of);
+        let reported_as_of = reported_as_of.saturating_sub(estimate.round_trip + TICK);
+        let there = report.filter(|_| usable).map(|report| report.sum);
         let there = there.unwrap_or_default();
         let Some(state) = self.steering.services.get_mut(service) else {
             return Allowance::default();
         };
-        let away = state.flows.away(region, now);
-        // What the other region carries, as far as is known here, holds what was shifted a round trip
-        // before its word came. Were all that is shifted now added to the room that it told of, the
-        // shift would grow past the room and then stop altogether, over and over.
-        // Callers spread over the region's entries, so that all of them shift about alike.
-        let shifting = away.shifting_at(known_at) * u64::from(here.entries);
-        away.allowance.tick(
+        let outflow = state.flows.outflow(region, now);
+        // The reported load of the other region already includes what was shifted one round trip
+        // before the report. If all work shifted now were added to the reported free capacity, the
+        // shift would exceed that capacity and then stop altogether, in an endless oscillation.
+        // Callers spread over the region's entries, so all of them shift about equally.
+        let shifting = outflow.shifting_at(reported_as_of) * u64::from(here.entries);
+        outflow.allowance.tick(
             &there.carrying,
             there.open,
             headroom_pct,
             &demand_of(shifting),
             senders,
         );
-        away.allowance
+        outflow.allowance
     }
 }
 
-/// The largest headroom target of the service's classes.
-fn headroom_of(config: &Config, service: &ServiceId) -> u32 {
+/// Largest headroom target of the service's classes.
+fn headroom_target_pct(config: &Config, service: &ServiceId) -> u32 {
     let classes = config.classes.iter();
     let of_service = classes.filter(|class| class.service == *service);
     let most = of_service.map(|class| u32::from(class.headroom_pct)).max();
     most.unwrap_or(0)
 }
 
-/// Allowance that holds nothing back.
-fn boundless() -> Allowance {
+/// An unlimited allowance.
+fn unlimited_allowance() -> Allowance {
     let mut allowance = Allowance::default();
     allowance.tick(&Demand::default(), u32::MAX, 0, &Demand::default(), 1);
     allowance
--- a/crates/daemon/src/process/control/steering/upstreams.rs
+++ b/crates/daemon/src/process/control/steering/upstreams.rs
@@ -1,4 +1,5 @@
-//! Slow start and suspicion: runs `steer`'s machines for each upstream of one service.
+//! Slow start and failure detection: runs the state machines of crate `steer` for each upstream of
+//! one service.
 
 use crate::process::pool::{
     Pool,
@@ -29,116 +30,122 @@
     SuspicionChange, //
 };
 
-/// Silence after whose end an upstream starts slowly.
+/// Duration of silence after which an upstream goes through slow start.
 const LONG_SILENCE: Duration = Duration::from_secs(30);
-/// Time after which a probe without an outcome counts as failed. The request that served as the
-/// probe may be gone without a word, and no other probe would ever be sent.
-const PROBE_LOST: Duration = Duration::from_secs(10);
+/// Time after which a probe without an outcome counts as failed. The request used as the probe may
+/// vanish without an outcome, and otherwise no further probe would be sent.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Machines of the upstreams of one service.
+/// State machines of the upstreams of one service.
 #[derive(Debug, Default)]
-pub(super) struct Machines {
-    by_id: BTreeMap<UpstreamId, Machine>,
-    /// Upstreams were known before: one that comes now is new, and so is its cache.
-    settled: bool,
+pub(super) struct UpstreamMonitors {
+    by_id: BTreeMap<UpstreamId, UpstreamMonitor>,
+    /// Upstreams were listed before, so one added later is new and has a cold cache.
+    had_upstreams: bool,
 }
 
-/// Machines of one upstream.
+/// State machines of one upstream.
 #[derive(Debug)]
-struct Machine {
+struct UpstreamMonitor {
     upstream: Arc<Upstream>,
-    ramp: SlowStart,
-    suspect: FailureDetector,
+    slow_start: SlowStart,
+    failure_detector: FailureDetector,
     totals: Totals,
     was_open: bool,
-    said_cold: bool,
-    /// When it last answered anything.
-    heard_at: Now,
-    /// A probe was offered to traffic threads.
-    offered: bool,
-    /// A probe is under way since then.
+    reported_cold: bool,
+    /// Time of its last response or load report.
+    last_heard_at: Now,
+    /// A probe is offered to traffic threads.
+    probe_offered: bool,
+    /// Start time of the probe in progress.
     probing_since: Option<Now>,
 }
 
-impl Machine {
+impl UpstreamMonitor {
     fn new(upstream: &Arc<Upstream>, now: Now) -> Self {
         Self {
             upstream: Arc::clone(upstream),
-            ramp: SlowStart::warm(SlowStartSettings::default()),
-            suspect: FailureDetector::trusted(FailureDetectorSettings::default()),
+            slow_start: SlowStart::warm(SlowStartSettings::default()),
+            failure_detector: FailureDetector::trusted(FailureDetectorSettings::default()),
             totals: upstream.seen.totals(),
             was_open: upstream.open(),
-            said_cold: false,
-            heard_at: now,
-            offered: false,
+            reported_cold: false,
+            last_heard_at: now,
+            probe_offered: false,
             probing_since: None,
         }
     }
 
-    /// Whether it serves at full speed, as far as is known.
+    /// Whether it is believed to serve at full speed.
     fn is_warm(&self) -> bool {
-        let warm = self.ramp.phase() == SlowStartPhase::Warm && !self.suspect.is_suspected();
+        let warm = self.slow_start.phase() == SlowStartPhase::Warm
+            && !self.failure_detector.is_suspected();
         warm && self.upstream.open() && self.was_open
     }
 
-    /// Why it has to start slowly from now on, if it has to.
+    /// Returns why it must go through slow start from now on, if it must.
     fn restart_cause(&mut self, now: Now) -> Option<SlowStartCause> {
-        let returned = has_begun(&mut self.was_open, self.upstream.open());
-        let turned_cold = has_begun(&mut self.said_cold, self.upstream.report.says_cold());
+        let returned = rising_edge(&mut self.was_open, self.upstream.open());
+        let turned_cold = rising_edge(&mut self.reported_cold, self.upstream.report.says_cold());
         let heard_at = self.upstream.report.heard_at().unwrap_or_default();
-        let silent = heard_at > self.heard_at + LONG_SILENCE;
-        self.heard_at = self.heard_at.max(heard_at).min(now);
+        let silent = heard_at > self.last_heard_at + LONG_SILENCE;
+        self.last_heard_at = self.last_heard_at.max(heard_at).min(now);
         if returned {
             Some(SlowStartCause::RegionReturn)
-        } else if turned_cold && self.ramp.phase() == SlowStartPhase::Warm {
+        } else if turned_cold && self.slow_start.phase() == SlowStartPhase::Warm {
             Some(SlowStartCause::ColdStart)
         } else {
             silent.then_some(SlowStartCause::Silence)
         }
     }
 
-    /// Takes in what traffic threads saw since the last tick.
+    /// Processes the observations of traffic threads since the last tick.
     fn observe(&mut self, now: Now, usable: u32, others: &Others) {
-        self.note_probe(now);
+        self.record_probe_taken(now);
         let totals = self.upstream.seen.totals();
         let mut seen = totals.since(&self.totals);
         self.totals = totals;
         if seen.responses > 0 {
-            self.heard_at = now;
+            self.last_heard_at = now;
         }
         if seen.responses > 0 || seen.failures() > 0 {
             self.probing_since = None;
         }
-        if self.probing_since.is_some_and(|at| now > at + PROBE_LOST) {
+        if self
+            .probing_since
+            .is_some_and(|at| now > at + PROBE_TIMEOUT)
+        {
             self.probing_since = None;
             seen.timeouts += 1;
         }
         let freshness = self.freshness(now);
-        let phase = self.ramp.phase();
-        self.ramp.observe(now, &seen, usable, freshness);
-        if phase != SlowStartPhase::Warm && self.ramp.phase() == SlowStartPhase::Opening {
-            self.forget_slowness(&seen);
+        let phase = self.slow_start.phase();
+        self.slow_start.observe(now, &seen, usable, freshness);
+        if phase != SlowStartPhase::Warm && self.slow_start.phase() == SlowStartPhase::Opening {
+            self.reset_slow_average(&seen);
         }
-        let verdict = self.suspect.observe(now, &seen, others.typical, phase);
-        match verdict {
+        let change = self
+            .failure_detector
+            .observe(now, &seen, others.median_latency, phase);
+        match change {
             Some(SuspicionChange::Raised) => self.log("upstream suspected"),
             Some(SuspicionChange::Cleared) => {
-                self.log("upstream trusted again");
-                self.forget_slowness(&seen);
+                self.log("upstream no longer suspected");
+                self.reset_slow_average(&seen);
                 let cause = SlowStartCause::Silence;
-                self.ramp
-                    .restart(now, cause, others.typical, others.will_do);
+                self.slow_start
+                    .restart(now, cause, others.median_latency, others.any_warm);
             }
             None => {}
         }
     }
 
-    /// Lets what was seen now, where it is quicker, stand for what was seen before.
+    /// Replaces the latency average with that of the probe, if the probe was faster.
     ///
-    /// The moving average still holds the slow answers, and the choice of an upstream goes by it:
-    /// little is sent to one that looks slow, so that the average hardly moves. One would notice an
-    /// upstream that gets a request a second, for many seconds after it has proven itself.
-    fn forget_slowness(&self, probe: &steer::WindowStats) {
+    /// The moving average still contains the slow responses, and upstream selection relies on it:
+    /// an upstream that looks slow receives little work, so its average hardly changes. A recovered
+    /// upstream would receive about a request a second for many seconds.
+    fn reset_slow_average(&self, probe: &steer::WindowStats) {
         let average = self.upstream.seen.latency();
         match probe.mean_latency() {
             Some(latency) if latency < average => self.upstream.seen.reset_latency(latency),
@@ -146,142 +153,142 @@
         }
     }
 
-    fn note_probe(&mut self, now: Now) {
-        if self.offered && !self.upstream.probe_due() {
-            self.offered = false;
+    fn record_probe_taken(&mut self, now: Now) {
+        if self.probe_offered && !self.upstream.probe_due() {
+            self.probe_offered = false;
             self.probing_since = Some(now);
-            self.ramp.probe_sent(now);
-            self.suspect.probe_sent();
+            self.slow_start.probe_sent(now);
+            self.failure_detector.probe_sent();
         }
     }
 
     fn freshness(&self, now: Now) -> Freshness {
-        let age = now.saturating_sub(self.heard_at);
+        let age = now.saturating_sub(self.last_heard_at);
         Freshness::of_age(age, &FreshnessLimits::default())
     }
 
-    /// Publishes the verdicts.
+    /// Publishes the results to traffic threads.
     fn publish(&mut self, now: Now) {
         let upstream = &self.upstream;
-        let limit = self.ramp.limit();
-        let cold = self.ramp.phase() == SlowStartPhase::Probing;
-        let suspect = self.suspect.is_suspected();
+        let limit = self.slow_start.limit();
+        let cold = self.slow_start.phase() == SlowStartPhase::Probing;
+        let suspect = self.failure_detector.is_suspected();
         let silent = !self.freshness(now).allows_growth();
-        let due = self.ramp.probe_due(now) && !suspect || self.suspect.probe_due(now);
+        let due =
+            self.slow_start.probe_due(now) && !suspect || self.failure_detector.probe_due(now);
         upstream.limit.store(limit, Ordering::Relaxed);
         upstream.cold.store(cold, Ordering::Relaxed);
         upstream.suspect.store(suspect, Ordering::Relaxed);
         upstream.seen.judged();
         upstream.silent.store(silent, Ordering::Relaxed);
-        self.offered = due && upstream.open();
-        upstream.set_probe_due(self.offered);
+        self.probe_offered = due && upstream.open();
+        upstream.set_probe_due(self.probe_offered);
     }
 
-    fn log(&self, what: &str) {
+    fn log(&self, message: &str) {
         let upstream = self.upstream.id.to_string();
-        spdlog::info!("{}", what, kv: { upstream });
+        spdlog::info!("{}", message, kv: { upstream });
     }
 }
 
-/// Whether what did not hold before holds now; `held` follows in either case.
+/// Returns whether the condition became true, and records its current value in either case.
 ///
-/// Were it to follow only what begins, the second time that it begins would go unseen: one would
-/// notice an upstream that comes back from its second drain, or turns cold once more, and is sent
-/// its whole part at once.
-fn has_begun(held: &mut bool, holds: bool) -> bool {
-    let held_before = std::mem::replace(held, holds);
-    holds && !held_before
+/// Recording only rising edges would miss every later one: an upstream that returns from its second
+/// drain, or turns cold again, would receive its full share at once.
+fn rising_edge(previous: &mut bool, current: bool) -> bool {
+    let was_true = std::mem::replace(previous, current);
+    current && !was_true
 }
 
-/// What a machine needs to know of the service's other upstreams.
+/// State of the service's other upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 struct Others {
-    /// Their typical latency.
-    typical: Option<Duration>,
-    /// There are warm ones, with slots to use.
-    will_do: bool,
+    /// Median latency of the others.
+    median_latency: Option<Duration>,
+    /// At least one of the others is warm.
+    any_warm: bool,
 }
 
-impl Machines {
-    /// Lets a tick pass; `relieve` opens slots without proof.
-    pub(super) fn tick(&mut self, pool: &Arc<Pool>, now: Now, relieve: bool) {
+impl UpstreamMonitors {
+    /// Runs a tick; `force_open` opens slots without a successful probe.
+    pub(super) fn tick(&mut self, pool: &Arc<Pool>, now: Now, force_open: bool) {
         let upstreams = pool.upstreams();
-        self.follow(&upstreams, now);
+        self.sync_upstreams(&upstreams, now);
         let others = self.others();
-        let cleared_before = self.suspected();
-        for (machine, others) in self.by_id.values_mut().zip(&others) {
-            if let Some(cause) = machine.restart_cause(now) {
-                machine.log("upstream starts slowly");
-                machine
-                    .ramp
-                    .restart(now, cause, others.typical, others.will_do);
+        let cleared_before = self.suspected_count();
+        for (monitor, others) in self.by_id.values_mut().zip(&others) {
+            if let Some(cause) = monitor.restart_cause(now) {
+                monitor.log("upstream enters slow start");
+                monitor
+                    .slow_start
+                    .restart(now, cause, others.median_latency, others.any_warm);
             }
-            let usable = u32::from(machine.upstream.slots.get().full);
-            machine.observe(now, usable, others);
-            if relieve {
-                machine.ramp.force_step(now);
+            let usable = u32::from(monitor.upstream.slots.get().full);
+            monitor.observe(now, usable, others);
+            if force_open {
+                monitor.slow_start.force_step(now);
             }
         }
-        if self.suspected() < cleared_before {
-            // What brought them under suspicion together may have ended for all.
+        if self.suspected_count() < cleared_before {
+            // The common cause of the suspicions may have ended for all of them.
             self.by_id
                 .values_mut()
-                .for_each(|machine| machine.suspect.make_probe_due(now));
+                .for_each(|monitor| monitor.failure_detector.make_probe_due(now));
         }
-        for machine in self.by_id.values_mut() {
-            machine.publish(now);
+        for monitor in self.by_id.values_mut() {
+            monitor.publish(now);
         }
     }
 
-    /// Typical latency of those that serve at full speed.
-    pub(super) fn typical(&self) -> Option<Duration> {
-        let warm = self.by_id.values().filter(|machine| machine.is_warm());
-        let latencies = warm.map(|machine| machine.upstream.seen.latency());
+    /// Median latency of the upstreams that serve at full speed.
+    pub(super) fn median_latency(&self) -> Option<Duration> {
+        let warm = self.by_id.values().filter(|monitor| monitor.is_warm());
+        let latencies = warm.map(|monitor| monitor.upstream.seen.latency());
         FailureDetector::median_latency(&mut latencies.collect::<Vec<_>>())
     }
 
-    fn suspected(&self) -> usize {
-        let machines = self.by_id.values();
-        machines
-            .filter(|machine| machine.suspect.is_suspected())
+    fn suspected_count(&self) -> usize {
+        let monitors = self.by_id.values();
+        monitors
+            .filter(|monitor| monitor.failure_detector.is_suspected())
             .count()
     }
 
-    /// Follows the list: forgets upstreams that are gone, and adds those that are new.
-    fn follow(&mut self, upstreams: &[Arc<Upstream>], now: Now) {
-        self.by_id.retain(|_, machine| {
+    /// Synchronises with the list: removes upstreams that are gone, and adds new ones.
+    fn sync_upstreams(&mut self, upstreams: &[Arc<Upstream>], now: Now) {
+        self.by_id.retain(|_, monitor| {
             upstreams
                 .iter()
-                .any(|upstream| Arc::ptr_eq(upstream, &machine.upstream))
+                .any(|upstream| Arc::ptr_eq(upstream, &monitor.upstream))
         });
-        let settled = self.settled;
-        self.settled |= !upstreams.is_empty();
+        let had_upstreams = self.had_upstreams;
+        self.had_upstreams |= !upstreams.is_empty();
         for upstream in upstreams {
             self.by_id.entry(upstream.id.clone()).or_insert_with(|| {
-                let mut machine = Machine::new(upstream, now);
-                // A process that has just started finds upstreams that others keep warm; to hold
-                // them back would refuse work. One that comes later is new itself.
-                machine.was_open &= !settled;
-                machine
+                let mut monitor = UpstreamMonitor::new(upstream, now);
+                // Upstreams found when the process starts are kept warm by other entries; a slow
+                // start would refuse work. An upstream added later is itself new.
+                monitor.was_open &= !had_upstreams;
+                monitor
             });
         }
     }
 
-    /// For each upstream, in order, what the others are like.
+    /// State of the others for each upstream, in order.
     fn others(&self) -> Vec<Others> {
-        let warm: Vec<bool> = self.by_id.values().map(Machine::is_warm).collect();
+        let warm: Vec<bool> = self.by_id.values().map(UpstreamMonitor::is_warm).collect();
         let latencies: Vec<Duration> = self
             .by_id
             .values()
-            .map(|machine| machine.upstream.seen.latency())
+            .map(|monitor| monitor.upstream.seen.latency())
             .collect();
         (0..warm.len())
             .map(|index| {
                 let mut others: Vec<Duration> = latencies.clone();
                 others.swap_remove(index);
                 Others {
-                    typical: FailureDetector::median_latency(&mut others),
-                    will_do: (0..warm.len()).any(|other| other != index && warm[other]),
+                    median_latency: FailureDetector::median_latency(&mut others),
+                    any_warm: (0..warm.len()).any(|other| other != index && warm[other]),
                 }
             })
             .collect()
--- a/crates/daemon/src/process/control/stopping.rs
+++ b/crates/daemon/src/process/control/stopping.rs
@@ -1,11 +1,12 @@
-//! The planned stop, one type for each of its stages.
+//! The planned stop, with one type per stage.
 //!
-//! [`Withdrawn`] is out of look-up answers and waits until callers have forgotten the older ones.
-//! [`Draining`] answers new work `not-run` and finishes what is in flight. [`HandingOver`] gives
-//! the records of filings to a successor. [`Releasing`] gives tokens and lease back; then only the
-//! goodbyes to other daemons are left ([`Stopping::Closing`]). Each stage can
-//! only become the next one, so no request is cut because a step came too early. A second signal
-//! changes nothing; the limit of the whole stop is a setting, and running into it is reported.
+//! [`Withdrawn`] is no longer returned by look-ups and waits until cached look-up answers have
+//! expired. [`Draining`] answers new work with `not-run` and completes requests in flight.
+//! [`HandingOver`] transfers filing records to a successor. [`Releasing`] releases tokens and the
+//! lease; then only the goodbye frames to other daemons remain ([`Stopping::Closing`]). Each stage
+//! can only become the next one, so no request is cut off by a step taken too early. A repeated
+//! stop signal has no effect. The time limit of the whole stop is a setting, and exceeding it is
+//! logged.
 
 use crate::process::{
     control::{
@@ -26,40 +27,40 @@
 use base::Now;
 use std::time::Duration;
 
-/// Time beyond the look-up's time to live for answers that are under way.
-const ANSWERS_UNDER_WAY: Duration = Duration::from_millis(500);
-/// Longest wait for tokens and lease to be taken back; the platform may be down.
+/// Time allowed beyond the look-up TTL for answers still in flight.
+const LOOKUP_ANSWER_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum wait for tokens and lease to be released; the platform may be down.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
-/// Longest wait for a successor's acknowledgement.
+/// Maximum wait for a successor's acknowledgement.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(3);
-/// Time for what is queued to other daemons to go out.
+/// Time to flush frames queued to other daemons.
 const GOODBYE_LIMIT: Duration = Duration::from_millis(500);
 
-/// Asks for a planned stop.
+/// Requests a planned stop.
 #[derive(Clone, Copy, Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct Stop;
 
-/// Out of look-up answers; still takes work.
+/// No longer returned by look-ups; still accepts work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Withdrawn {
     until: Now,
     limit: Now,
 }
 
-/// Takes no new work; finishes what is in flight.
+/// Accepts no new work; completes requests in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Draining {
     limit: Now,
 }
 
-/// Nothing is in flight; a successor takes the records of filings.
+/// Nothing is in flight; filing records are offered to a successor.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HandingOver {
     limit: Now,
 }
 
-/// Gives tokens, then the lease, back.
+/// Releases the tokens, then the lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Releasing {
     limit: Now,
@@ -72,10 +73,11 @@
     Draining(Draining),
     HandingOver(HandingOver),
     Releasing(Releasing),
-    /// All is given back; other daemons are told.
+    /// Everything is released; goodbye frames are being sent.
     ///
-    /// A tick that released again would end the process before the goodbyes are out, and log the
-    /// end twice. Others would then hear of it only by their own dials that fail.
+    /// This is a stage of its own because a tick that repeated the release would end the process
+    /// before the goodbyes are sent, and log the end twice. Peers would then notice the stop only
+    /// by failed connection attempts.
     Closing,
 }
 
@@ -109,7 +111,7 @@
             return;
         }
         let Lease::Held(held) = &mut self.lease else {
-            // Nothing was ever served.
+            // Nothing was served yet.
             ctx.stop();
             return;
         };
@@ -117,27 +119,27 @@
         let now = self.now();
         let terms = &self.shared.settings.terms;
         self.stopping = Some(Stopping::Withdrawn(Withdrawn {
-            until: now + terms.lookup_ttl + ANSWERS_UNDER_WAY,
+            until: now + terms.lookup_ttl + LOOKUP_ANSWER_MARGIN,
             limit: now + terms.stop,
         }));
-        self.enter(Stage::Withdrawn);
+        self.enter_stage(Stage::Withdrawn);
     }
 }
 
 impl Control {
-    /// Whether the process is on its way out.
+    /// Whether a planned stop is in progress.
     pub(super) fn is_stopping(&self) -> bool {
         self.stopping.is_some()
     }
 
-    fn enter(&mut self, stage: Stage) {
+    fn enter_stage(&mut self, stage: Stage) {
         spdlog::info!("planned stop", kv: { stage = format!("{stage:?}") });
         self.stage = stage;
         self.publish();
-        self.beat_soon();
+        self.request_heartbeats();
     }
 
-    /// Moves the planned stop on.
+    /// Advances the planned stop.
     pub(super) fn tick_stopping(&mut self, ctx: &mut Context<Self>) {
         let now = self.now();
         self.stopping = match self.stopping {
@@ -145,15 +147,15 @@
             Some(Stopping::Withdrawn(stage)) if now < stage.until => self.stopping,
             Some(Stopping::Withdrawn(stage)) => {
                 self.stop_filings();
-                self.enter(Stage::Refusing);
+                self.enter_stage(Stage::Refusing);
                 Some(Stopping::Draining(stage.drain()))
             }
             Some(Stopping::Draining(stage)) => Some(self.tick_draining(stage, now)),
             Some(Stopping::HandingOver(stage)) => {
-                if self.filings_handed_over() || now >= stage.limit {
+                if self.is_hand_over_complete() || now >= stage.limit {
                     Some(Stopping::Releasing(stage.release(now)))
                 } else {
-                    self.repeat_offer();
+                    self.send_offer();
                     self.stopping
                 }
             }
@@ -170,26 +172,26 @@
         if active > 0 {
             spdlog::error!("planned stop: the limit cuts requests", kv: { active });
         }
-        self.hand_filings_over();
+        self.offer_filings();
         Stopping::HandingOver(stage.hand_over(now))
     }
 
     fn tick_releasing(&mut self, stage: Releasing, now: Now, ctx: &mut Context<Self>) -> Stopping {
-        let over = now >= stage.limit;
-        if !self.shares_released() && !over {
+        let timed_out = now >= stage.limit;
+        if !self.shares_released() && !timed_out {
             return Stopping::Releasing(stage);
         }
         let Lease::Held(held) = &mut self.lease else {
             return Stopping::Releasing(stage);
         };
         held.holder.release();
-        if !held.holder.is_released() && !over {
+        if !held.holder.is_released() && !timed_out {
             return Stopping::Releasing(stage);
         }
         let released = held.holder.is_released();
         spdlog::info!("stopped", kv: { released });
-        self.beat_soon();
-        self.tick_beats();
+        self.request_heartbeats();
+        self.tick_heartbeats();
         match self.mesh.take() {
             Some(mesh) => {
                 let closed = mesh.close(GOODBYE_LIMIT).into_actor(self);
