--- a/crates/daemon/src/process/control/heartbeats/send.rs
+++ b/crates/daemon/src/process/control/heartbeats/send.rs
@@ -42,10 +42,9 @@
 /// Maximum heartbeat interval to other regions, so that an instance without sessions to the
 /// receiver is reported before it counts as silent.
 const REMOTE_INTERVAL_MAX: Duration = Duration::from_millis(2500);
-/// Maximum number of instances up to which a new version counts as a change to be sent at once,
-/// which lets a waiting accept end soon. All instances change version at the same time: among
-/// hundreds, that would take more bandwidth than everything else, so the rotating summaries carry
-/// it instead.
+/// Maximum number of instances with which a new version is sent at once as a change, which lets a
+/// waiting accept end soon. All instances change version at the same time: among hundreds, that
+/// would take more bandwidth than everything else, so the rotating summaries carry it instead.
 const VERSION_UPDATES_MAX_INSTANCES: usize = 32;
 
 impl Control {
--- a/crates/daemon/src/process/control/heartbeats/sent_state.rs
+++ b/crates/daemon/src/process/control/heartbeats/sent_state.rs
@@ -23,7 +23,7 @@
 const THIRD_REGION_SUMMARIES: usize = 1;
 /// Maximum number of changed summaries in one heartbeat.
 const CHANGED_SUMMARIES: usize = 16;
-/// Number of heartbeats per heartbeat that carries instances of third regions.
+/// Period, in full heartbeats, at which one carries instances of third regions.
 const THIRD_REGION_PERIOD: usize = 4;
 /// Maximum interval between reports of an unchanged load; receivers consider a report fully valid
 /// for three seconds.
