--- a/crates/daemon/examples/beat_bytes.rs
+++ b/crates/daemon/examples/beat_bytes.rs
@@ -1,7 +1,7 @@
-//! Bytes of the parts of a heartbeat, as they go over the wire.
+//! Prints the encoded size of the parts of a heartbeat.
 //!
-//! `cargo run --release -p daemon --example beat_bytes`. Names are of the length that real ones
-//! have; numbers are as large as after some days.
+//! `cargo run --release -p daemon --example beat_bytes`. Names have realistic lengths, and numbers
+//! are as large as after a few days of operation.
 
 use base::Now;
 use bytes::Bytes;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Message of a pool of `count` members.
+/// Heartbeat of a pool with `count` members.
 fn share(count: u64) -> Share {
     let at = Now::ZERO + Duration::from_nanos(300_000_123_456_789);
     let member = |index| MemberId {
@@ -89,12 +89,14 @@
     };
     Share {
         pool: "slots/menu/arusha".into(),
-        payload: to_payload(&beat).expect("plain data"),
+        payload: to_payload(&beat).expect("a heartbeat is serializable"),
     }
 }
 
 fn len(beat: Beat) -> usize {
-    encode(&Frame::Beat(beat)).expect("plain data").len()
+    encode(&Frame::Beat(beat))
+        .expect("a heartbeat is serializable")
+        .len()
 }
 
 fn main() {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,16 +1,16 @@
 //! jasmined: the daemon on each entry instance.
 //!
-//! It answers look-ups, carries requests to upstreams, and takes part in control. Start with
-//! [`run`]. The modules are laid out by life span, shortest first:
+//! It answers look-ups, forwards requests to upstreams, and runs the control logic. [`run`] is the
+//! entry point. The modules are ordered by the lifetime of the state that they hold, shortest first:
 //!
-//! - `request`: one request, from its head to its answer's last byte.
-//! - `connection`: the connections to upstreams and to other entries.
-//! - `version`: the immutable snapshot that traffic threads decide from.
-//! - `process`: settings, control, pools, the ports.
+//! - `request`: one request, from its header to the last byte of its response.
+//! - `connection`: connections to upstreams and to other entries.
+//! - `version`: the immutable snapshot that traffic threads read.
+//! - `process`: settings, control, pools, listeners.
 //!
-//! One thread runs control: it owns all state machines of the pure crates. The others carry
-//! traffic; they read one snapshot through an atomic pointer and touch atomics, and never wait for
-//! the platform, a peer, or control.
+//! One thread runs control and owns all state machines of the crates without I/O. The other threads
+//! carry traffic: they read one snapshot through an atomic pointer, access atomics, and never wait
+//! for the platform, a peer or control.
 
 mod connection;
 mod process;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -8,20 +8,20 @@
     process::ExitCode, //
 };
 
-/// Exit code for bad input: settings that can't be read or are wrong.
+/// Exit code for settings that can't be read or are invalid.
 const BAD_INPUT: u8 = 2;
 
 /// The daemon of jasminefield.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Settings of this process, in YAML.
+    /// Settings file of this process (YAML).
     #[arg(required_unless_present = "metrics_page")]
     settings: Option<PathBuf>,
     /// Check the settings and exit.
     #[arg(long)]
     check_settings: bool,
-    /// Print the page of metrics and exit.
+    /// Print the reference page of the metrics and exit.
     #[arg(long)]
     metrics_page: bool,
 }
@@ -33,7 +33,7 @@
         return ExitCode::SUCCESS;
     }
     let path = args.settings.unwrap_or_default();
-    let settings = match read(&path) {
+    let settings = match read_settings(&path) {
         Ok(settings) => settings,
         Err(findings) => {
             eprintln!("{findings}");
@@ -53,7 +53,7 @@
     }
 }
 
-fn read(path: &PathBuf) -> Result<Settings, String> {
+fn read_settings(path: &PathBuf) -> Result<Settings, String> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
     Settings::parse(&file, &text).map_err(|findings| findings.to_string())
--- a/crates/daemon/src/process/active.rs
+++ b/crates/daemon/src/process/active.rs
@@ -1,7 +1,7 @@
-//! Requests that this process has not finished.
+//! Count of the requests that this process has not finished.
 //!
-//! A planned stop waits until none is left, bodies that stream and filings whose caller has gone
-//! included.
+//! A planned stop waits for it to reach zero. Streaming bodies count, and so do filings whose caller
+//! has disconnected.
 
 use std::sync::{
     atomic::{
@@ -11,18 +11,18 @@
     Arc, //
 };
 
-/// Count of unfinished requests.
+/// Counter of unfinished requests.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Active(Arc<AtomicU64>);
+pub(crate) struct ActiveRequests(Arc<AtomicU64>);
 
-impl Active {
-    /// Counts one request until the guard is dropped.
+impl ActiveRequests {
+    /// Counts one request as unfinished until the guard is dropped.
     pub(crate) fn guard(&self) -> ActiveGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
         ActiveGuard(Arc::clone(&self.0))
     }
 
-    /// Unfinished requests.
+    /// Number of unfinished requests.
     pub(crate) fn count(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
--- a/crates/daemon/src/process/burn.rs
+++ b/crates/daemon/src/process/burn.rs
@@ -1,11 +1,11 @@
-//! Counts for the service-level burn report: good and bad requests of each class over time.
+//! Counters for the error-budget burn report: good and bad requests of each class over time.
 //!
-//! A request is good when it was answered whole within its class's latency target. Counts are
-//! kept in a ring of buckets of ten seconds, an hour long, so that `jasmine-report` can merge
-//! windows over all daemons. Nothing survives the process: a replaced instance's past is gone,
-//! and the report says from when each instance counts.
+//! A request is good when its complete response was passed on within the latency target of its
+//! class. The counts are kept in a ring buffer of ten-second buckets that spans one hour, so that
+//! `jasmine-report` can merge windows across all daemons. They are not persisted: a restart loses
+//! them, and the report shows since when each instance has been counting.
 //!
-//! Traffic threads count, control reads; both touch atomics only.
+//! Traffic threads write the counters and control reads them, through atomics only.
 
 use base::{
     ClassId,
@@ -28,17 +28,17 @@
     },
 };
 
-/// Length of one bucket.
+/// Duration of one bucket.
 pub(crate) const BUCKET: Duration = Duration::from_secs(10);
-/// Buckets of the ring: one hour.
+/// Buckets in the ring buffer: one hour.
 const BUCKETS: usize = 360;
 
-/// Counts of one class.
+/// Counters of one class.
 pub(crate) struct ClassBurn {
     started: Instant,
     target_us: AtomicU64,
-    ring: Vec<Cell>,
-    latencies: Latencies,
+    ring: Vec<AtomicBucket>,
+    latencies: LatencyHistogram,
 }
 
 impl ClassBurn {
@@ -46,17 +46,17 @@
         Self {
             started,
             target_us: AtomicU64::new(u64::MAX),
-            ring: (0..BUCKETS).map(|_| Cell::default()).collect(),
-            latencies: Latencies::default(),
+            ring: (0..BUCKETS).map(|_| AtomicBucket::default()).collect(),
+            latencies: LatencyHistogram::default(),
         }
     }
 
-    /// Sets the class's latency target.
+    /// Sets the latency target of the class.
     pub(crate) fn set_target(&self, target: Duration) {
         self.target_us.store(micros(target), Ordering::Relaxed);
     }
 
-    /// Counts one request; `whole` says that an upstream's whole answer was passed on.
+    /// Counts one request; `whole` is true if the complete response of an upstream was passed on.
     pub(crate) fn note(&self, whole: bool, latency: Duration) {
         let latency_us = micros(latency);
         let is_good = whole && latency_us <= self.target_us.load(Ordering::Relaxed);
@@ -68,40 +68,45 @@
         }
     }
 
-    /// Buckets of the last hour that are not empty, oldest first.
+    /// Non-empty buckets of the last hour, oldest first.
     pub(crate) fn buckets(&self) -> Vec<op::Bucket> {
         let now = self.started.elapsed().as_secs() / BUCKET.as_secs();
         let is_recent = |bucket: &op::Bucket| {
             let oldest = (now + 1).saturating_sub(BUCKETS as u64);
             bucket.good + bucket.bad > 0 && bucket.index >= oldest
         };
-        let mut buckets: Vec<op::Bucket> =
-            self.ring.iter().map(Cell::get).filter(is_recent).collect();
+        let mut buckets: Vec<op::Bucket> = self
+            .ring
+            .iter()
+            .map(AtomicBucket::get)
+            .filter(is_recent)
+            .collect();
         buckets.sort_by_key(|bucket| bucket.index);
         buckets
     }
 
-    /// Latencies of whole answers since the start, in microseconds, each with its number.
+    /// LatencyHistogram of complete responses since the start: pairs of microseconds and count.
     pub(crate) fn latencies_us(&self) -> Vec<(u64, u64)> {
         self.latencies.counts_us()
     }
 }
 
-/// One bucket in one word: 24 bits of index, 20 bits each of good and bad requests.
+/// One bucket packed into a word: 24 bits of index, 20 bits each of good and bad requests.
 ///
-/// With the index apart from the counts, a thread that begins a new bucket would wipe what another
-/// has counted into it in between. The counts stop at a million, 100,000 requests a second.
+/// If the index were stored separately, a thread that starts a new bucket would erase what another
+/// thread has counted into it in between. The counts saturate at about a million, which is 100,000
+/// requests per second.
 #[derive(Default)]
-struct Cell(AtomicU64);
+struct AtomicBucket(AtomicU64);
 
-/// Bits of a count.
+/// Width of a count in bits.
 const COUNT_BITS: u32 = 20;
-/// Largest count.
+/// Value at which a count saturates.
 const COUNT_MAX: u64 = (1 << COUNT_BITS) - 1;
 
-impl Cell {
+impl AtomicBucket {
     fn count(&self, index: u64, is_good: bool) {
-        let counted = |word: u64| {
+        let increment = |word: u64| {
             let mut bucket = unpack(word);
             if bucket.index != index {
                 bucket = op::Bucket {
@@ -117,8 +122,8 @@
             Some(pack(bucket))
         };
         self.0
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, counted)
-            .expect("a count is always taken");
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment)
+            .expect("`increment` always returns a value");
     }
 
     fn get(&self) -> op::Bucket {
@@ -140,27 +145,27 @@
     }
 }
 
-/// Equal steps that each doubling of latency is divided into, as a power of two.
-const STEP_BITS: u32 = 6;
-/// Doublings above the first steps: up to 1,073 seconds.
-const DOUBLINGS: u32 = 24;
-/// Number of counters.
-const STEPS: usize = ((DOUBLINGS + 1) << STEP_BITS) as usize;
+/// Binary logarithm of the number of equal bins per octave of latency.
+const BIN_BITS: u32 = 6;
+/// Octaves above the first bins; the range ends at 1,073 seconds.
+const OCTAVES: u32 = 24;
+/// Number of bins.
+const BINS: usize = ((OCTAVES + 1) << BIN_BITS) as usize;
 
-/// Histogram of latencies, to about one percent: equal steps within each doubling.
+/// Log-linear latency histogram with a relative error of about one percent.
 ///
-/// The layout is the one that HDR histograms have; the report reads the counts into one.
-struct Latencies(Box<[AtomicU64]>);
+/// It has the layout of an HDR histogram, into which the report reads the counts.
+struct LatencyHistogram(Box<[AtomicU64]>);
 
-impl Default for Latencies {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        Self((0..STEPS).map(|_| AtomicU64::new(0)).collect())
+        Self((0..BINS).map(|_| AtomicU64::new(0)).collect())
     }
 }
 
-impl Latencies {
+impl LatencyHistogram {
     fn count(&self, latency_us: u64) {
-        self.0[step_of(latency_us)].fetch_add(1, Ordering::Relaxed);
+        self.0[bin_of(latency_us)].fetch_add(1, Ordering::Relaxed);
     }
 
     fn counts_us(&self) -> Vec<(u64, u64)> {
@@ -168,24 +173,24 @@
         counts
             .enumerate()
             .filter(|(_, count)| *count > 0)
-            .map(|(step, count)| (middle_us(step), count))
+            .map(|(bin, count)| (bin_midpoint_us(bin), count))
             .collect()
     }
 }
 
-/// Counter of a latency.
-fn step_of(latency_us: u64) -> usize {
+/// Index of the bin that covers a latency.
+fn bin_of(latency_us: u64) -> usize {
     let bits = u64::BITS - latency_us.leading_zeros();
-    let shift = bits.saturating_sub(STEP_BITS + 1);
-    let step = (u64::from(shift) << STEP_BITS) + (latency_us >> shift);
-    usize::try_from(step).unwrap_or(usize::MAX).min(STEPS - 1)
+    let shift = bits.saturating_sub(BIN_BITS + 1);
+    let bin = (u64::from(shift) << BIN_BITS) + (latency_us >> shift);
+    usize::try_from(bin).unwrap_or(usize::MAX).min(BINS - 1)
 }
 
-/// Latency in the middle of a counter's range.
-fn middle_us(step: usize) -> u64 {
-    let step = step as u64;
-    let shift = (step >> STEP_BITS).saturating_sub(1);
-    let first = (step - (shift << STEP_BITS)) << shift;
+/// Midpoint of a bin's range.
+fn bin_midpoint_us(bin: usize) -> u64 {
+    let bin = bin as u64;
+    let shift = (bin >> BIN_BITS).saturating_sub(1);
+    let first = (bin - (shift << BIN_BITS)) << shift;
     first + (1 << shift) / 2
 }
 
@@ -193,14 +198,14 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Counts of all classes.
+/// Counters of all classes.
 pub(crate) struct Burn {
     started: Instant,
     classes: Mutex<FastMap<ClassId, Arc<ClassBurn>>>,
 }
 
 impl Burn {
-    /// Starts counting.
+    /// Creates empty counters that count since `started`.
     pub(crate) fn new(started: Instant) -> Self {
         Self {
             started,
@@ -208,7 +213,7 @@
         }
     }
 
-    /// Counts of one class; traffic threads ask once for each class and keep the handle.
+    /// Counters of one class. Traffic threads call this once per class and keep the handle.
     pub(crate) fn class(&self, class: &ClassId) -> Arc<ClassBurn> {
         let mut classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let counts = classes
--- a/crates/daemon/src/process/filings.rs
+++ b/crates/daemon/src/process/filings.rs
@@ -1,8 +1,8 @@
-//! The ledger of filings, in whichever stage of the process's life it is.
+//! The ledger of filings, in its current stage of the process's lifecycle.
 //!
-//! Crate `filing` has a type for each stage, so that what may not happen any more can't be called.
-//! Traffic threads meet one value whose stage control moves on; here each call is passed to the
-//! type that is there.
+//! The crate `filing` has one type per stage, so that an operation that a stage forbids doesn't
+//! compile. Traffic threads share a single value whose stage control advances, so this module
+//! dispatches each call to the type of the current stage.
 
 use base::{
     Incarnation,
@@ -23,20 +23,20 @@
     TicketDecision,
 };
 
-/// Ledger with the stage it is in.
+/// Ledger in its current stage.
 pub(crate) enum Filings {
-    /// Runs tickets.
+    /// Accepts and runs filings.
     Open(Ledger),
-    /// Starts nothing; what runs goes on.
+    /// Starts no filing; running ones continue.
     Draining(Stopping<Draining>),
-    /// Its one offer was made.
+    /// The single handover offer was made.
     Offered(Stopping<Offered>),
-    /// The successor has all.
+    /// The successor has acknowledged the handover.
     HandedOver(Stopping<HandedOver>),
 }
 
-/// Calls the same method on whichever ledger is there.
-macro_rules! each {
+/// Evaluates an expression on the ledger of the current stage.
+macro_rules! dispatch {
     ($filings:expr, $ledger:ident => $call:expr) => {
         match $filings {
             Filings::Open($ledger) => $call,
@@ -48,17 +48,17 @@
 }
 
 impl Filings {
-    /// Decides what to do with a request that brings `ticket`.
+    /// Decides how to handle a request with `ticket`.
     pub(crate) fn begin(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
-        each!(self, ledger => ledger.begin(ticket, now))
+        dispatch!(self, ledger => ledger.begin(ticket, now))
     }
 
-    /// Decides what to tell a request that the entry won't run, for reasons of its own.
+    /// Decides how to answer a request with `ticket` that the entry itself declines to run.
     pub(crate) fn refuse(&mut self, ticket: &Ticket, now: Now) -> TicketDecision {
-        each!(self, ledger => ledger.refuse(ticket, now))
+        dispatch!(self, ledger => ledger.refuse(ticket, now))
     }
 
-    /// Outcomes that are not in the table yet, up to `count`.
+    /// Up to `count` outcomes that are not written to the table yet.
     pub(crate) fn unwritten(&self, count: usize) -> Vec<(Nonce, Record)> {
         match self {
             Self::Open(ledger) => ledger.unwritten(count),
@@ -68,22 +68,22 @@
         }
     }
 
-    /// Notes that these outcomes are in the table.
+    /// Marks these outcomes as written to the table.
     pub(crate) fn written(&mut self, nonces: &[Nonce]) {
-        each!(self, ledger => ledger.mark_written(nonces));
+        dispatch!(self, ledger => ledger.mark_written(nonces));
     }
 
-    /// Keeps what came of a running filing.
+    /// Records the outcome of a running filing.
     pub(crate) fn finish(&mut self, nonce: Nonce, record: Record) {
-        each!(self, ledger => ledger.finish(nonce, record));
+        dispatch!(self, ledger => ledger.finish(nonce, record));
     }
 
-    /// Forgets what is long over.
+    /// Drops expired records.
     pub(crate) fn expire(&mut self, now: Now) {
-        each!(self, ledger => ledger.expire(now));
+        dispatch!(self, ledger => ledger.expire(now));
     }
 
-    /// Starts nothing from now on.
+    /// Stops starting filings.
     pub(crate) fn stop(self) -> Self {
         match self {
             Self::Open(ledger) => Self::Draining(ledger.stop()),
@@ -91,15 +91,15 @@
         }
     }
 
-    /// Makes the one offer, or repeats it.
-    pub(crate) fn offer(self, to: &InstanceId, life: Incarnation, now: Now) -> Self {
+    /// Makes the single handover offer; a later call keeps it.
+    pub(crate) fn offer(self, to: &InstanceId, incarnation: Incarnation, now: Now) -> Self {
         match self {
-            Self::Draining(ledger) => Self::Offered(ledger.offer(to.clone(), life, now)),
+            Self::Draining(ledger) => Self::Offered(ledger.offer(to.clone(), incarnation, now)),
             other => other,
         }
     }
 
-    /// The offer that waits for its acknowledgement.
+    /// Offer that is not acknowledged yet.
     pub(crate) fn offered(&self) -> Option<&Offer> {
         match self {
             Self::Offered(ledger) => Some(ledger.offer()),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes a successor's acknowledgement; one of another offer changes nothing.
+    /// Processes a successor's acknowledgement; one for another offer has no effect.
     pub(crate) fn acknowledged(self, accepted: &Accepted) -> Self {
         match self {
             Self::Offered(ledger) => match ledger.acknowledged(accepted) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes over what a stopping entry offers; `None` when it can't.
+    /// Takes over what a stopping entry offers; `None` if this ledger can't.
     pub(crate) fn adopt(&mut self, offer: &Offer) -> Option<Accepted> {
         match self {
             Self::Open(ledger) => ledger.accept_offer(offer).ok(),
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -1,9 +1,9 @@
-//! The link to another region: this entry's part of its cap, and what uses it.
+//! The link to another region: this entry's part of its cap and the requests that use it.
 //!
-//! Work leaves its region only through the entry of the other one, and each entry may send no
-//! more than its escrowed part of the cap between the two. Control sets the part and reads what is
-//! in flight through atomics; traffic threads meter what they send in a [`steer::ShiftLimiter`]. The
-//! lock around that is taken by traffic threads alone and held for a few instructions.
+//! A request leaves its region only through an entry of the other region, and each entry sends at
+//! most its escrowed part of the cap between the two. Control sets the part and reads the requests
+//! in flight through atomics; traffic threads limit what they send with a [`steer::ShiftLimiter`].
+//! Its lock is taken by traffic threads only and held for a few instructions.
 
 use crate::process::slots::{
     LeaseClock,
@@ -34,49 +34,50 @@
     ShiftRefusal, //
 };
 
-/// The one resource of a cap's pool: requests in flight.
+/// The single resource in the pool of a cap: requests in flight.
 ///
-/// Bytes and growth are divided as these are. With tokens of their own for bytes, a member could
-/// hold its fair number of tokens, all of one kind, and send nothing: one would notice queues at
-/// one entry while the others shift.
+/// Bytes and growth are divided in the same proportion. With separate tokens for bytes, a member
+/// could hold its fair number of tokens, all of one kind, and be unable to send: requests would
+/// queue at that entry while the others shift.
 pub(crate) const IN_FLIGHT: &str = "in-flight";
-/// Part of the cap, as a divisor, that an idle entry does not give away.
-const IDLE_PART: u32 = 32;
+/// Divisor of the cap that gives the minimum demand, which an idle entry keeps.
+const IDLE_DEMAND_DIVISOR: u32 = 32;
 
-/// Bytes of the heads of one request and its answer, with room to spare.
-const HEADS_BYTES: u64 = 1024;
-/// Most bytes that are booked when a request is admitted.
-const BOOKED_MAX_BYTES: u64 = 64 * 1024 + HEADS_BYTES;
-/// Weight of a new size in the moving average, as a divisor.
-const SMOOTH_PART: u64 = 8;
-/// The meter refills by so many parts of its rate, and keeps one part more as its burst.
-const METER_PARTS: u64 = 15;
+/// Generous estimate of the header bytes of one request and its response.
+const HEADER_BYTES: u64 = 1024;
+/// Maximum number of bytes booked when a request is admitted.
+const BOOKED_MAX_BYTES: u64 = 64 * 1024 + HEADER_BYTES;
+/// Divisor that gives the weight of a new sample in the moving average of sizes.
+const SMOOTHING_DIVISOR: u64 = 8;
+/// Parts of the rate that refill the limiter; its burst is one such part more.
+const REFILL_PARTS: u64 = 15;
 
-/// Use of the cap from this region to another.
+/// This entry's use of the cap from this region to another.
 #[derive(Debug)]
 pub(crate) struct Link {
-    /// Time up to which this entry may use its part.
+    /// Lease on this entry's part of the cap.
     pub(crate) lease: LeaseClock,
-    /// The whole cap, as configured.
-    cap: Cap,
-    /// Requests in flight and the part of them that may be, in one word.
+    /// Configured cap of the region pair.
+    cap: AtomicCap,
+    /// Requests in flight and the allotment for them, in one word.
     requests: Slots,
-    demand: AtomicU32,
-    meter: Mutex<ShiftLimiter>,
+    /// Requests refused for lack of allotment since the last call of [`Link::demand`].
+    unmet_demand: AtomicU32,
+    limiter: Mutex<ShiftLimiter>,
     passed_bytes: AtomicU64,
-    /// Moving average of what one request passes, heads included.
-    usual_bytes: AtomicU64,
+    /// Moving average of the bytes per request and response, headers included.
+    average_bytes: AtomicU64,
 }
 
-/// A cap in atomics: a change while traffic threads read it gives them some of either.
+/// A cap in atomics. A reader may see a concurrent change in part.
 #[derive(Debug, Default)]
-struct Cap {
+struct AtomicCap {
     bytes_per_s: AtomicU64,
     in_flight: AtomicU32,
     growth_per_s: AtomicU32,
 }
 
-impl Cap {
+impl AtomicCap {
     fn set(&self, cap: ShiftCap) {
         self.bytes_per_s.store(cap.bytes_per_s, Ordering::Release);
         self.in_flight.store(cap.in_flight, Ordering::Release);
@@ -97,33 +98,33 @@
 }
 
 impl Link {
-    /// Makes a link of which no part is held yet.
+    /// Creates a link without an allotment.
     pub(crate) fn new(cap: ShiftCap, now: Now) -> Self {
         let link = Self {
             lease: LeaseClock::default(),
-            cap: Cap::default(),
+            cap: AtomicCap::default(),
             requests: Slots::default(),
-            demand: AtomicU32::new(0),
-            meter: Mutex::new(ShiftLimiter::new(now, ShiftCap::default())),
+            unmet_demand: AtomicU32::new(0),
+            limiter: Mutex::new(ShiftLimiter::new(now, ShiftCap::default())),
             passed_bytes: AtomicU64::new(0),
-            usual_bytes: AtomicU64::new(BOOKED_MAX_BYTES),
+            average_bytes: AtomicU64::new(BOOKED_MAX_BYTES),
         };
         link.cap.set(cap);
         link
     }
 
-    /// Sets the whole cap.
+    /// Sets the cap of the region pair.
     pub(crate) fn set_cap(&self, cap: ShiftCap) {
         self.cap.set(cap);
     }
 
-    /// What the cap's pool has to share.
+    /// Capacity that the pool of the cap divides between its members.
     pub(crate) fn capacity(&self) -> Amounts {
         let in_flight = self.cap.get().in_flight;
         Amounts::from([(ByteString::from_static(IN_FLIGHT), in_flight)])
     }
 
-    /// Sets the part that this entry may use, full and floor, in requests in flight.
+    /// Sets this entry's allotment, full and floor, in requests in flight.
     pub(crate) fn allot(&self, full: u32, floor: u32) {
         self.requests.allot(full, floor);
     }
@@ -133,13 +134,13 @@
         u32::from(self.requests.get().in_flight)
     }
 
-    /// Requests that would use the link now; what found no part since the last call counts.
+    /// Requests that need the link now, including those refused since the last call.
     pub(crate) fn demand(&self) -> u32 {
-        let wanted = self.in_flight() + self.demand.swap(0, Ordering::Relaxed);
-        wanted.max(self.cap.get().in_flight / IDLE_PART)
+        let wanted = self.in_flight() + self.unmet_demand.swap(0, Ordering::Relaxed);
+        wanted.max(self.cap.get().in_flight / IDLE_DEMAND_DIVISOR)
     }
 
-    /// Bytes passed so far.
+    /// Bytes transferred since the process started.
     pub(crate) fn passed_bytes(&self) -> u64 {
         self.passed_bytes.load(Ordering::Relaxed)
     }
@@ -150,19 +151,19 @@
         if requests.in_flight >= requests.usable(self.lease.right(now)) {
             return false;
         }
-        let part = self.part(now);
-        let mut meter = lock(&self.meter);
-        meter.set_cap(now, part);
-        meter
+        let usable = self.usable_cap(now);
+        let mut limiter = lock(&self.limiter);
+        limiter.set_cap(now, usable);
+        limiter
             .check_sized(now, freshness, self.expected_bytes())
             .is_ok()
     }
 
-    /// Admits one request, in flight until the guard is dropped.
+    /// Admits one request, which counts as in flight until the guard is dropped.
     ///
     /// # Errors
     ///
-    /// The limit that holds it back.
+    /// The limit that is reached.
     pub(crate) fn admit(
         self: &Arc<Self>,
         now: Now,
@@ -170,34 +171,35 @@
     ) -> Result<ShiftGuard, ShiftRefusal> {
         let expected_bytes = self.expected_bytes();
         let admitted = self.try_admit(now, freshness, expected_bytes);
-        // A larger part would not let a shift grow that has grown enough for now.
+        // A larger part wouldn't help a request that the growth limit refuses.
         if admitted.is_err_and(|refusal| refusal != ShiftRefusal::Growth) {
-            self.demand.fetch_add(1, Ordering::Relaxed);
+            self.unmet_demand.fetch_add(1, Ordering::Relaxed);
         }
         admitted.map(|()| ShiftGuard {
             link: Arc::clone(self),
             admitted_at: now,
-            since: std::time::Instant::now(),
+            started: std::time::Instant::now(),
             booked_bytes: Cell::new(expected_bytes),
-            bytes: Cell::new(HEADS_BYTES),
+            transferred_bytes: Cell::new(HEADER_BYTES),
         })
     }
 
-    /// Bytes that one request is expected to pass both ways.
+    /// Bytes that one request is expected to transfer, both directions together.
     ///
-    /// Answers longer than what is read whole are paced as they come, so that no more is booked.
+    /// Bounded, because a response too long to be buffered is throttled as it arrives and needs no
+    /// more booked ahead.
     fn expected_bytes(&self) -> u64 {
-        self.usual_bytes
+        self.average_bytes
             .load(Ordering::Relaxed)
             .min(BOOKED_MAX_BYTES)
     }
 
-    /// Notes what one request passed.
-    fn note_size(&self, bytes: u64) {
-        // Racing notes may lose one of them, which a moving average bears.
-        let usual = self.usual_bytes.load(Ordering::Relaxed);
-        let next = usual - usual / SMOOTH_PART + bytes / SMOOTH_PART;
-        self.usual_bytes.store(next, Ordering::Relaxed);
+    /// Adds the bytes of one request to the moving average.
+    fn record_size(&self, bytes: u64) {
+        // Concurrent updates may lose a sample, which is acceptable in a moving average.
+        let average = self.average_bytes.load(Ordering::Relaxed);
+        let next = average - average / SMOOTHING_DIVISOR + bytes / SMOOTHING_DIVISOR;
+        self.average_bytes.store(next, Ordering::Relaxed);
     }
 
     fn try_admit(
@@ -206,34 +208,34 @@
         freshness: Freshness,
         expected_bytes: u64,
     ) -> Result<(), ShiftRefusal> {
-        // The token comes first, by one exchange: control may lower the part at this moment and
-        // must either see this request in flight or keep it from starting.
-        if !self.requests.take(self.lease.right(now), u32::MAX) {
+        // The token is acquired first, by one compare-and-exchange: if control lowers the allotment
+        // concurrently, it either sees this request in flight or prevents it from starting.
+        if !self.requests.try_acquire(self.lease.right(now), u32::MAX) {
             return Err(ShiftRefusal::InFlight);
         }
-        let part = self.part(now);
-        let mut meter = lock(&self.meter);
-        meter.set_cap(now, part);
-        let admitted = meter.admit_sized(now, freshness, expected_bytes);
-        drop(meter);
+        let usable = self.usable_cap(now);
+        let mut limiter = lock(&self.limiter);
+        limiter.set_cap(now, usable);
+        let admitted = limiter.admit_sized(now, freshness, expected_bytes);
+        drop(limiter);
         if admitted.is_err() {
-            self.requests.give_back();
+            self.requests.release();
         }
         admitted
     }
 
-    /// Part of the cap that may be used at `now`.
-    fn part(&self, now: Now) -> ShiftCap {
+    /// Part of the cap that this entry may use at `now`.
+    fn usable_cap(&self, now: Now) -> ShiftCap {
         let cap = self.cap.get();
-        let right = self.lease.right(now);
-        let in_flight = u32::from(self.requests.get().usable(right));
-        // The region's entries together stay within the cap. Growth is rounded up, or a small part
-        // would never grow at all.
+        let entitlement = self.lease.right(now);
+        let in_flight = u32::from(self.requests.get().usable(entitlement));
+        // All entries of the region together stay within the cap. Growth is rounded up, as a small
+        // part would otherwise round to zero and never grow.
         let whole = u64::from(cap.in_flight.max(1));
         let part = u64::from(in_flight).min(whole);
         let growth = (u64::from(cap.growth_per_s) * part).div_ceil(whole);
         ShiftCap {
-            bytes_per_s: self.metered(cap.bytes_per_s / whole * part),
+            bytes_per_s: self.limiter_rate(cap.bytes_per_s / whole * part),
             in_flight,
             growth_per_s: u32::try_from(growth).unwrap_or(u32::MAX),
         }
@@ -241,56 +243,57 @@
 }
 
 impl Link {
-    /// Rate to meter by, so that `bytes_per_s` is kept in each second.
+    /// Rate for the limiter that keeps each second within `bytes_per_s`.
     ///
-    /// A request that is larger than the meter's burst puts it into debt by the difference. The
-    /// refill is lowered by as much as one request, which makes up for that.
-    fn metered(&self, bytes_per_s: u64) -> u64 {
-        let one = self.expected_bytes().min(bytes_per_s / 2);
-        ((bytes_per_s - one) / METER_PARTS * (METER_PARTS + 1)).min(bytes_per_s)
+    /// A request larger than the burst overdraws the limiter by the difference. Lowering the refill
+    /// by the size of one request compensates for that.
+    fn limiter_rate(&self, bytes_per_s: u64) -> u64 {
+        let request_bytes = self.expected_bytes().min(bytes_per_s / 2);
+        ((bytes_per_s - request_bytes) / REFILL_PARTS * (REFILL_PARTS + 1)).min(bytes_per_s)
     }
 }
 
-/// One shifted request.
+/// A shifted request in flight.
 #[derive(Debug)]
 pub(crate) struct ShiftGuard {
     link: Arc<Link>,
     admitted_at: Now,
-    since: std::time::Instant,
-    /// Booked at the admission and not passed yet.
+    started: std::time::Instant,
+    /// Booked at admission and not transferred yet.
     booked_bytes: Cell<u64>,
-    /// Passed so far, heads included.
-    bytes: Cell<u64>,
+    /// Transferred so far, headers included.
+    transferred_bytes: Cell<u64>,
 }
 
 impl ShiftGuard {
-    /// Passes `bytes`; returns how long they must wait, for those that were not booked before.
+    /// Counts `bytes` as transferred; returns the delay for those that were not booked at admission.
     pub(crate) fn pass(&self, bytes: usize) -> Duration {
         let bytes = bytes as u64;
         self.link.passed_bytes.fetch_add(bytes, Ordering::Relaxed);
-        self.bytes.set(self.bytes.get() + bytes);
+        self.transferred_bytes
+            .set(self.transferred_bytes.get() + bytes);
         let booked = self.booked_bytes.get().min(bytes);
         self.booked_bytes.set(self.booked_bytes.get() - booked);
         if bytes == booked {
             return Duration::ZERO;
         }
-        lock(&self.link.meter).book_bytes(self.now(), bytes - booked)
+        lock(&self.link.limiter).book_bytes(self.now(), bytes - booked)
     }
 
     fn now(&self) -> Now {
-        self.admitted_at + self.since.elapsed()
+        self.admitted_at + self.started.elapsed()
     }
 }
 
 impl Drop for ShiftGuard {
     fn drop(&mut self) {
         let now = self.now();
-        let unused = self.booked_bytes.get().saturating_sub(HEADS_BYTES);
-        let mut meter = lock(&self.link.meter);
-        meter.release(now);
-        meter.refund(now, unused);
-        drop(meter);
-        self.link.note_size(self.bytes.get());
-        self.link.requests.give_back();
+        let unused = self.booked_bytes.get().saturating_sub(HEADER_BYTES);
+        let mut limiter = lock(&self.link.limiter);
+        limiter.release(now);
+        limiter.refund(now, unused);
+        drop(limiter);
+        self.link.record_size(self.transferred_bytes.get());
+        self.link.requests.release();
     }
 }
--- a/crates/daemon/src/process/metric.rs
+++ b/crates/daemon/src/process/metric.rs
@@ -1,7 +1,7 @@
-//! The table of metrics: names, kinds, units and meaning.
+//! The table of metrics: names, kinds, units and descriptions.
 //!
-//! The Prometheus endpoint, `docs/METRICS.md` and the counters of the request path all take their
-//! names from here.
+//! The Prometheus endpoint, `docs/METRICS.md` and the counters of the request path take their names
+//! from this table.
 
 metric::table! {
     /// Every metric that a daemon exports.
@@ -54,7 +54,7 @@
         "Processor time of one tick of control.";
 }
 
-/// The daemon's part of `docs/METRICS.md`.
+/// Returns the daemon's section of `docs/METRICS.md`.
 pub fn metrics_page() -> String {
     format!(
         "# Metrics\n\nGenerated from the tables in the code by `jasmined --metrics-page` and \
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! What lives as long as the process: settings, control, pools, the ports.
+//! State with the lifetime of the process: settings, control, pools, listeners.
 //!
-//! [`run`] is the whole life: it binds the ports, starts traffic threads, starts control on the
-//! calling thread, and returns when a planned stop has ended.
+//! [`run`] binds the ports, starts the traffic threads, starts control on the calling thread, and
+//! returns when a planned stop has completed.
 
 pub(crate) mod active;
 pub(crate) mod burn;
@@ -72,13 +72,13 @@
 };
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-/// Runs the daemon until a planned stop has ended.
+/// Runs the daemon until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// A port can't be bound, or the metrics recorder is already set.
+/// A port can't be bound, or a logger or metrics recorder can't be installed.
 pub fn run(settings: Settings) -> eyre::Result<()> {
-    init_logs(settings.log_level).wrap_err("the log")?;
+    init_logs(settings.log_level).wrap_err("initializing the log")?;
     let metrics = ::metric::install(metric::METRICS)?;
     let callers = bind(settings.callers_addr.to_string(), "callers_addr")?;
     let peers = bind(settings.peers_addr.to_string(), "peers_addr")?;
@@ -105,14 +105,14 @@
         spdlog::info!("started", kv: { instance = shared.settings.instance.to_string() });
         let end = end.await.unwrap_or(End::ControlLost);
         for port in ports {
-            // Idle connections of callers close; nothing is in flight any more.
+            // Only idle connections are left to close; no request is in flight any more.
             port.stop(true).await;
         }
         end.into_result()
     })
 }
 
-/// Asks control for a planned stop at the first signal; a further one doesn't hurry it.
+/// Requests a planned stop from control on the first signal. Further signals don't speed it up.
 fn stop_on_signal(control: Addr<Control>) -> eyre::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("handling SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("handling SIGINT")?;
@@ -140,7 +140,7 @@
     let server = HttpServer::new(move || {
         App::new()
             .app_data(shared.clone())
-            .wrap(from_fn(operator::prove_key))
+            .wrap(from_fn(operator::authenticate))
             .configure(operator::routes(control.clone()))
     })
     .workers(1)
@@ -149,7 +149,7 @@
     Ok(server.run())
 }
 
-/// Writes log lines to standard error as JSON, one for each change of state.
+/// Sets up the logger: JSON lines on standard error.
 fn init_logs(level: LogLevel) -> eyre::Result<()> {
     let level = match level {
         LogLevel::Debug => spdlog::Level::Debug,
--- a/crates/daemon/src/process/operator/mod.rs
+++ b/crates/daemon/src/process/operator/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' port: JSON requests that control answers.
+//! The operators' port: a JSON API that is served by control.
 //!
-//! Handlers here only translate; control decides. The port is apart from the callers' one and,
-//! unless it is on loopback, each request must prove the operators' key. Every refusal is one JSON
-//! object whose `error` names it.
+//! The handlers only translate; control decides. The port is separate from the callers' port.
+//! If an operators' key is set, as it must be unless the port is on loopback, each request must
+//! present it. Every refusal is a JSON object whose `error` identifies it.
 
 mod upload;
 
@@ -67,12 +67,12 @@
 };
 use subtle::ConstantTimeEq;
 
-/// Longest request body: a configuration with its block table.
+/// Maximum size of a request body, which is a configuration with its block table.
 const BODY_LIMIT_BYTES: usize = 256 << 20;
-/// Versions in a history whose number was not asked for.
+/// Default number of versions in a history.
 const HISTORY_LIMIT: u64 = 20;
 
-/// Handle of control in the handlers.
+/// Address of control, as passed to handlers.
 type ControlAddr = web::Data<Addr<Control>>;
 
 #[derive(Deserialize)]
@@ -85,7 +85,7 @@
     version: Version,
 }
 
-/// Routes of the operators' port.
+/// Registers the routes of the operators' port.
 pub(crate) fn routes(control: Addr<Control>) -> impl FnOnce(&mut web::ServiceConfig) {
     move |config: &mut web::ServiceConfig| {
         let json = web::JsonConfig::default()
@@ -104,18 +104,18 @@
                             .to(accept_with_blocks),
                     )
                     .route(web::post().to(accept))
-                    .default_service(web::to(wrong_method)),
+                    .default_service(web::to(method_not_allowed)),
             )
             .service(
                 web::resource("/op/v1/drain")
                     .route(web::post().to(drain))
-                    .route(web::get().to(|control| ask(control, GetDrains)))
-                    .default_service(web::to(wrong_method)),
+                    .route(web::get().to(|control| send_query(control, GetDrains)))
+                    .default_service(web::to(method_not_allowed)),
             )
             .service(
                 web::resource("/op/v1/target")
                     .route(web::post().to(target))
-                    .default_service(web::to(wrong_method)),
+                    .default_service(web::to(method_not_allowed)),
             )
             .route("/op/v1/config", web::get().to(config_in_force))
             .route("/op/v1/config/{version}", web::get().to(config_of))
@@ -123,51 +123,52 @@
             .route("/op/v1/confirmed", web::get().to(confirmed))
             .route(
                 "/op/v1/status",
-                web::get().to(|control| ask(control, GetStatus)),
+                web::get().to(|control| send_query(control, GetStatus)),
             )
             .route(
                 "/op/v1/instances",
-                web::get().to(|control| ask(control, GetInstances)),
+                web::get().to(|control| send_query(control, GetInstances)),
             )
             .route(
                 "/op/v1/shares",
-                web::get().to(|control| ask(control, GetShares)),
+                web::get().to(|control| send_query(control, GetShares)),
             )
             .route(
                 "/op/v1/burn",
-                web::get().to(|control| ask(control, GetBurn)),
+                web::get().to(|control| send_query(control, GetBurn)),
             )
-            .default_service(web::to(no_such_request));
+            .default_service(web::to(unknown_path));
     }
 }
 
-/// Lets a request through that proves the operators' key, or any request where none is set.
-pub(crate) async fn prove_key(
+/// Middleware that refuses requests without the operators' key, if one is set.
+pub(crate) async fn authenticate(
     shared: web::Data<Arc<Shared>>,
     request: ServiceRequest,
     next: Next<impl actix_web::body::MessageBody + 'static>,
 ) -> Result<ServiceResponse<impl actix_web::body::MessageBody>, actix_web::Error> {
-    let proven = match &shared.settings.operator_key {
-        Some(key) => proves(&request, key),
+    let is_authorized = match &shared.settings.operator_key {
+        Some(key) => presents_key(&request, key),
         None => true,
     };
-    if proven {
+    if is_authorized {
         return next
             .call(request)
             .await
             .map(ServiceResponse::map_into_left_body);
     }
-    let response = refuse(&Refusal::Unauthorized);
+    let response = refusal_response(&Refusal::Unauthorized);
     Ok(request.into_response(response).map_into_right_body())
 }
 
-fn proves(request: &ServiceRequest, key: &Secret) -> bool {
+fn presents_key(request: &ServiceRequest, key: &Secret) -> bool {
     let given = request
         .headers()
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.strip_prefix("Bearer "));
-    // Comparing byte by byte until the first difference would tell a guesser how far he got.
+    // Constant-time comparison, as the time of an early exit would reveal the length of a matching
+    // prefix.
     given.is_some_and(|given| given.as_bytes().ct_eq(key.expose().as_bytes()).into())
 }
 
@@ -186,7 +187,7 @@
             drop(permit);
             answer
         }
-        Err(refusal) => refuse(&refusal),
+        Err(refusal) => refusal_response(&refusal),
     }
 }
 
@@ -199,24 +200,24 @@
 }
 
 async fn config_in_force(control: ControlAddr) -> HttpResponse {
-    try_ask(control, GetConfig(None), stopped()).await
+    try_send_query(control, GetConfig(None), stopping()).await
 }
 
 async fn config_of(control: ControlAddr, version: web::Path<Version>) -> HttpResponse {
-    try_ask(control, GetConfig(Some(version.into_inner())), stopped()).await
+    try_send_query(control, GetConfig(Some(version.into_inner())), stopping()).await
 }
 
 async fn history(control: ControlAddr, query: web::Query<HistoryQuery>) -> HttpResponse {
     let limit = query.limit.unwrap_or(HISTORY_LIMIT);
-    try_ask(control, GetHistory { limit }, stopped()).await
+    try_send_query(control, GetHistory { limit }, stopping()).await
 }
 
 async fn confirmed(control: ControlAddr, query: web::Query<ConfirmedQuery>) -> HttpResponse {
-    ask(control, GetConfirmation(query.version)).await
+    send_query(control, GetConfirmation(query.version)).await
 }
 
-/// Answers with what control says.
-async fn ask<M, T>(control: ControlAddr, message: M) -> HttpResponse
+/// Responds with control's reply to `message`.
+async fn send_query<M, T>(control: ControlAddr, message: M) -> HttpResponse
 where
     M: Message<Result = T> + Send + 'static,
     T: Send + Serialize + 'static,
@@ -225,12 +226,12 @@
 {
     match control.send(message).await {
         Ok(answer) => HttpResponse::Ok().json(answer),
-        Err(_) => refuse(&stopped()),
+        Err(_) => refusal_response(&stopping()),
     }
 }
 
-/// Answers with what control says, if it does; with `on_stop` when control went before that.
-async fn try_ask<M, T>(control: ControlAddr, message: M, on_stop: Refusal) -> HttpResponse
+/// Responds with control's reply or refusal, or with `on_stop` if control stopped before replying.
+async fn try_send_query<M, T>(control: ControlAddr, message: M, on_stop: Refusal) -> HttpResponse
 where
     M: Message<Result = Result<T, Refusal>> + Send + 'static,
     T: Send + Serialize + 'static,
@@ -239,51 +240,52 @@
 {
     match control.send(message).await {
         Ok(Ok(answer)) => HttpResponse::Ok().json(answer),
-        Ok(Err(refusal)) => refuse(&refusal),
-        Err(_) => refuse(&on_stop),
+        Ok(Err(refusal)) => refusal_response(&refusal),
+        Err(_) => refusal_response(&on_stop),
     }
 }
 
-/// Answers a request that changes something.
+/// Responds to a request that changes the configuration.
 async fn change<M>(control: ControlAddr, message: M) -> HttpResponse
 where
     M: Message<Result = Result<Accepted, Refusal>> + Send + 'static,
     Control: Handler<M>,
     <Control as actix::Actor>::Context: ToEnvelope<Control, M>,
 {
-    // Control may have taken it and gone before it answered: the commit may be on its way.
+    // Control may have accepted the message and stopped before replying, so the commit may still
+    // succeed.
     let on_stop = Refusal::Unknown {
-        detail: "this daemon stopped meanwhile".to_owned(),
+        detail: "this daemon stopped before it replied".to_owned(),
     };
-    try_ask(control, message, on_stop).await
+    try_send_query(control, message, on_stop).await
 }
 
-async fn wrong_method(request: HttpRequest) -> HttpResponse {
-    refuse(&Refusal::BadRequest {
-        detail: format!("{} has no {}", request.path(), request.method()),
+async fn method_not_allowed(request: HttpRequest) -> HttpResponse {
+    refusal_response(&Refusal::BadRequest {
+        detail: format!("{} does not support {}", request.path(), request.method()),
     })
 }
 
-async fn no_such_request(request: HttpRequest) -> HttpResponse {
-    refuse(&Refusal::NotFound {
-        detail: format!("the operators' port has no {}", request.path()),
+async fn unknown_path(request: HttpRequest) -> HttpResponse {
+    refusal_response(&Refusal::NotFound {
+        detail: format!("no such path on the operators' port: {}", request.path()),
     })
 }
 
 fn bad_request(error: impl fmt::Display) -> actix_web::Error {
-    let response = refuse(&Refusal::BadRequest {
+    let response = refusal_response(&Refusal::BadRequest {
         detail: error.to_string(),
     });
     InternalError::from_response(String::new(), response).into()
 }
 
-fn refuse(refusal: &Refusal) -> HttpResponse {
+fn refusal_response(refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.status());
     HttpResponse::build(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)).json(refusal)
 }
 
-fn stopped() -> Refusal {
+fn stopping() -> Refusal {
     Refusal::NotDone {
-        detail: "this daemon stops".to_owned(),
+        detail: "this daemon is stopping".to_owned(),
     }
 }
--- a/crates/daemon/src/process/pool/seen.rs
+++ b/crates/daemon/src/process/pool/observations.rs
@@ -1,4 +1,4 @@
-//! What traffic threads saw of one upstream, in atomics that control differences.
+//! Results of requests to one upstream, recorded by traffic threads in atomics and read by control.
 
 use std::{
     sync::atomic::{
@@ -9,24 +9,24 @@
     time::Duration, //
 };
 
-/// Weight of a new sample in the moving average of latency, as a power of two.
+/// Weight of a new sample in the moving average of latency, as a right shift.
 const EWMA_SHIFT: u32 = 3;
-/// A sample above this many times the average counts for half.
+/// A sample above this multiple of the average gets a weight of one half.
 ///
-/// An upstream that has become slow answers seldom: at the usual weight it goes on looking quick,
-/// and draws work, for as many of its slow answers as the average needs to follow.
-const JUMP: u64 = 3;
+/// An upstream that has become slow responds rarely. At the normal weight it would look fast, and
+/// attract work, for the many slow responses that the average needs to adapt.
+const OUTLIER_FACTOR: u64 = 3;
 
-/// Failures in a row after which traffic threads leave an upstream, before control has judged it.
+/// Consecutive failures after which traffic threads avoid an upstream, ahead of control.
 ///
-/// Control suspects it for the same failures, at its next tick at the latest.
-const STREAK_MAX: u32 = 2;
+/// Control suspects the upstream for the same failures, at its next tick at the latest.
+const FAILURE_STREAK_MAX: u32 = 2;
 
-/// What traffic threads saw of an upstream since the process started.
+/// Results of requests to one upstream since the process started.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
-    /// Failures since the last answer and the last tick of control.
-    streak: AtomicU32,
+pub(crate) struct Observations {
+    /// Failures since the last response or the last tick of control.
+    failure_streak: AtomicU32,
     latency_us: AtomicU64,
     answered: AtomicU64,
     latency_sum_us: AtomicU64,
@@ -36,71 +36,71 @@
     shed: AtomicU64,
 }
 
-impl Seen {
-    /// Notes a whole answer that took `latency` to its first byte.
+impl Observations {
+    /// Records a complete response whose first byte took `latency`.
     pub(crate) fn note_answer(&self, latency: Duration) {
         let sample_us = to_us(latency);
-        self.streak.store(0, Ordering::Relaxed);
+        self.failure_streak.store(0, Ordering::Relaxed);
         self.answered.fetch_add(1, Ordering::Relaxed);
         self.latency_sum_us.fetch_add(sample_us, Ordering::Relaxed);
-        // Racing samples may lose one of them, which a moving average bears.
+        // Concurrent updates may lose a sample, which is acceptable in a moving average.
         let old_us = self.latency_us.load(Ordering::Relaxed);
         let new_us = match old_us {
             0 => sample_us,
-            _ if sample_us / JUMP > old_us => old_us / 2 + sample_us / 2,
+            _ if sample_us / OUTLIER_FACTOR > old_us => old_us / 2 + sample_us / 2,
             _ => old_us - (old_us >> EWMA_SHIFT) + (sample_us >> EWMA_SHIFT),
         };
         self.latency_us.store(new_us, Ordering::Relaxed);
     }
 
-    /// Notes a request that timed out.
+    /// Records a request that timed out.
     pub(crate) fn note_timeout(&self) {
         self.timed_out.fetch_add(1, Ordering::Relaxed);
-        self.streak.fetch_add(1, Ordering::Relaxed);
+        self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes an answer that was cut, short, or somebody else's.
+    /// Records a response that was cut off, too short, or for a different request.
     pub(crate) fn note_broken(&self) {
         self.broken.fetch_add(1, Ordering::Relaxed);
-        self.streak.fetch_add(1, Ordering::Relaxed);
+        self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a connection that could not be opened.
+    /// Records a request that was not sent, as no connection could be opened.
     pub(crate) fn note_not_sent(&self) {
         self.not_sent.fetch_add(1, Ordering::Relaxed);
-        self.streak.fetch_add(1, Ordering::Relaxed);
+        self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Notes a refusal by the upstream itself.
+    /// Records a request that the upstream shed.
     pub(crate) fn note_shed(&self) {
         self.shed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether it fails, as far as is known since control last judged it.
+    /// Whether the upstream has failed repeatedly since control last evaluated it.
     ///
-    /// What fails at once looks idle, and draws the work of a whole tick: one would notice a burst
-    /// of failures, as many as requests come in a tenth of a second, and a budget of retries that
-    /// is used up by them.
+    /// An upstream that fails immediately looks idle and would attract the work of a whole tick: a
+    /// burst of failures, as many as requests arrive in a tenth of a second, which exhausts the retry
+    /// budget.
     pub(crate) fn fails(&self) -> bool {
-        self.streak.load(Ordering::Relaxed) >= STREAK_MAX
+        self.failure_streak.load(Ordering::Relaxed) >= FAILURE_STREAK_MAX
     }
 
-    /// Notes that control has judged what was seen.
+    /// Resets the failure streak after control has evaluated the upstream.
     pub(crate) fn judged(&self) {
-        self.streak.store(0, Ordering::Relaxed);
+        self.failure_streak.store(0, Ordering::Relaxed);
     }
 
-    /// Begins the moving average of latency anew.
+    /// Restarts the moving average of latency from `latency`.
     pub(crate) fn reset_latency(&self, latency: Duration) {
         self.latency_us.store(to_us(latency), Ordering::Relaxed);
     }
 
-    /// Moving average of latency; zero before the first answer.
+    /// Moving average of latency; zero before the first response.
     pub(crate) fn latency(&self) -> Duration {
         Duration::from_micros(self.latency_us.load(Ordering::Relaxed))
     }
 
-    /// Totals, for control to difference.
+    /// Current totals. Control uses the difference between two of them.
     pub(crate) fn totals(&self) -> Totals {
         Totals {
             answered: self.answered.load(Ordering::Relaxed),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Totals of [`Seen`] at one moment.
+/// Totals of [`Observations`] at one moment.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Totals {
     answered: u64,
@@ -125,7 +125,7 @@
 }
 
 impl Totals {
-    /// What was seen between `before` and these totals.
+    /// Results recorded between `before` and these totals.
     pub(crate) fn since(&self, before: &Self) -> steer::WindowStats {
         let count = |now: u64, then: u64| u32::try_from(now - then).unwrap_or(u32::MAX);
         steer::WindowStats {
@@ -133,15 +133,15 @@
             latency_sum: Duration::from_micros(self.latency_sum_us - before.latency_sum_us),
             timeouts: count(self.timed_out, before.timed_out),
             refused: count(self.not_sent, before.not_sent),
-            // An upstream that sheds now and then is at its limit and not down; like a cut answer
-            // one alone is forgiven, and a few in a row are not.
+            // An upstream that sheds occasionally is at its limit, not down. As for truncated
+            // responses, a single one is tolerated and several in a row are not.
             truncated: count(self.broken, before.broken)
                 .saturating_add(count(self.shed, before.shed)),
         }
     }
 }
 
-/// Microseconds of `time`, as atomics keep them.
+/// Converts `time` to microseconds, the unit of the atomics.
 pub(super) fn to_us(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/process/pool/permit.rs
+++ b/crates/daemon/src/process/pool/permit.rs
@@ -1,4 +1,4 @@
-//! A slot in use, and when it is given back.
+//! A slot in use, and when it is released.
 
 use crate::process::pool::{
     Pool,
@@ -18,51 +18,51 @@
     Instant, //
 };
 
-/// Time after its deadline for an upstream to have stopped.
-const STOPPED: Duration = Duration::from_millis(5);
+/// Time after the deadline within which an upstream is assumed to stop.
+const STOP_GRACE: Duration = Duration::from_millis(5);
 
-/// Where a request that holds a slot is.
+/// Progress of a request that holds a slot.
 #[derive(Clone, Debug)]
-enum Stage {
-    /// Nothing was sent.
+enum RequestState {
+    /// Nothing has been sent.
     Unsent,
-    /// The upstream may be working on it.
+    /// The upstream may be processing it.
     Sent(Cancellation),
-    /// The upstream has ended it.
+    /// The upstream has finished it.
     Ended,
 }
 
-/// How to tell that the upstream works no longer on a request that was given up on.
+/// Detects when the upstream has stopped processing an abandoned request.
 #[derive(Clone, Debug)]
 struct Cancellation {
-    /// Connections that were given up, the request's own among them.
+    /// Abandoned connections, the one of the request among them.
     closing: Closing,
-    /// When the upstream stops by itself.
+    /// Time at which the upstream stops by itself.
     deadline: Instant,
 }
 
 impl Cancellation {
-    /// Ends when the upstream has noticed the cancellation, or stopped by its deadline.
+    /// Completes when the upstream has detected the cancellation, or stopped at its deadline.
     ///
-    /// What goes wrong without it: a request is given up on, its slot is given back and used at
-    /// once, while the upstream still works on the first, so that the second queues there. One
-    /// would notice it as queues at upstreams after timeouts and callers that went away. A fixed
-    /// pause doesn't help: too short a one fails on a busy machine, and a longer one takes slots
-    /// from impatient callers, who ask again. The upstream's end of the connection tells.
-    async fn noticed(self) {
-        let _ = timeout_at(self.deadline + STOPPED, self.closing.closed()).await;
+    /// Otherwise the slot of an abandoned request would be released and reused while the upstream
+    /// still processes that request, and the next one would queue there: queues at upstreams would
+    /// follow timeouts and disconnected callers. A fixed delay doesn't help: a short one fails on a
+    /// busy machine, and a long one withholds slots from callers with short timeouts, who then
+    /// retry. The upstream closing its end of the connection is the reliable signal.
+    async fn upstream_stopped(self) {
+        let _ = timeout_at(self.deadline + STOP_GRACE, self.closing.closed()).await;
     }
 }
 
-/// A slot, given back when dropped.
+/// An acquired slot, released when dropped.
 #[derive(Debug)]
-pub(super) struct Slot {
+pub(super) struct SlotGuard {
     pool: Arc<Pool>,
     upstream: Arc<Upstream>,
 }
 
-impl Slot {
-    /// The slot that was just taken.
+impl SlotGuard {
+    /// Guards a slot that was just acquired.
     pub(super) fn new(pool: &Arc<Pool>, upstream: &Arc<Upstream>) -> Self {
         Self {
             pool: Arc::clone(pool),
@@ -71,51 +71,51 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.upstream.slots.give_back();
+        self.upstream.slots.release();
         self.pool.wake();
     }
 }
 
-/// A slot in use by one request; given back whichever way the request ends.
+/// A slot in use by one request, released however the request ends.
 #[derive(Debug)]
 pub(crate) struct Permit {
     pub(crate) upstream: Arc<Upstream>,
-    /// Present until the drop.
-    slot: Option<Slot>,
+    /// `Some` until dropped.
+    slot: Option<SlotGuard>,
     taken_at: Instant,
-    stage: RefCell<Stage>,
-    /// The answer is only measured.
+    state: RefCell<RequestState>,
+    /// The request is a probe; its response is only measured.
     pub(crate) probe: Cell<bool>,
 }
 
 impl Permit {
-    /// Permit for a slot that was just taken.
-    pub(super) fn new(slot: Slot) -> Self {
+    /// Creates the permit for a slot that was just acquired.
+    pub(super) fn new(slot: SlotGuard) -> Self {
         Self {
             upstream: Arc::clone(&slot.upstream),
             slot: Some(slot),
             taken_at: Instant::now(),
-            stage: RefCell::new(Stage::Unsent),
+            state: RefCell::new(RequestState::Unsent),
             probe: Cell::new(false),
         }
     }
 
-    /// Notes that the request goes out now, on a connection that `closing` watches.
+    /// Records that the request is being sent, on a connection that `closing` tracks.
     pub(crate) fn sent(&self, closing: &Closing, deadline: Instant) {
-        self.stage.replace(Stage::Sent(Cancellation {
+        self.state.replace(RequestState::Sent(Cancellation {
             closing: closing.clone(),
             deadline,
         }));
     }
 
-    /// Notes that the upstream has ended the request, or never had it.
+    /// Records that the upstream has finished the request or never received it.
     pub(crate) fn ended(&self) {
-        self.stage.replace(Stage::Ended);
+        self.state.replace(RequestState::Ended);
     }
 
-    /// Notes that the upstream has answered whole.
+    /// Records that the upstream's response is complete.
     pub(crate) fn completed(&self) {
         self.ended();
         if let (Some(slot), false) = (&self.slot, self.probe.get()) {
@@ -127,14 +127,14 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let slot = self.slot.take();
-        let Stage::Sent(cancellation) = self.stage.replace(Stage::Ended) else {
+        let RequestState::Sent(cancellation) = self.state.replace(RequestState::Ended) else {
             return;
         };
-        // Without a runtime the process ends, and the slot with it. The task runs after the request
-        // and its connection are dropped, which whoever drops the permit does with it.
+        // Without a runtime the process is exiting, and the slot doesn't matter. The task runs after
+        // the request and its connection are dropped, which happens together with the permit.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
-                cancellation.noticed().await;
+                cancellation.upstream_stopped().await;
                 drop(slot);
             });
         }
--- a/crates/daemon/src/process/pool/queue.rs
+++ b/crates/daemon/src/process/pool/queue.rs
@@ -1,8 +1,8 @@
 //! The queue of requests that wait at this entry for a slot of one service.
 //!
-//! It is ordered by the rank of the class, then by coming, and who waits keeps his place until he
-//! leaves: a wake that finds no slot free costs nothing. Only the first one takes a slot. The lock
-//! is taken by traffic threads alone, for a few instructions; control reads the counts.
+//! It is ordered by the rank of the class, then by arrival. A request keeps its position until it is
+//! removed, so a wake-up that finds no free slot costs it nothing. Only the first request acquires a
+//! slot. The lock is taken by traffic threads only, for a few instructions; control reads the counts.
 
 use std::{
     collections::BTreeMap,
@@ -20,89 +20,88 @@
 };
 use tokio::sync::Notify;
 
-/// Ranks of a service; classes beyond share the last.
+/// Number of ranks of a service; classes with higher ranks share the last.
 const RANKS: usize = 8;
 /// The last rank.
 pub(crate) const LAST_RANK: usize = RANKS - 1;
 
-/// Place in the queue.
-type Place = (usize, u64);
+/// Position in the queue: rank and sequence number.
+type Position = (usize, u64);
 
 /// The queue of one service.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    /// Requests that wait, by rank.
+    /// Waiting requests by rank.
     counts: [AtomicU32; RANKS],
-    next: AtomicU64,
-    places: Mutex<BTreeMap<Place, Arc<Notify>>>,
+    next_seq: AtomicU64,
+    waiters: Mutex<BTreeMap<Position, Arc<Notify>>>,
 }
 
-/// One who waits.
+/// A waiting request.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    place: Place,
-    woken: Arc<Notify>,
+    position: Position,
+    notify: Arc<Notify>,
 }
 
 impl Waiter {
-    /// Ends when the request may be the next to take a slot.
+    /// Completes when the request may be the next to acquire a slot.
     pub(super) async fn woken(&self) {
-        self.woken.notified().await;
+        self.notify.notified().await;
     }
 }
 
 impl Queue {
-    fn places(&self) -> MutexGuard<'_, BTreeMap<Place, Arc<Notify>>> {
-        self.places.lock().unwrap_or_else(PoisonError::into_inner)
+    fn waiters(&self) -> MutexGuard<'_, BTreeMap<Position, Arc<Notify>>> {
+        self.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a request at the end of its rank.
-    pub(super) fn enter(&self, rank: usize) -> Waiter {
+    /// Appends a request to its rank.
+    pub(super) fn push(&self, rank: usize) -> Waiter {
         let rank = rank.min(LAST_RANK);
         let waiter = Waiter {
-            place: (rank, self.next.fetch_add(1, Ordering::Relaxed)),
-            woken: Arc::default(),
+            position: (rank, self.next_seq.fetch_add(1, Ordering::Relaxed)),
+            notify: Arc::default(),
         };
         self.counts[rank].fetch_add(1, Ordering::AcqRel);
-        self.places()
-            .insert(waiter.place, Arc::clone(&waiter.woken));
+        self.waiters()
+            .insert(waiter.position, Arc::clone(&waiter.notify));
         waiter
     }
 
-    /// Takes a request out, whether it got a slot or not, and lets the next one look.
-    pub(super) fn leave(&self, waiter: &Waiter) {
-        self.counts[waiter.place.0].fetch_sub(1, Ordering::AcqRel);
-        self.places().remove(&waiter.place);
+    /// Removes a request, with or without a slot, and wakes the first of the rest.
+    pub(super) fn remove(&self, waiter: &Waiter) {
+        self.counts[waiter.position.0].fetch_sub(1, Ordering::AcqRel);
+        self.waiters().remove(&waiter.position);
         self.wake();
     }
 
-    /// Lets the first request look.
+    /// Wakes the first request.
     pub(super) fn wake(&self) {
         if self.waiting() == 0 {
             return;
         }
-        let first = self.places().values().next().cloned();
-        if let Some(woken) = first {
-            woken.notify_one();
+        let first = self.waiters().values().next().cloned();
+        if let Some(notify) = first {
+            notify.notify_one();
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(super) fn waiting(&self) -> u32 {
         self.waiting_before(RANKS)
     }
 
-    /// Requests that wait and go before one that comes now with `rank`; with the next rank, all up
-    /// to this one.
+    /// Number of waiting requests with a rank below `rank`.
     pub(super) fn waiting_before(&self, rank: usize) -> u32 {
         let counts = &self.counts[..rank.min(RANKS)];
         let counts = counts.iter().map(|count| count.load(Ordering::Acquire));
         counts.sum()
     }
 
-    /// Requests that go before `waiter`.
+    /// Number of requests ahead of `waiter`.
     pub(super) fn ahead_of(&self, waiter: &Waiter) -> u32 {
-        let ahead = self.places().range(..waiter.place).count();
+        let ahead = self.waiters().range(..waiter.position).count();
         u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 }
--- a/crates/daemon/src/process/pool/upstream.rs
+++ b/crates/daemon/src/process/pool/upstream.rs
@@ -1,12 +1,12 @@
-//! One upstream of the region, as traffic threads and control share it.
+//! State of one upstream of the region, shared by traffic threads and control.
 
 use crate::process::{
-    pool::seen::{
+    pool::observations::{
         to_us,
-        Seen, //
+        Observations, //
     },
     slots::{
-        Right,
+        Entitlement,
         Slots, //
     },
 };
@@ -31,34 +31,34 @@
     NO_LIMIT, //
 };
 
-/// One upstream of the region.
+/// State of one upstream of the region.
 #[derive(Debug)]
 pub(crate) struct Upstream {
     pub(crate) id: UpstreamId,
     pub(crate) addr: ByteString,
     pub(crate) failure_domain: DomainId,
-    /// Slots that the platform's list gives it.
+    /// Slots stated in the platform's list.
     pub(crate) listed_slots: u32,
     pub(crate) slots: Slots,
-    pub(crate) seen: Seen,
+    pub(crate) seen: Observations,
     pub(crate) report: Report,
-    /// Slots open under slow start, set by control.
+    /// Limit on requests in flight under slow start, set by control.
     pub(crate) limit: AtomicU32,
     leaving: AtomicBool,
-    /// Draining by an operator's word; unlike leaving it can be taken back.
+    /// Drained by an operator, which, unlike leaving, can be undone.
     pub(crate) drained: AtomicBool,
-    /// Suspected: it gets probes and nothing else.
+    /// Suspected to have failed; receives probes only.
     pub(crate) suspect: AtomicBool,
-    /// In the trickle of slow start: it gets probes and nothing else.
+    /// In the probing phase of slow start; receives probes only.
     pub(crate) cold: AtomicBool,
-    /// Nothing was seen or heard of it for a while.
+    /// Neither a result nor a report was received recently.
     pub(crate) silent: AtomicBool,
-    /// One probe is due; whoever clears it sends the probe.
+    /// A probe is due; the thread that clears the flag sends it.
     probe_due: AtomicBool,
 }
 
 impl Upstream {
-    /// Makes an upstream of which nothing was seen yet, without slots until control allots some.
+    /// Creates an upstream without results and without slots; control allots them.
     pub(crate) fn new(
         id: UpstreamId,
         addr: ByteString,
@@ -71,7 +71,7 @@
             failure_domain,
             listed_slots,
             slots: Slots::default(),
-            seen: Seen::default(),
+            seen: Observations::default(),
             report: Report::default(),
             limit: AtomicU32::new(NO_LIMIT),
             leaving: AtomicBool::new(false),
@@ -83,31 +83,31 @@
         }
     }
 
-    /// Takes no new work from now on; returns whether this was the first sign of it.
+    /// Marks the upstream as leaving, so that it gets no new work; returns whether it was not yet.
     pub(crate) fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::AcqRel)
     }
 
-    /// Follows the picture, which knows when an upstream has come back under its name.
+    /// Sets the state from the membership view, which detects an upstream that returns under its id.
     pub(crate) fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     pub(crate) fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Whether new work may go there at all.
+    /// Whether the upstream accepts new work.
     pub(crate) fn open(&self) -> bool {
         !self.leaving() && !self.drained.load(Ordering::Acquire)
     }
 
-    /// What a policy decides from, under `right`, for a request that is no probe.
-    pub(crate) fn view(&self, right: Right, now: Now) -> UpstreamView {
+    /// Input of a policy, under `entitlement`, for a request that is not a probe.
+    pub(crate) fn view(&self, entitlement: Entitlement, now: Now) -> UpstreamView {
         let slots = self.slots.get();
         UpstreamView {
-            usable: u32::from(slots.usable(right)),
+            usable: u32::from(slots.usable(entitlement)),
             slow_start_limit: self.limit.load(Ordering::Relaxed),
             in_flight: u32::from(slots.in_flight),
             latency: self.seen.latency(),
@@ -126,75 +126,76 @@
         self.probe_due.load(Ordering::Acquire)
     }
 
-    /// Whether the probe that is due may be sent now.
+    /// Whether a probe is due and may be sent now.
     ///
-    /// One at a time proves a suspect; how many warm a cold one is its limit's to say.
+    /// A suspect gets one probe at a time; for a cold upstream, the slow start limit applies.
     pub(crate) fn takes_probe(&self) -> bool {
         let is_cold = self.cold.load(Ordering::Relaxed);
         self.probe_due() && self.open() && (is_cold || self.slots.get().in_flight == 0)
     }
 
-    /// Sets whether a probe is due; returns what was there before.
+    /// Sets whether a probe is due; returns the previous value.
     pub(crate) fn set_probe_due(&self, due: bool) -> bool {
         self.probe_due.swap(due, Ordering::AcqRel)
     }
 }
 
-/// What the upstream last said of its load.
+/// Last load report of the upstream.
 ///
-/// One word holds the three numbers, so that they are of one report.
+/// The three numbers are packed into one word, so that a reader gets them from the same report.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
-    numbers: AtomicU64,
-    true_at_us: AtomicU64,
-    heard_at_us: AtomicU64,
+    packed: AtomicU64,
+    measured_at_us: AtomicU64,
+    received_at_us: AtomicU64,
     cold: AtomicBool,
 }
 
-/// Time after which a report says nothing any more: the polls that would renew it are lost, and a
-/// queue of long ago must not lower what is sent for good.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
+/// Time after which a report is ignored. When polls are lost, an old queue length must not keep
+/// lowering what is sent.
+const REPORT_TTL: Duration = Duration::from_secs(5);
 
 impl Report {
-    /// Takes a report that was heard at `now` and true `age` ago.
+    /// Stores a report that was received at `now` and measured `age` earlier.
     pub(crate) fn set(&self, now: Now, age: Duration, slots: u32, in_flight: u64, queued: u64) {
         let part = |number: u64| number.min(0xffff);
-        let numbers = part(u64::from(slots)) << 32 | part(in_flight) << 16 | part(queued);
-        self.numbers.store(numbers, Ordering::Relaxed);
-        self.true_at_us
+        let packed = part(u64::from(slots)) << 32 | part(in_flight) << 16 | part(queued);
+        self.packed.store(packed, Ordering::Relaxed);
+        self.measured_at_us
             .store(to_us(now.saturating_sub(age)), Ordering::Relaxed);
-        self.heard_at_us.store(to_us(now).max(1), Ordering::Release);
+        self.received_at_us
+            .store(to_us(now).max(1), Ordering::Release);
     }
 
-    /// Takes its word on whether it is cold.
+    /// Stores whether the upstream reports that it is cold.
     pub(crate) fn set_cold(&self, cold: bool) {
         self.cold.store(cold, Ordering::Relaxed);
     }
 
-    /// Whether it last said that it is cold.
+    /// Whether the upstream last reported that it is cold.
     pub(crate) fn says_cold(&self) -> bool {
         self.cold.load(Ordering::Relaxed)
     }
 
-    /// When the last report was heard.
+    /// Time at which the last report was received.
     pub(crate) fn heard_at(&self) -> Option<Now> {
-        let heard_us = self.heard_at_us.load(Ordering::Acquire);
-        (heard_us > 0).then(|| Duration::from_micros(heard_us))
+        let received_us = self.received_at_us.load(Ordering::Acquire);
+        (received_us > 0).then(|| Duration::from_micros(received_us))
     }
 
     fn get(&self, now: Now) -> Option<LoadReport> {
-        let heard_at = self.heard_at()?;
-        if now.saturating_sub(heard_at) > REPORT_LIFE {
+        let received_at = self.heard_at()?;
+        if now.saturating_sub(received_at) > REPORT_TTL {
             return None;
         }
-        let numbers = self.numbers.load(Ordering::Relaxed);
-        let part = |shift: u32| u32::try_from(numbers >> shift & 0xffff).unwrap_or(0);
-        let true_at = Duration::from_micros(self.true_at_us.load(Ordering::Relaxed));
+        let packed = self.packed.load(Ordering::Relaxed);
+        let part = |shift: u32| u32::try_from(packed >> shift & 0xffff).unwrap_or(0);
+        let measured_at = Duration::from_micros(self.measured_at_us.load(Ordering::Relaxed));
         Some(LoadReport {
             in_flight: part(16),
             queued: part(0),
             slots: part(32),
-            age: now.saturating_sub(true_at),
+            age: now.saturating_sub(measured_at),
         })
     }
 }
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of one process: its addresses, its place, its terms.
+//! Settings of one process: addresses, location, timeouts and intervals.
 //!
-//! They come from one YAML file, are checked whole before anything starts, and never mix with the
-//! operators' configuration, which all daemons share. Every field is declared, documented and
-//! given its range here.
+//! They are read from one YAML file and validated completely before anything starts. They are
+//! separate from the operators' configuration, which all daemons share. Every field is declared and
+//! documented here, with its range.
 
 use base::{
     DomainId,
@@ -22,57 +22,57 @@
 };
 use steer::Policy;
 
-/// Fewest bytes of a shared key.
+/// Minimum length of a shared key in bytes.
 const KEY_MIN_BYTES: usize = 16;
-/// Longest of the short terms, in milliseconds.
+/// Maximum of the short terms, in milliseconds.
 const TERM_MAX_MS: u64 = 600_000;
-/// Longest of the long terms, in milliseconds.
+/// Maximum of the long terms, in milliseconds.
 const LONG_TERM_MAX_MS: u64 = 86_400_000;
 
 /// Settings of one `jasmined`.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this instance, as the platform's list gives it.
+    /// Name of this instance in the platform's list.
     pub instance: InstanceId,
-    /// Region it is in.
+    /// Region of this instance.
     pub region: RegionId,
-    /// Failure domain it is in.
+    /// Failure domain of this instance.
     pub failure_domain: DomainId,
-    /// Address that callers use.
+    /// Listen address for callers.
     pub callers_addr: SocketAddr,
-    /// Address that other daemons use.
+    /// Listen address for other daemons.
     pub peers_addr: SocketAddr,
-    /// Address that operators use.
+    /// Listen address for operators.
     pub operator_addr: SocketAddr,
     /// Base URL of the platform.
     pub platform_url: ByteString,
-    /// Key that daemons prove to each other.
+    /// Key by which daemons authenticate to each other.
     pub peer_key: Secret,
-    /// Key that operators prove; needed where the operators' address is not loopback.
+    /// Key by which operators authenticate; required unless `operator_addr` is loopback.
     pub operator_key: Option<Secret>,
-    /// Threads that carry requests.
+    /// Number of threads that process requests.
     pub traffic_threads: usize,
-    /// Addresses to dial in place of listed ones, for instances behind address translation.
+    /// Addresses to dial instead of listed ones, for instances behind address translation.
     pub dial: Vec<Dial>,
-    /// Way of choosing an upstream.
+    /// Policy that chooses an upstream.
     pub policy: Policy,
-    /// Terms and intervals.
+    /// Timeouts, TTLs and intervals.
     pub terms: Terms,
-    /// Level below which log lines are left out.
+    /// Minimum severity of log lines that are written.
     pub log_level: LogLevel,
 }
 
-/// Secret text that no log line, answer or error shows.
+/// Secret text that is never shown in a log line, response or error.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(ByteString);
 
 impl Secret {
-    /// The text, for proving it.
+    /// Returns the secret text, for authentication.
     pub(crate) fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Key of 32 bytes made from the text for one `purpose`.
+    /// Derives a 32-byte key from the text for one `purpose`.
     pub(crate) fn derive(&self, purpose: &str) -> [u8; 32] {
         blake3::derive_key(purpose, self.0.as_bytes())
     }
@@ -87,53 +87,53 @@
 /// One translated address.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Dial {
-    /// Address as the list or a heartbeat gives it.
+    /// Address as stated in the platform's list or a heartbeat.
     pub listed: ByteString,
     /// Address to dial from here.
     pub dial: ByteString,
 }
 
-/// Least severe log lines that are written.
+/// Minimum severity of log lines that are written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogLevel {
     /// Everything.
     Debug,
     /// Changes of state.
     Info,
-    /// What an operator should look at.
+    /// Conditions that an operator should look at.
     Warn,
-    /// What went wrong.
+    /// Failures.
     Error,
 }
 
-/// Terms and intervals, each with a default.
+/// Timeouts, TTLs and intervals, each with a default.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Terms {
-    /// Short term of a lease, for the surplus of the allotment.
+    /// Short TTL of a lease, for the allotment above the floor.
     pub lease: Duration,
-    /// Long term of a lease, for the floor of the allotment.
+    /// Long TTL of a lease, for the floor of the allotment.
     pub lease_floor: Duration,
-    /// Time between renewals.
+    /// Interval between renewals of the lease.
     pub lease_renew: Duration,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub beat: Duration,
-    /// Silence after which an entry leaves look-up answers.
+    /// Time without heartbeats after which an entry is removed from look-up answers.
     pub beat_silent: Duration,
-    /// Time that callers may keep a look-up answer.
+    /// TTL of a look-up answer at callers.
     pub lookup_ttl: Duration,
-    /// Time that a ticket can be used.
+    /// Lifetime of a ticket.
     pub ticket: Duration,
-    /// Time between reads of the platform's list.
+    /// Interval between reads of the platform's list.
     pub list: Duration,
-    /// Time between reads of the configuration's head.
+    /// Interval between reads of the head of the configuration.
     pub head: Duration,
-    /// Time between reads of an upstream's load.
+    /// Interval between reads of an upstream's load.
     pub load: Duration,
-    /// Longest that one call of the platform may take.
+    /// Timeout of one call to the platform.
     pub platform_timeout: Duration,
-    /// Longest that a connect may take.
+    /// Timeout of connecting.
     pub connect_timeout: Duration,
-    /// Longest that a planned stop waits for requests in flight.
+    /// Maximum time that a planned stop waits for requests in flight.
     pub stop: Duration,
 }
 
@@ -158,18 +158,18 @@
 }
 
 impl Settings {
-    /// Reads and checks settings; `file` names the text in findings.
+    /// Parses and validates settings; `file` names the source in findings.
     ///
     /// # Errors
     ///
-    /// Every finding, with its place.
+    /// All findings, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let document = Document::parse(file, text);
         let settings = document.map().and_then(|mut map| read(&document, &mut map));
         document.finish(settings)
     }
 
-    /// Address to dial for a listed one.
+    /// Address to dial for a listed address.
     pub(crate) fn dial(&self, listed: &ByteString) -> ByteString {
         self.dial
             .iter()
@@ -206,8 +206,8 @@
         ("warn", LogLevel::Warn),
         ("error", LogLevel::Error),
     ]);
-    // What goes wrong: whoever reaches the operators' port of an open network could drain a
-    // region. A key is therefore not optional beyond loopback.
+    // Without a key, anyone who can reach the operators' port on an open network could drain a
+    // region, so beyond loopback a key is required.
     if operator_addr.is_some_and(|addr| !addr.ip().is_loopback()) && operator_key_field.is_absent()
     {
         document.fail(
@@ -308,7 +308,7 @@
     terms
 }
 
-/// Checks what the terms must be to each other.
+/// Validates the relations between terms.
 fn check_terms(map: &Map<'_>, terms: &Terms) {
     if terms.lease_renew * 2 > terms.lease {
         map.fail("`lease_renew_ms` must be at most half of `lease_ms`, or one lost renewal lapses");
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -1,8 +1,8 @@
-//! What all threads of the process share.
+//! State shared by all threads of the process.
 
 use crate::{
     process::{
-        active::Active,
+        active::ActiveRequests,
         burn::Burn,
         filings::Filings,
         pool::Upstream, //
@@ -59,50 +59,51 @@
     Notify, //
 };
 
-/// How far the clocks of two daemons may be apart.
+/// Tolerated clock skew between two daemons.
 ///
-/// A ticket minted by a daemon whose clock is ahead ends later, by the judge's clock, than a ticket
-/// can. Without this allowance a skew of a millisecond turns honest tickets away as `unknown`.
+/// A ticket minted by a daemon whose clock is ahead expires later, by the checking daemon's clock,
+/// than the lifetime of a ticket allows. Without this tolerance, a skew of one millisecond makes
+/// valid tickets be answered with `unknown`.
 const CLOCK_SKEW: Duration = Duration::from_secs(10);
 
-/// What traffic threads tell control.
+/// Messages from traffic threads to control.
 #[derive(Debug)]
 pub(crate) enum Note {
-    /// An upstream said that it leaves.
+    /// An upstream has announced that it is leaving.
     Leaving(UpstreamId),
-    /// A caller's key is to be claimed in the table.
+    /// Claim a caller's key in the table.
     Claim(ClaimWanted),
-    /// What came of a claimed filing is to be written into its claim.
+    /// Write the outcome of a claimed filing into its claim.
     Ended(ConditionalWrite),
-    /// A claim of which nothing was sent is to be given up.
+    /// Release a claim whose filing was not sent.
     Release(Releaser),
-    /// The outcome of a ticket is wanted from the table.
+    /// Read the outcome of a ticket from the table.
     Outcome(Nonce, oneshot::Sender<Option<Record>>),
 }
 
-/// A key to be claimed; the answer goes to the one traffic thread that waits for it.
+/// Request to claim a key; the reply goes to the traffic thread that waits for it.
 #[derive(Debug)]
 pub(crate) struct ClaimWanted {
     pub(crate) claimant: Claimant,
     pub(crate) reply: oneshot::Sender<ClaimReply>,
 }
 
-/// What became of a claim.
+/// Result of a request to claim a key.
 #[derive(Debug)]
 pub(crate) enum ClaimReply {
-    /// It is held; the last check comes immediately before sending.
+    /// The claim is held; the final check is due immediately before sending.
     Ready(Claimer),
-    /// The request ends without being sent.
+    /// The request ends here and must not be sent.
     Over(ClaimResult),
 }
 
-/// State of the process that every thread can reach.
+/// State of the process that all threads can access.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) published: Published,
-    /// What is expected of the regions, renewed at each tick of control.
+    /// Expected state of the regions, updated at each tick of control.
     pub(crate) outlook: ArcSwap<Outlook>,
-    pub(crate) active: Active,
+    pub(crate) active: ActiveRequests,
     pub(crate) burn: Arc<Burn>,
     pub(crate) metrics: PrometheusHandle,
     pub(crate) notes: UnboundedSender<Note>,
@@ -110,18 +111,18 @@
     pub(crate) forward_key: ForwardKey,
     pub(crate) clock: WallClock,
     pub(crate) started: Instant,
-    /// Set once control has claimed it; zero before.
+    /// Zero until control has claimed it.
     incarnation: AtomicU64,
-    /// `None` only while a stage moves on, under the lock.
+    /// `None` only during a change of stage, under the lock.
     filings: OnceLock<Mutex<Option<Filings>>>,
-    /// Told when a filing ends, for the copies that wait for it.
+    /// Notified when a filing ends, for duplicates that wait for its outcome.
     pub(crate) filed: Notify,
-    /// End of the lease, for the check immediately before a claimed filing is sent.
+    /// Expiry of the lease, for the check immediately before a claimed filing is sent.
     lease_until_us: AtomicU64,
 }
 
 impl Shared {
-    /// Makes the state of a process that has claimed no incarnation yet.
+    /// Creates the state of a process that has not claimed an incarnation yet.
     pub(crate) fn new(
         settings: Settings,
         metrics: PrometheusHandle,
@@ -135,7 +136,7 @@
             ticket_key: Key::derive(settings.peer_key.expose().as_bytes()),
             published: Arc::new(ArcSwap::from_pointee(snapshot)),
             outlook: ArcSwap::default(),
-            active: Active::default(),
+            active: ActiveRequests::default(),
             burn: Arc::new(Burn::new(started)),
             clock: WallClock {
                 start_wall_ms,
@@ -157,12 +158,12 @@
         self.started.elapsed()
     }
 
-    /// Incarnation of this process; zero before one was claimed.
+    /// Incarnation of this process; zero until one is claimed.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation.load(Ordering::Acquire)
     }
 
-    /// Sets the claimed incarnation and opens the ledger of its filings.
+    /// Sets the claimed incarnation and opens its ledger of filings.
     pub(crate) fn claimed(&self, incarnation: Incarnation) {
         let ledger = Ledger::new(
             self.settings.instance.clone(),
@@ -184,16 +185,16 @@
         }
     }
 
-    /// Uses the ledger of filings, if an incarnation was claimed.
+    /// Calls `call` on the ledger of filings, if an incarnation is claimed.
     ///
-    /// Traffic threads hold the lock for one look-up each; control takes it at a planned stop and
-    /// to forget what has expired.
+    /// Traffic threads hold the lock for one look-up each; control takes it for a planned stop and
+    /// to drop expired records.
     pub(crate) fn with_filings<T>(&self, call: impl FnOnce(&mut Filings) -> T) -> Option<T> {
         let mut filings = self.lock_filings()?;
         filings.as_mut().map(call)
     }
 
-    /// Moves the ledger of filings to another stage.
+    /// Replaces the ledger of filings by its next stage.
     pub(crate) fn move_filings(&self, step: impl FnOnce(Filings) -> Filings) {
         if let Some(mut filings) = self.lock_filings() {
             *filings = filings.take().map(step);
@@ -205,21 +206,21 @@
         Some(filings.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// End of the lease, by this process's clock.
+    /// Expiry of the lease, by this process's clock.
     pub(crate) fn lease_until(&self) -> Now {
         Duration::from_micros(self.lease_until_us.load(Ordering::Acquire))
     }
 
-    /// Sets the end of the lease.
+    /// Sets the expiry of the lease.
     pub(crate) fn set_lease_until(&self, until: Now) {
         let until_us = u64::try_from(until.as_micros()).unwrap_or(u64::MAX);
         self.lease_until_us.store(until_us, Ordering::Release);
     }
 
-    /// Takes a sign that an upstream leaves, and tells control once.
+    /// Marks an upstream as leaving; the first call notifies control.
     pub(crate) fn note_leaving(&self, upstream: &Upstream) {
         if upstream.mark_leaving() {
-            // A closed channel means that the process ends.
+            // The channel is closed only when the process is stopping.
             let _ = self.notes.send(Note::Leaving(upstream.id.clone()));
         }
     }
--- a/crates/daemon/src/process/slots.rs
+++ b/crates/daemon/src/process/slots.rs
@@ -1,12 +1,11 @@
-//! Use of one upstream's slots by this entry.
+//! This entry's allotment and use of one upstream's slots.
 //!
-//! An upstream's slots are divided between the region's entries (crate `share`). This entry may
-//! use `full` of them while its lease holds and `floor` of them for a while after. All three
-//! numbers are in one atomic word, because what goes wrong otherwise is this: control lowers the
-//! allotment, reads the requests in flight, finds them within it and acknowledges; a traffic
-//! thread that had read the old allotment just before then starts one more. Two entries use the
-//! same slot, and the upstream queues. With one word the traffic thread's exchange fails and it
-//! looks again.
+//! An upstream's slots are divided between the entries of the region (crate `share`). This entry may
+//! use `full` of them until the short TTL of its lease lapses, then `floor` until the long TTL lapses.
+//! Both and the requests in flight share one atomic word. Otherwise control could lower the
+//! allotment, find the requests in flight within it and acknowledge, while a traffic thread that
+//! read the old allotment just before starts one more: two entries use the same slot, and the
+//! upstream queues. With one word, the traffic thread's compare-and-exchange fails and is retried.
 
 use base::Now;
 use std::{
@@ -17,29 +16,29 @@
     time::Duration, //
 };
 
-/// Largest number of slots of one upstream that can be told.
+/// Maximum number of slots of one upstream that can be represented.
 pub(crate) const MAX_SLOTS: u32 = u16::MAX as u32;
 
-/// Time up to which the lease allows the use of slots, written by control, read by all.
+/// Expiry of the lease on slots; written by control, read by all threads.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseClock {
     full_until_us: AtomicU64,
     floor_until_us: AtomicU64,
 }
 
-/// What the lease allows at a moment.
+/// What the lease allows at one moment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Right {
+pub(crate) enum Entitlement {
     /// The whole allotment.
     Full,
-    /// The part that nobody else gets until the long term has lapsed.
+    /// The floor, which no other member can get before the long TTL lapses.
     Floor,
     /// Nothing.
     None,
 }
 
 impl LeaseClock {
-    /// Sets both terms.
+    /// Sets the expiry of the short and the long TTL.
     pub(crate) fn set(&self, full_until: Now, floor_until: Now) {
         self.full_until_us
             .store(to_us(full_until), Ordering::Release);
@@ -47,18 +46,18 @@
             .store(to_us(floor_until), Ordering::Release);
     }
 
-    /// Right at `now`.
+    /// Entitlement at `now`.
     ///
-    /// Asked immediately before each send: a process that was paused past its lease and wakes
-    /// must not use slots that others hold by now. The clock runs on through a pause.
-    pub(crate) fn right(&self, now: Now) -> Right {
+    /// Must be checked immediately before each send: a process that resumes after a pause longer
+    /// than its lease must not use slots that others hold by now. The clock continues during a pause.
+    pub(crate) fn right(&self, now: Now) -> Entitlement {
         let now_us = to_us(now);
         if now_us < self.full_until_us.load(Ordering::Acquire) {
-            Right::Full
+            Entitlement::Full
         } else if now_us < self.floor_until_us.load(Ordering::Acquire) {
-            Right::Floor
+            Entitlement::Floor
         } else {
-            Right::None
+            Entitlement::None
         }
     }
 }
@@ -67,18 +66,18 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Allotment and use of one upstream.
+/// Allotment and use of one upstream's slots.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Use {
-    /// Slots that may be used while the lease holds.
+pub(crate) struct SlotUsage {
+    /// Slots that may be used until the short TTL lapses.
     pub(crate) full: u16,
-    /// Slots that may be used after the short term.
+    /// Slots that may be used after the short TTL.
     pub(crate) floor: u16,
     /// Requests in flight.
     pub(crate) in_flight: u16,
 }
 
-impl Use {
+impl SlotUsage {
     fn pack(self) -> u64 {
         u64::from(self.full) << 32 | u64::from(self.floor) << 16 | u64::from(self.in_flight)
     }
@@ -92,78 +91,87 @@
         }
     }
 
-    /// Slots that may be used under `right`.
-    pub(crate) fn usable(self, right: Right) -> u16 {
-        match right {
-            Right::Full => self.full,
-            Right::Floor => self.floor.min(self.full),
-            Right::None => 0,
+    /// Slots that may be used under `entitlement`.
+    pub(crate) fn usable(self, entitlement: Entitlement) -> u16 {
+        match entitlement {
+            Entitlement::Full => self.full,
+            Entitlement::Floor => self.floor.min(self.full),
+            Entitlement::None => 0,
         }
     }
 }
 
-/// The word itself.
+/// A [`SlotUsage`] packed into one atomic word.
 #[derive(Debug, Default)]
 pub(crate) struct Slots(AtomicU64);
 
 impl Slots {
-    /// Present allotment and use.
-    pub(crate) fn get(&self) -> Use {
-        Use::unpack(self.0.load(Ordering::Acquire))
+    /// Current allotment and use.
+    pub(crate) fn get(&self) -> SlotUsage {
+        SlotUsage::unpack(self.0.load(Ordering::Acquire))
     }
 
-    /// Sets the allotment and returns the use at that very moment.
-    pub(crate) fn allot(&self, full: u32, floor: u32) -> Use {
+    /// Sets the allotment and returns it with the use, read atomically.
+    pub(crate) fn allot(&self, full: u32, floor: u32) -> SlotUsage {
         let full = clamp(full);
         let floor = clamp(floor);
-        let before = self.update(|now| Some(Use { full, floor, ..now }));
-        Use {
+        let previous = self.update(|current| {
+            Some(SlotUsage {
+                full,
+                floor,
+                ..current
+            })
+        });
+        SlotUsage {
             full,
             floor,
-            ..before.expect("an allotment is always taken")
+            ..previous.expect("the update always returns a value")
         }
     }
 
-    /// Takes a slot if fewer than `limit` and fewer than `right` allows are in use.
-    pub(crate) fn take(&self, right: Right, limit: u32) -> bool {
-        self.update(|now| {
-            let most = u32::from(now.usable(right)).min(limit);
-            (u32::from(now.in_flight) < most).then(|| Use {
-                in_flight: now.in_flight + 1,
-                ..now
+    /// Acquires a slot if fewer than `limit`, and fewer than `entitlement` allows, are in use.
+    pub(crate) fn try_acquire(&self, entitlement: Entitlement, limit: u32) -> bool {
+        self.update(|current| {
+            let max = u32::from(current.usable(entitlement)).min(limit);
+            (u32::from(current.in_flight) < max).then(|| SlotUsage {
+                in_flight: current.in_flight + 1,
+                ..current
             })
         })
         .is_some()
     }
 
-    /// Takes a slot whatever is allotted, up to what can be counted.
-    pub(crate) fn take_unbound(&self) -> bool {
-        self.update(|now| {
-            let in_flight = now.in_flight.checked_add(1)?;
-            Some(Use { in_flight, ..now })
+    /// Acquires a slot regardless of the allotment, up to the range of the counter.
+    pub(crate) fn try_acquire_unbounded(&self) -> bool {
+        self.update(|current| {
+            let in_flight = current.in_flight.checked_add(1)?;
+            Some(SlotUsage {
+                in_flight,
+                ..current
+            })
         })
         .is_some()
     }
 
-    /// Gives a taken slot back.
-    pub(crate) fn give_back(&self) {
-        self.update(|now| {
-            debug_assert!(now.in_flight > 0, "A slot is given back once.");
-            Some(Use {
-                in_flight: now.in_flight.saturating_sub(1),
-                ..now
+    /// Releases an acquired slot.
+    pub(crate) fn release(&self) {
+        self.update(|current| {
+            debug_assert!(current.in_flight > 0, "A slot is released once.");
+            Some(SlotUsage {
+                in_flight: current.in_flight.saturating_sub(1),
+                ..current
             })
         });
     }
 
-    /// Applies `change` atomically; returns the state before it, or `None` if there was none.
-    fn update(&self, change: impl Fn(Use) -> Option<Use>) -> Option<Use> {
+    /// Applies `change` atomically; returns the previous state, or `None` if `change` declined.
+    fn update(&self, change: impl Fn(SlotUsage) -> Option<SlotUsage>) -> Option<SlotUsage> {
         self.0
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, |word| {
-                change(Use::unpack(word)).map(Use::pack)
+                change(SlotUsage::unpack(word)).map(SlotUsage::pack)
             })
             .ok()
-            .map(Use::unpack)
+            .map(SlotUsage::unpack)
     }
 }
 
--- a/crates/daemon/src/process/stop.rs
+++ b/crates/daemon/src/process/stop.rs
@@ -1,14 +1,14 @@
-//! Stages of a process's life, as traffic threads see them.
+//! Lifecycle stages of the process, as published to traffic threads.
 
-/// Stage of a process's life.
+/// Lifecycle stage of the process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stage {
-    /// No configuration yet: nothing is answered.
+    /// No configuration yet; requests are not served.
     Starting,
-    /// In look-up answers, takes work.
+    /// Listed in look-up answers and accepts work.
     Serving,
-    /// Out of look-up answers, still takes work from callers with older answers.
+    /// No longer listed in look-up answers; still accepts work from callers with older answers.
     Withdrawn,
-    /// Answers new work `not-run` and finishes what is in flight.
+    /// Answers new work with `not-run` and finishes the requests in flight.
     Refusing,
 }
--- a/crates/daemon/tests/input.rs
+++ b/crates/daemon/tests/input.rs
@@ -1,8 +1,7 @@
-//! What callers send, as any bytes: each request says something clear or gets one answer.
+//! Property tests of the parsers of caller input: any bytes parse to a valid value or are refused.
 //!
-//! Symptom: a traffic thread dies, and all its connections with it; or a caller is let through with
-//! a header that nobody meant. Sequence: a header of odd bytes comes. Cause: a parser that expects
-//! what honest callers send.
+//! They guard against parsers that assume well-formed headers: unexpected bytes would panic a traffic
+//! thread, which closes all its connections, or be accepted with an unintended meaning.
 
 use actix_web::{
     body::to_bytes,
@@ -38,10 +37,10 @@
 const REQUEST: &str = "jasmine-request";
 const UPGRADE: &str = "upgrade";
 
-/// Headers of those values that HTTP lets through.
-fn headers(given: &[(&'static str, &[u8])]) -> HeaderMap {
+/// Builds headers from the values that are valid in HTTP.
+fn headers(fields: &[(&'static str, &[u8])]) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for (name, value) in given {
+    for (name, value) in fields {
         if let Ok(value) = HeaderValue::from_bytes(value) {
             headers.append(HeaderName::from_static(name), value);
         }
@@ -49,15 +48,17 @@
     headers
 }
 
-/// Checks that an answer is one that its caller can act on.
-fn refused(answer: &Answer) {
+/// Checks that an answer is a well-formed refusal.
+fn assert_refusal(answer: &Answer) {
     let response = answer.respond();
     let status = response.status();
     assert!(status.is_client_error(), "{status}");
     let outcomes: Vec<_> = response.headers().get_all("jasmine-outcome").collect();
     assert_eq!(outcomes, ["not-run"]);
     let body = to_bytes(response.into_body()).now_or_never();
-    let body = body.expect("the body is whole").expect("it has no errors");
+    let body = body
+        .expect("the body is buffered")
+        .expect("the body has no errors");
     let body: serde_json::Value = serde_json::from_slice(&body).expect("the body is JSON");
     assert_eq!(body["outcome"], "not-run");
     assert!(body["detail"]
@@ -75,33 +76,36 @@
                 platform_url: http://127.0.0.1:4\npeer_key: a key for tests only\n";
     ForwardKey::derive(
         &Settings::parse("d.yaml", text)
-            .expect("good settings")
+            .expect("valid settings")
             .peer_key,
     )
 }
 
-/// Reads all that the headers of work can say.
-fn read(headers: &HeaderMap) {
+/// Parses all headers of a work request and checks the results.
+fn check_headers(headers: &HeaderMap) {
     if let Err(answer) = input::protocol(headers) {
-        refused(&answer);
+        assert_refusal(&answer);
     }
     match input::deadline(headers) {
         Ok(None) => assert!(!headers.contains_key(DEADLINE)),
         Ok(Some(left)) => assert!(left >= Duration::from_millis(1)),
-        Err(answer) => refused(&answer),
+        Err(answer) => assert_refusal(&answer),
     }
     match Way::of(headers, &ticket_key()) {
-        Ok(Way::Ticket(_)) => panic!("nobody made a ticket"),
+        Ok(Way::Ticket(_)) => panic!("accepted a ticket that was not minted"),
         Ok(Way::Key(key)) => {
             assert!((1..=KEY_MAX_BYTES).contains(&key.len()));
-            assert_eq!(headers.get(IDEMPOTENCY_KEY).expect("given"), &*key);
+            assert_eq!(
+                headers.get(IDEMPOTENCY_KEY).expect("the header is present"),
+                &*key
+            );
         }
-        Err(answer) => refused(&answer),
+        Err(answer) => assert_refusal(&answer),
     }
 }
 
 #[test]
-fn any_headers_say_something_or_get_one_answer() {
+fn any_headers_parse_or_are_refused() {
     let forward_key = forward_key();
     bolero::check!()
         .with_iterations(ITERATIONS)
@@ -114,78 +118,78 @@
                 .filter_map(|(name, value)| Some((name, value.as_deref()?)))
                 .collect();
             let headers = headers(&given);
-            read(&headers);
+            check_headers(&headers);
             let class = String::from_utf8_lossy(class);
             let forwarder = input::forwarder(&headers, &forward_key, "a-1", &class);
-            assert_eq!(forwarder, None, "nobody proved anything");
+            assert_eq!(forwarder, None, "no forwarder was authenticated");
         });
 }
 
-/// As above with headers of digits, signs and spaces, where the number's parser goes deeper.
+/// Restricted to digits, signs and spaces, which reach more of the number parser.
 #[test]
-fn any_number_is_a_deadline_or_gets_one_answer() {
-    const MARKS: &[u8] = b"0123456789 +-.e\t_";
+fn any_deadline_parses_or_is_refused() {
+    const CHARS: &[u8] = b"0123456789 +-.e\t_";
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<Vec<u8>>()
         .for_each(|picks| {
-            let pick = |byte: &u8| MARKS[usize::from(*byte) % MARKS.len()];
+            let pick = |byte: &u8| CHARS[usize::from(*byte) % CHARS.len()];
             let text: Vec<u8> = picks.iter().map(pick).collect();
-            read(&headers(&[(DEADLINE, &text)]));
+            check_headers(&headers(&[(DEADLINE, &text)]));
         });
 }
 
-/// A key is taken if it has the length that the table's rows are made for.
+/// A visible ASCII key is accepted exactly up to the length that the table's rows allow.
 #[test]
-fn any_key_is_taken_whole_or_gets_one_answer() {
+fn any_idempotency_key_is_accepted_unchanged_or_refused() {
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(u8, u16)>()
         .for_each(|(byte, length)| {
             let length = usize::from(*length) % (3 * KEY_MAX_BYTES);
             let headers = headers(&[(IDEMPOTENCY_KEY, &vec![*byte; length])]);
-            read(&headers);
-            let visible = byte.is_ascii_graphic() && (1..=KEY_MAX_BYTES).contains(&length);
-            assert!(!visible || Way::of(&headers, &ticket_key()).is_ok());
+            check_headers(&headers);
+            let is_valid = byte.is_ascii_graphic() && (1..=KEY_MAX_BYTES).contains(&length);
+            assert!(!is_valid || Way::of(&headers, &ticket_key()).is_ok());
         });
 }
 
-/// A ticket is taken as it was made or not at all.
+/// A ticket is accepted only unchanged.
 #[test]
-fn a_changed_ticket_is_refused() {
-    let made = Ticket {
+fn a_modified_ticket_is_refused() {
+    let ticket = Ticket {
         class: "orders".into(),
         instance: "arusha-0".into(),
         incarnation: 1,
         nonce: 0x1234_5678_9abc_def0,
         expires_at_ms: 1_800_000_000_000,
     };
-    let good = made.mint(&ticket_key()).into_bytes();
+    let minted = ticket.mint(&ticket_key()).into_bytes();
     bolero::check!()
         .with_iterations(ITERATIONS)
         .with_type::<(Vec<(usize, u8)>, usize)>()
         .for_each(|(changes, cut)| {
-            let mut bytes = good.clone();
-            for (place, value) in changes {
-                let place = place % bytes.len();
-                bytes[place] = *value;
+            let mut bytes = minted.clone();
+            for (index, value) in changes {
+                let index = index % bytes.len();
+                bytes[index] = *value;
             }
-            bytes.truncate(good.len() - cut % 4);
+            bytes.truncate(minted.len() - cut % 4);
             match Way::of(&headers(&[(TICKET, &bytes)]), &ticket_key()) {
                 Ok(way) => {
-                    assert_eq!(bytes, good);
-                    assert_eq!(way, Way::Ticket(made.clone()));
+                    assert_eq!(bytes, minted);
+                    assert_eq!(way, Way::Ticket(ticket.clone()));
                 }
                 Err(answer) => {
-                    assert_ne!(bytes, good);
-                    refused(&answer);
+                    assert_ne!(bytes, minted);
+                    assert_refusal(&answer);
                 }
             }
         });
 }
 
-/// A query that says the same.
-fn written(query: &Query) -> String {
+/// Encodes a query so that it parses to the same value.
+fn encode(query: &Query) -> String {
     let escape = |byte| format!("%{byte:02x}");
     let class: String = query.class.bytes().map(escape).collect();
     match query.block {
@@ -194,9 +198,9 @@
     }
 }
 
-/// Pieces make up queries of a look-up, so that some are good.
+/// Look-up queries, random or combined from pieces so that some of them are valid.
 #[test]
-fn any_query_names_a_class_or_gets_one_answer() {
+fn any_query_parses_or_is_refused() {
     const PIECES: [&str; 12] = [
         "class=", "block=", "&", "=", "menu", "10.0.0.1", "::1", "%00", "%f", "%ff", "+", "x",
     ];
@@ -208,8 +212,8 @@
             let pieces: String = picks.iter().map(pick).collect();
             for text in [pieces.as_str(), &String::from_utf8_lossy(bytes)] {
                 match Query::parse(text) {
-                    Ok(query) => assert_eq!(Query::parse(&written(&query)), Ok(query)),
-                    Err(answer) => refused(&answer),
+                    Ok(query) => assert_eq!(Query::parse(&encode(&query)), Ok(query)),
+                    Err(answer) => assert_refusal(&answer),
                 }
             }
         });
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path with one entry: look-up, work at the entry it named, the upstream's answer.
+//! End-to-end request path with one entry: look-up, work at the returned entry, upstream response.
 
 use awc::Client;
 use serde_json::{
@@ -28,7 +28,7 @@
     },
 };
 
-/// Longest wait for the daemon to be ready; generous, for a busy machine.
+/// Timeout for the daemon to become ready; long, to tolerate a busy machine.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 const CONFIG: &str = "\
@@ -48,7 +48,7 @@
     success_pct: 99.9
 ";
 
-/// A `jasmined` that is killed, by its handle, when the test ends.
+/// A `jasmined` process that is killed on drop.
 struct Daemon(Child);
 
 impl Drop for Daemon {
@@ -72,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_is_answered_through_the_entry_that_the_look_up_named() {
+async fn a_request_is_served_by_the_entry_of_the_look_up() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let platform_url = format!("http://{}", listener.local_addr().unwrap());
     actix_rt::spawn(platform::serve(listener).unwrap());
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of a process: every finding with its place, in one go.
+//! Tests of parsing settings: all findings are reported at once, each with its position.
 
 use daemon::Settings;
 
-const GOOD: &str = "\
+const VALID: &str = "\
 instance: arusha-1
 region: arusha
 failure_domain: a
@@ -25,14 +25,14 @@
         #[test]
         fn $name() {
             let change: fn(String) -> String = $change;
-            assert_eq!(findings(&change(GOOD.to_owned())), $expected);
+            assert_eq!(findings(&change(VALID.to_owned())), $expected);
         }
     )*};
 }
 
 cases! {
-    good: |text| text => "";
-    defaults_can_be_stated: |text| text + "traffic_threads: 4\npolicy: ours\nlog_level: warn\n\
+    valid: |text| text => "";
+    optional_fields: |text| text + "traffic_threads: 4\npolicy: ours\nlog_level: warn\n\
         dial:\n  - {listed: 127.0.0.1:1, dial: 127.0.0.1:2}\nterms:\n  lease_ms: 8000\n" => "";
     empty: |_| String::from("{}") => "\
         d.yaml:1:1: missing field `callers_addr`\n\
@@ -47,17 +47,17 @@
         "d.yaml:9:1: unknown field `polcy`, did you mean `policy`?";
     repeated_field: |text| text + "region: moshi\n" =>
         "d.yaml:9:1: duplicate field `region`, first on line 2";
-    addresses: |text| text.replace("127.0.0.1:7000", "here").replace("http:", "https:") => "\
+    invalid_addresses: |text| text.replace("127.0.0.1:7000", "here").replace("http:", "https:") => "\
         d.yaml:4:15: `callers_addr` must be an address such as 127.0.0.1:7000, found `here`\n\
         d.yaml:7:15: `platform_url` must be `http://` and an address such as 127.0.0.1:7000";
     short_key: |text| text.replace("a key of twenty bytes", "secret") =>
         "d.yaml:8:11: `peer_key` must have at least 16 bytes";
-    open_operators_port: |text| text.replace("127.0.0.1:7002", "0.0.0.0:7002") =>
+    public_operators_port_without_a_key: |text| text.replace("127.0.0.1:7002", "0.0.0.0:7002") =>
         "d.yaml:6:16: `operator_addr` is not loopback, which needs `operator_key`";
-    open_operators_port_with_a_key: |text| {
+    public_operators_port_with_a_key: |text| {
         text.replace("127.0.0.1:7002", "0.0.0.0:7002") + "operator_key: another key of ours\n"
     } => "";
-    terms_out_of_proportion: |text| {
+    inconsistent_terms: |text| {
         text + "terms:\n  lease_ms: 2000\n  lease_renew_ms: 1500\n  beat_ms: 5\n  lease_floor_ms: 1000\n"
     } => "\
         d.yaml:10:3: `lease_floor_ms` must not be shorter than `lease_ms`\n\
@@ -66,17 +66,16 @@
     syntax: |text| text + "dial: [" => "d.yaml:10:1: syntax: while parsing a node, did not find expected node content";
 }
 
-/// Symptom: a key turns up in a log or an error. Sequence: settings are printed for a person.
-/// Cause: a derived `Debug` shows every field.
+/// Guards against a derived `Debug`, which would print keys into logs and errors.
 #[test]
-fn keys_are_never_shown() {
-    let settings = Settings::parse("d.yaml", GOOD).expect("the settings are good");
+fn debug_output_hides_keys() {
+    let settings = Settings::parse("d.yaml", VALID).expect("the settings are valid");
     assert!(!format!("{settings:?}").contains("twenty"));
 }
 
-/// Any text gives settings or findings, never a panic.
+/// Any text parses to settings or findings without a panic.
 #[test]
-fn any_text_is_answered() {
+fn any_text_parses_without_a_panic() {
     bolero::check!()
         .with_iterations(2_000)
         .for_each(|bytes: &[u8]| {
