--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -30,7 +30,7 @@
     },
     run,
     settings::{
-        Dial,
+        DialOverride,
         LogLevel,
         Secret,
         Settings,
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -49,7 +49,7 @@
 const BOOKED_MAX_BYTES: u64 = 64 * 1024 + HEADER_BYTES;
 /// Divisor that gives the weight of a new sample in the moving average of sizes.
 const SMOOTHING_DIVISOR: u64 = 8;
-/// Parts of the rate that refill the limiter; its burst is one such part more.
+/// Sixteenths of the limiter's rate by which it refills; the remaining one is its burst.
 const REFILL_PARTS: u64 = 15;
 
 /// This entry's use of the cap from this region to another.
@@ -61,10 +61,10 @@
     cap: AtomicCap,
     /// Requests in flight and the allotment for them, in one word.
     requests: Slots,
-    /// Requests refused for lack of allotment since the last call of [`Link::demand`].
+    /// Requests refused by the in-flight or byte limit since the last call of [`Link::demand`].
     unmet_demand: AtomicU32,
     limiter: Mutex<ShiftLimiter>,
-    passed_bytes: AtomicU64,
+    transferred_bytes: AtomicU64,
     /// Moving average of the bytes per request and response, headers included.
     average_bytes: AtomicU64,
 }
@@ -106,7 +106,7 @@
             requests: Slots::default(),
             unmet_demand: AtomicU32::new(0),
             limiter: Mutex::new(ShiftLimiter::new(now, ShiftCap::default())),
-            passed_bytes: AtomicU64::new(0),
+            transferred_bytes: AtomicU64::new(0),
             average_bytes: AtomicU64::new(BOOKED_MAX_BYTES),
         };
         link.cap.set(cap);
@@ -142,7 +142,7 @@
 
     /// Bytes transferred since the process started.
     pub(crate) fn passed_bytes(&self) -> u64 {
-        self.passed_bytes.load(Ordering::Relaxed)
+        self.transferred_bytes.load(Ordering::Relaxed)
     }
 
     /// Whether one more request would be admitted at `now`.
@@ -269,7 +269,9 @@
     /// Counts `bytes` as transferred; returns the delay for those that were not booked at admission.
     pub(crate) fn pass(&self, bytes: usize) -> Duration {
         let bytes = bytes as u64;
-        self.link.passed_bytes.fetch_add(bytes, Ordering::Relaxed);
+        self.link
+            .transferred_bytes
+            .fetch_add(bytes, Ordering::Relaxed);
         self.transferred_bytes
             .set(self.transferred_bytes.get() + bytes);
         let booked = self.booked_bytes.get().min(bytes);
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -83,30 +83,30 @@
     let callers = bind(settings.callers_addr.to_string(), "callers_addr")?;
     let peers = bind(settings.peers_addr.to_string(), "peers_addr")?;
     let operators = bind(settings.operator_addr.to_string(), "operator_addr")?;
-    let (notes, noted) = mpsc::unbounded_channel();
+    let (control_tx, control_rx) = mpsc::unbounded_channel();
     let start_wall_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| {
             u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
         });
-    let shared = Arc::new(Shared::new(settings, metrics, notes, start_wall_ms));
+    let shared = Arc::new(Shared::new(settings, metrics, control_tx, start_wall_ms));
     actix_rt::System::new().block_on(async move {
-        let (ended, end) = oneshot::channel();
+        let (end_tx, end_rx) = oneshot::channel();
         let control = Control::create(|ctx: &mut Context<Control>| {
-            ctx.add_stream(UnboundedReceiverStream::new(noted));
-            Control::new(Arc::clone(&shared), peers, ended)
+            ctx.add_stream(UnboundedReceiverStream::new(control_rx));
+            Control::new(Arc::clone(&shared), peers, end_tx)
         });
         let traffic = serve_callers(callers, &shared)?;
         let operator = serve_operators(operators, &shared, control.clone())?;
-        let ports = [traffic.handle(), operator.handle()];
+        let servers = [traffic.handle(), operator.handle()];
         actix_rt::spawn(traffic);
         actix_rt::spawn(operator);
         actix_rt::spawn(stop_on_signal(control)?);
         spdlog::info!("started", kv: { instance = shared.settings.instance.to_string() });
-        let end = end.await.unwrap_or(End::ControlLost);
-        for port in ports {
+        let end = end_rx.await.unwrap_or(End::ControlLost);
+        for server in servers {
             // Only idle connections are left to close; no request is in flight any more.
-            port.stop(true).await;
+            server.stop(true).await;
         }
         end.into_result()
     })
--- a/crates/daemon/src/process/pool/mod.rs
+++ b/crates/daemon/src/process/pool/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// Counts a request that held its slot for `held` until its response was complete.
-    fn note_completed(&self, held: Duration) {
+    fn record_completed(&self, held: Duration) {
         self.completed.fetch_add(1, Ordering::Relaxed);
         self.held_us.fetch_add(to_us(held), Ordering::Relaxed);
     }
--- a/crates/daemon/src/process/pool/observations.rs
+++ b/crates/daemon/src/process/pool/observations.rs
@@ -81,7 +81,7 @@
     /// An upstream that fails immediately looks idle and would attract the work of a whole tick: a
     /// burst of failures, as many as requests arrive in a tenth of a second, which exhausts the retry
     /// budget.
-    pub(crate) fn fails(&self) -> bool {
+    pub(crate) fn is_failing(&self) -> bool {
         self.failure_streak.load(Ordering::Relaxed) >= FAILURE_STREAK_MAX
     }
 
--- a/crates/daemon/src/process/pool/permit.rs
+++ b/crates/daemon/src/process/pool/permit.rs
@@ -119,7 +119,7 @@
     pub(crate) fn completed(&self) {
         self.ended();
         if let (Some(slot), false) = (&self.slot, self.probe.get()) {
-            slot.pool.counts.note_completed(self.taken_at.elapsed());
+            slot.pool.counts.record_completed(self.taken_at.elapsed());
         }
     }
 }
--- a/crates/daemon/src/process/pool/upstream.rs
+++ b/crates/daemon/src/process/pool/upstream.rs
@@ -41,7 +41,7 @@
     pub(crate) listed_slots: u32,
     pub(crate) slots: Slots,
     pub(crate) seen: Observations,
-    pub(crate) report: Report,
+    pub(crate) report: LastReport,
     /// Limit on requests in flight under slow start, set by control.
     pub(crate) limit: AtomicU32,
     leaving: AtomicBool,
@@ -72,7 +72,7 @@
             listed_slots,
             slots: Slots::default(),
             seen: Observations::default(),
-            report: Report::default(),
+            report: LastReport::default(),
             limit: AtomicU32::new(NO_LIMIT),
             leaving: AtomicBool::new(false),
             drained: AtomicBool::new(false),
@@ -94,13 +94,13 @@
     }
 
     /// Whether the upstream is leaving.
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
     /// Whether the upstream accepts new work.
     pub(crate) fn open(&self) -> bool {
-        !self.leaving() && !self.drained.load(Ordering::Acquire)
+        !self.is_leaving() && !self.drained.load(Ordering::Acquire)
     }
 
     /// Input of a policy, under `entitlement`, for a request that is not a probe.
@@ -113,7 +113,7 @@
             latency: self.seen.latency(),
             errors: 0,
             reported: self.report.get(now),
-            suspect: self.suspect.load(Ordering::Relaxed) || self.seen.fails(),
+            suspect: self.suspect.load(Ordering::Relaxed) || self.seen.is_failing(),
             cold: self.cold.load(Ordering::Relaxed),
             leaving: !self.open(),
             fresh: !self.silent.load(Ordering::Relaxed),
@@ -144,7 +144,7 @@
 ///
 /// The three numbers are packed into one word, so that a reader gets them from the same report.
 #[derive(Debug, Default)]
-pub(crate) struct Report {
+pub(crate) struct LastReport {
     packed: AtomicU64,
     measured_at_us: AtomicU64,
     received_at_us: AtomicU64,
@@ -155,7 +155,7 @@
 /// lowering what is sent.
 const REPORT_TTL: Duration = Duration::from_secs(5);
 
-impl Report {
+impl LastReport {
     /// Stores a report that was received at `now` and measured `age` earlier.
     pub(crate) fn set(&self, now: Now, age: Duration, slots: u32, in_flight: u64, queued: u64) {
         let part = |number: u64| number.min(0xffff);
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -24,9 +24,9 @@
 
 /// Minimum length of a shared key in bytes.
 const KEY_MIN_BYTES: usize = 16;
-/// Maximum of the short terms, in milliseconds.
+/// Maximum of the terms other than `lease_floor_ms` and `stop_ms`, in milliseconds.
 const TERM_MAX_MS: u64 = 600_000;
-/// Maximum of the long terms, in milliseconds.
+/// Maximum of `lease_floor_ms` and `stop_ms`, in milliseconds.
 const LONG_TERM_MAX_MS: u64 = 86_400_000;
 
 /// Settings of one `jasmined`.
@@ -53,7 +53,7 @@
     /// Number of threads that process requests.
     pub traffic_threads: usize,
     /// Addresses to dial instead of listed ones, for instances behind address translation.
-    pub dial: Vec<Dial>,
+    pub dial: Vec<DialOverride>,
     /// Policy that chooses an upstream.
     pub policy: Policy,
     /// Timeouts, TTLs and intervals.
@@ -84,9 +84,9 @@
     }
 }
 
-/// One translated address.
+/// Address to dial instead of a listed one.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Dial {
+pub struct DialOverride {
     /// Address as stated in the platform's list or a heartbeat.
     pub listed: ByteString,
     /// Address to dial from here.
@@ -192,7 +192,7 @@
     let operator_key = secret(operator_key_field);
     let traffic_threads = map.optional("traffic_threads").integer(1..=1024, "threads");
     let dial = map.optional("dial").list().into_iter().map(read_dial);
-    let dial: Vec<Option<Dial>> = dial.collect();
+    let dial: Vec<Option<DialOverride>> = dial.collect();
     let policy = map
         .optional("policy")
         .parse::<Policy>("the name of a policy");
@@ -258,11 +258,11 @@
     Some(Secret(text))
 }
 
-fn read_dial(field: Field<'_>) -> Option<Dial> {
+fn read_dial(field: Field<'_>) -> Option<DialOverride> {
     let mut map = field.map()?;
     let listed = addr(map.required("listed"));
     let dial = addr(map.required("dial"));
-    Some(Dial {
+    Some(DialOverride {
         listed: listed?.to_string().into(),
         dial: dial?.to_string().into(),
     })
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -126,7 +126,7 @@
     pub(crate) fn new(
         settings: Settings,
         metrics: PrometheusHandle,
-        notes: UnboundedSender<Note>,
+        control_tx: UnboundedSender<Note>,
         start_wall_ms: u64,
     ) -> Self {
         let started = Instant::now();
@@ -148,7 +148,7 @@
             lease_until_us: AtomicU64::new(0),
             settings,
             metrics,
-            notes,
+            notes: control_tx,
             started,
         }
     }
