--- a/crates/daemon/src/process/pool/mod.rs
+++ b/crates/daemon/src/process/pool/mod.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Totals of [`Counts`] at one moment, or their increase between two.
+/// Totals of the counters of a service at one moment, or their increase between two.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct CountTotals {
     pub(crate) arrived: u64,
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -62,8 +62,8 @@
 /// Tolerated clock skew between two daemons.
 ///
 /// A ticket minted by a daemon whose clock is ahead expires later, by the checking daemon's clock,
-/// than the lifetime of a ticket allows. Without this tolerance, a skew of one millisecond makes
-/// valid tickets be answered with `unknown`.
+/// than the lifetime of a ticket allows. Without this tolerance, a skew of one millisecond causes
+/// valid tickets to be refused as `unknown`.
 const CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 /// Messages from traffic threads to control.
