--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,8 @@
 //! jasmined: the daemon on each entry instance.
 //!
 //! It answers look-ups, forwards requests to upstreams, and runs the control logic. [`run`] is the
-//! entry point. The modules are ordered by the lifetime of the state that they hold, shortest first:
+//! entry point. The modules are ordered by the lifetime of the state that they hold, shortest
+//! first:
 //!
 //! - `request`: one request, from its header to the last byte of its response.
 //! - `connection`: connections to upstreams and to other entries.
--- a/crates/daemon/src/process/active.rs
+++ b/crates/daemon/src/process/active.rs
@@ -1,7 +1,7 @@
 //! Count of the requests that this process has not finished.
 //!
-//! A planned stop waits for it to reach zero. Streaming bodies count, and so do filings whose caller
-//! has disconnected.
+//! A planned stop waits for it to reach zero. Streaming bodies count, and so do filings whose
+//! caller has disconnected.
 
 use std::sync::{
     atomic::{
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -266,7 +266,7 @@
 }
 
 impl ShiftGuard {
-    /// Counts `bytes` as transferred; returns the delay for those that were not booked at admission.
+    /// Counts `bytes` as transferred; returns the delay for those not booked at admission.
     pub(crate) fn pass(&self, bytes: usize) -> Duration {
         let bytes = bytes as u64;
         self.link
--- a/crates/daemon/src/process/operator/upload.rs
+++ b/crates/daemon/src/process/operator/upload.rs
@@ -1,7 +1,7 @@
 //! Streaming upload of an accept request followed by its blocks, parsed line by line.
 //!
-//! The text of 1.7 million blocks is several times larger than the table built from it. Buffering it
-//! whole would exceed the daemon's limit on resident memory, so only a chunk is held at a time.
+//! The text of 1.7 million blocks is several times larger than the table built from it. Buffering
+//! it whole would exceed the daemon's limit on resident memory, so only a chunk is held at a time.
 
 use crate::process::{
     control::Accept,
@@ -35,9 +35,9 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Allows one large upload at a time.
 ///
-/// Each holds its table and, for a while, its text beside the table in force: 50 MB with 1.7 million
-/// blocks. Two at once would exceed the daemon's limit on resident memory, and one of them would
-/// lose the race to commit anyway.
+/// Each holds its table and, for a while, its text beside the table in force: 50 MB with 1.7
+/// million blocks. Two at once would exceed the daemon's limit on resident memory, and one of them
+/// would lose the race to commit anyway.
 static LARGE_UPLOADS: Semaphore = Semaphore::const_new(1);
 /// Maximum length of the first line, which is the request with its configuration.
 const REQUEST_LIMIT_BYTES: usize = 16 << 20;
@@ -132,8 +132,8 @@
 
 /// Reads the next chunk, with a timeout.
 ///
-/// A client that stalls would hold the only permit, and no other large upload could be accepted until
-/// its connection is closed, which may take hours.
+/// A client that stalls would hold the only permit, and no other large upload could be accepted
+/// until its connection is closed, which may take hours.
 async fn next(payload: &mut Payload) -> Result<Option<Result<Bytes, PayloadError>>, Refusal> {
     let chunk = actix_rt::time::timeout(IDLE_TIMEOUT, payload.next()).await;
     chunk.map_err(|_elapsed| {
--- a/crates/daemon/src/process/pool/mod.rs
+++ b/crates/daemon/src/process/pool/mod.rs
@@ -1,9 +1,9 @@
 //! Pools: the upstreams of one service in this region, and their use by this entry.
 //!
 //! A pool exists as long as the process. Control sets its upstreams, their allotments and their
-//! limits; traffic threads acquire slots, send requests and record the results. The two share atomics
-//! only. At each tick, control reads the recorded results and feeds them to the state machines of
-//! `steer` (slow start, failure detection).
+//! limits; traffic threads acquire slots, send requests and record the results. The two share
+//! atomics only. At each tick, control reads the recorded results and feeds them to the state
+//! machines of `steer` (slow start, failure detection).
 //!
 //! - `upstream`: one upstream, with its allotment, limits and last load report.
 //! - `observations`: results of requests to one upstream, as recorded by traffic threads.
@@ -221,8 +221,8 @@
 
     /// Slots that this entry could use now.
     ///
-    /// If only the current requests counted, an entry that happens to be idle would give its slots to
-    /// others and queue requests right after, while the others have spare slots. The demand is
+    /// If only the current requests counted, an entry that happens to be idle would give its slots
+    /// to others and queue requests right after, while the others have spare slots. The demand is
     /// therefore at least the slots that the smoothed demand needs at its peaks, plus the waiting
     /// requests.
     pub(crate) fn demand(&self) -> u32 {
@@ -236,8 +236,8 @@
 
     /// Sets the smoothed demand, in thousandths of a slot.
     pub(crate) fn set_usual(&self, milli_slots: u64) {
-        // Models the requests in flight as a Poisson distribution; two standard deviations above the
-        // mean cover all but a few percent of the time.
+        // Models the requests in flight as a Poisson distribution; two standard deviations above
+        // the mean cover all but a few percent of the time.
         let mean = milli_slots as f64 / 1000.0;
         // Far below the limit of `u32`; rounding is intended.
         let demand = (mean + 2.0 * mean.sqrt()).ceil() as u32;
--- a/crates/daemon/src/process/pool/observations.rs
+++ b/crates/daemon/src/process/pool/observations.rs
@@ -79,8 +79,8 @@
     /// Whether the upstream has failed repeatedly since control last evaluated it.
     ///
     /// An upstream that fails immediately looks idle and would attract the work of a whole tick: a
-    /// burst of failures, as many as requests arrive in a tenth of a second, which exhausts the retry
-    /// budget.
+    /// burst of failures, as many as requests arrive in a tenth of a second, which exhausts the
+    /// retry budget.
     pub(crate) fn is_failing(&self) -> bool {
         self.failure_streak.load(Ordering::Relaxed) >= FAILURE_STREAK_MAX
     }
--- a/crates/daemon/src/process/pool/permit.rs
+++ b/crates/daemon/src/process/pool/permit.rs
@@ -130,8 +130,8 @@
         let RequestState::Sent(cancellation) = self.state.replace(RequestState::Ended) else {
             return;
         };
-        // Without a runtime the process is exiting, and the slot doesn't matter. The task runs after
-        // the request and its connection are dropped, which happens together with the permit.
+        // Without a runtime the process is exiting, and the slot doesn't matter. The task runs
+        // after the request and its connection are dropped, which happens together with the permit.
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move {
                 cancellation.upstream_stopped().await;
--- a/crates/daemon/src/process/pool/queue.rs
+++ b/crates/daemon/src/process/pool/queue.rs
@@ -1,8 +1,9 @@
 //! The queue of requests that wait at this entry for a slot of one service.
 //!
-//! It is ordered by the rank of the class, then by arrival. A request keeps its position until it is
-//! removed, so a wake-up that finds no free slot costs it nothing. Only the first request acquires a
-//! slot. The lock is taken by traffic threads only, for a few instructions; control reads the counts.
+//! It is ordered by the rank of the class, then by arrival. A request keeps its position until it
+//! is removed, so a wake-up that finds no free slot costs it nothing. Only the first request
+//! acquires a slot. The lock is taken by traffic threads only, for a few instructions; control
+//! reads the counts.
 
 use std::{
     collections::BTreeMap,
--- a/crates/daemon/src/process/pool/upstream.rs
+++ b/crates/daemon/src/process/pool/upstream.rs
@@ -88,7 +88,7 @@
         !self.leaving.swap(true, Ordering::AcqRel)
     }
 
-    /// Sets the state from the membership view, which detects an upstream that returns under its id.
+    /// Sets the state from the membership view, which detects upstreams that return with their id.
     pub(crate) fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
--- a/crates/daemon/src/process/slots.rs
+++ b/crates/daemon/src/process/slots.rs
@@ -1,8 +1,8 @@
 //! This entry's allotment and use of one upstream's slots.
 //!
-//! An upstream's slots are divided between the entries of the region (crate `share`). This entry may
-//! use `full` of them until the short TTL of its lease lapses, then `floor` until the long TTL lapses.
-//! Both and the requests in flight share one atomic word. Otherwise control could lower the
+//! An upstream's slots are divided between the entries of the region (crate `share`). This entry
+//! may use `full` of them until the short TTL of its lease lapses, then `floor` until the long TTL
+//! lapses. Both and the requests in flight share one atomic word. Otherwise control could lower the
 //! allotment, find the requests in flight within it and acknowledge, while a traffic thread that
 //! read the old allotment just before starts one more: two entries use the same slot, and the
 //! upstream queues. With one word, the traffic thread's compare-and-exchange fails and is retried.
@@ -49,7 +49,8 @@
     /// Entitlement at `now`.
     ///
     /// Must be checked immediately before each send: a process that resumes after a pause longer
-    /// than its lease must not use slots that others hold by now. The clock continues during a pause.
+    /// than its lease must not use slots that others hold by now. The clock continues during a
+    /// pause.
     pub(crate) fn right(&self, now: Now) -> Entitlement {
         let now_us = to_us(now);
         if now_us < self.full_until_us.load(Ordering::Acquire) {
--- a/crates/daemon/tests/input.rs
+++ b/crates/daemon/tests/input.rs
@@ -1,7 +1,7 @@
 //! Property tests of the parsers of caller input: any bytes parse to a valid value or are refused.
 //!
-//! They guard against parsers that assume well-formed headers: unexpected bytes would panic a traffic
-//! thread, which closes all its connections, or be accepted with an unintended meaning.
+//! They guard against parsers that assume well-formed headers: unexpected bytes would panic a
+//! traffic thread, which closes all its connections, or be accepted with an unintended meaning.
 
 use actix_web::{
     body::to_bytes,
