--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! What lives as long as the process: settings, control, pools, the ports.
+//! State with the lifetime of the process: settings, control, pools, listeners.
 //!
-//! [`run`] is the whole life: it binds the ports, starts traffic threads, starts control on the
-//! calling thread, and returns when a planned stop has ended.
+//! [`run`] binds the ports, starts the traffic threads, starts control on the calling thread, and
+//! returns when a planned stop has completed.
 
 pub(crate) mod active;
 pub(crate) mod burn;
@@ -72,47 +72,47 @@
 };
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-/// Runs the daemon until a planned stop has ended.
+/// Runs the daemon until a planned stop has completed.
 ///
 /// # Errors
 ///
-/// A port can't be bound, or the metrics recorder is already set.
+/// A port can't be bound, or a logger or metrics recorder can't be installed.
 pub fn run(settings: Settings) -> eyre::Result<()> {
-    init_logs(settings.log_level).wrap_err("the log")?;
+    init_logs(settings.log_level).wrap_err("initializing the log")?;
     let metrics = ::metric::install(metric::METRICS)?;
     let callers = bind(settings.callers_addr.to_string(), "callers_addr")?;
     let peers = bind(settings.peers_addr.to_string(), "peers_addr")?;
     let operators = bind(settings.operator_addr.to_string(), "operator_addr")?;
-    let (notes, noted) = mpsc::unbounded_channel();
+    let (control_tx, control_rx) = mpsc::unbounded_channel();
     let start_wall_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| {
             u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
         });
-    let shared = Arc::new(Shared::new(settings, metrics, notes, start_wall_ms));
+    let shared = Arc::new(Shared::new(settings, metrics, control_tx, start_wall_ms));
     actix_rt::System::new().block_on(async move {
-        let (ended, end) = oneshot::channel();
+        let (end_tx, end_rx) = oneshot::channel();
         let control = Control::create(|ctx: &mut Context<Control>| {
-            ctx.add_stream(UnboundedReceiverStream::new(noted));
-            Control::new(Arc::clone(&shared), peers, ended)
+            ctx.add_stream(UnboundedReceiverStream::new(control_rx));
+            Control::new(Arc::clone(&shared), peers, end_tx)
         });
         let traffic = serve_callers(callers, &shared)?;
         let operator = serve_operators(operators, &shared, control.clone())?;
-        let ports = [traffic.handle(), operator.handle()];
+        let servers = [traffic.handle(), operator.handle()];
         actix_rt::spawn(traffic);
         actix_rt::spawn(operator);
         actix_rt::spawn(stop_on_signal(control)?);
         spdlog::info!("started", kv: { instance = shared.settings.instance.to_string() });
-        let end = end.await.unwrap_or(End::ControlLost);
-        for port in ports {
-            // Idle connections of callers close; nothing is in flight any more.
-            port.stop(true).await;
+        let end = end_rx.await.unwrap_or(End::ControlLost);
+        for server in servers {
+            // Only idle connections are left to close; no request is in flight any more.
+            server.stop(true).await;
         }
         end.into_result()
     })
 }
 
-/// Asks control for a planned stop at the first signal; a further one doesn't hurry it.
+/// Requests a planned stop from control on the first signal. Further signals don't speed it up.
 fn stop_on_signal(control: Addr<Control>) -> eyre::Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("handling SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("handling SIGINT")?;
@@ -140,7 +140,7 @@
     let server = HttpServer::new(move || {
         App::new()
             .app_data(shared.clone())
-            .wrap(from_fn(operator::prove_key))
+            .wrap(from_fn(operator::authenticate))
             .configure(operator::routes(control.clone()))
     })
     .workers(1)
@@ -149,7 +149,7 @@
     Ok(server.run())
 }
 
-/// Writes log lines to standard error as JSON, one for each change of state.
+/// Sets up the logger: JSON lines on standard error.
 fn init_logs(level: LogLevel) -> eyre::Result<()> {
     let level = match level {
         LogLevel::Debug => spdlog::Level::Debug,
