--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process.
+//! Monotonic clock of a process.
 
 use base::Now;
 use nix::time::{
@@ -11,31 +11,32 @@
     UNIX_EPOCH, //
 };
 
-/// Time since the start of the process, suspensions of the machine included.
+/// Clock that measures the time since the start of the process, including the time that the machine is suspended.
 ///
-/// What goes wrong with a clock that stands still while the machine is suspended: a process that wakes up takes a
-/// lease for its own that has run out, and was given to another one meanwhile.
+/// With a clock that stops during a suspension, a resumed process would still use a lease that has expired and has
+/// been granted to another entry meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// Creates a clock that starts at zero now.
     pub(crate) fn start() -> Self {
         Self {
             start: since_boot(),
         }
     }
 
-    /// Time since its beginning.
+    /// Returns the time since the clock was started.
     pub(crate) fn now(&self) -> Now {
         since_boot().saturating_sub(self.start)
     }
 }
 
 fn since_boot() -> Duration {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("every Linux has this clock");
+    let time =
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("every Linux kernel supports CLOCK_BOOTTIME");
     time.into()
 }
 
--- a/crates/entry/src/control/apply.rs
+++ b/crates/entry/src/control/apply.rs
@@ -1,4 +1,4 @@
-//! Rows of the store's tables, taken into the picture.
+//! Application of rows of the store's tables to the routing view.
 
 use crate::{
     control::Control,
@@ -24,17 +24,17 @@
 };
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Takes rows of the operators' table; with a position, they are the whole table.
-    pub(super) fn take_operator_rows(&self, rows: &[FeedRow], whole_at: Option<u64>) {
+    /// Applies rows of the operators' table. If `table_position` is set, they are the whole table at that position.
+    pub(super) fn apply_operator_rows(&self, rows: &[FeedRow], table_position: Option<u64>) {
         let now = self.now();
-        let mut changed = whole_at.is_some();
-        let mut standing = Vec::new();
-        let mut known = self.known.borrow_mut();
-        let picture = &mut known.picture;
+        let mut changed = table_position.is_some();
+        let mut evacuated = Vec::new();
+        let mut state = self.state.borrow_mut();
+        let view = &mut state.view;
         for row in rows {
             let applied = match self.rows.operator(row) {
                 Ok(OperatorRow::Routes(routes)) => {
-                    let applied = picture.apply_routes(&routes);
+                    let applied = view.apply_routes(&routes);
                     if applied == Applied::Changed {
                         emit(&Event::RoutesInForce {
                             version: routes.version,
@@ -50,8 +50,8 @@
                         on,
                         row_version: row.version,
                     });
-                    let applied = picture.apply_evacuation(&domain, on, row.version, now);
-                    standing.push(domain);
+                    let applied = view.apply_evacuation(&domain, on, row.version, now);
+                    evacuated.push(domain);
                     applied
                 }
                 Ok(OperatorRow::Other) => Applied::Unchanged,
@@ -62,48 +62,48 @@
             };
             changed |= applied == Applied::Changed;
         }
-        if let Some(position) = whole_at {
-            let ended = picture.end_evacuations_without_row(&standing, position, now);
+        if let Some(position) = table_position {
+            let ended = view.end_evacuations_without_row(&evacuated, position, now);
             if ended == Applied::Changed {
                 emit(&Event::EvacuationsEnded { position });
             }
         }
-        drop(known);
+        drop(state);
         if changed {
             self.publish();
         }
     }
 
-    pub(super) fn apply_upstream_table(&self, whole: &Rows, after_outage: bool) {
-        let mut listed: Vec<(u64, ListedUpstream)> = Vec::with_capacity(whole.rows.len());
-        for row in &whole.rows {
+    pub(super) fn apply_upstream_table(&self, table: &Rows, after_outage: bool) {
+        let mut listed: Vec<(u64, ListedUpstream)> = Vec::with_capacity(table.rows.len());
+        for row in &table.rows {
             match self.rows.upstream(row) {
                 Ok(upstream) => listed.push((row.version, upstream)),
                 Err(error) => log_unreadable(&error),
             }
         }
         let now = self.now();
-        let mut known = self.known.borrow_mut();
-        known
-            .picture
-            .apply_upstream_table(&listed, whole.position, after_outage, now);
-        drop(known);
+        let mut state = self.state.borrow_mut();
+        state
+            .view
+            .apply_upstream_table(&listed, table.position, after_outage, now);
+        drop(state);
         self.publish();
     }
 
-    pub(super) fn take_upstream_rows(&self, rows: &[FeedRow], after_outage: bool) {
+    pub(super) fn apply_upstream_rows(&self, rows: &[FeedRow], after_outage: bool) {
         let now = self.now();
         let mut changed = false;
-        let mut known = self.known.borrow_mut();
+        let mut state = self.state.borrow_mut();
         for row in rows {
-            let taken = if row.value.is_none() {
+            let applied = if row.value.is_none() {
                 emit(&Event::UpstreamRemoved {
                     upstream: row.key.clone(),
                     row_version: row.version,
                     after_outage,
                 });
-                known
-                    .picture
+                state
+                    .view
                     .apply_removal(&row.key, row.version, after_outage, now)
             } else {
                 match self.rows.upstream(row) {
@@ -115,27 +115,25 @@
                             cold_left_ms: listed.cold_left.as_millis() as u64,
                             row_version: row.version,
                         });
-                        known.picture.apply_upstream(&listed, row.version, now)
+                        state.view.apply_upstream(&listed, row.version, now)
                     }
-                    // It names no upstream, as in a whole table: what it named before may be gone.
+                    // Treated like a removal, as in a whole table: the upstream that the row described may be gone.
                     Err(error) => {
                         log_unreadable(&error);
-                        known
-                            .picture
-                            .apply_removal(&row.key, row.version, false, now)
+                        state.view.apply_removal(&row.key, row.version, false, now)
                     }
                 }
             };
-            changed |= taken == Applied::Changed;
+            changed |= applied == Applied::Changed;
         }
-        drop(known);
+        drop(state);
         if changed {
             self.publish();
         }
     }
 }
 
-/// Says that a row can't be read. Of operators, what was known before it stays in force.
+/// Logs that a row can't be parsed. The last valid state of the operators' rows stays in force.
 fn log_unreadable(error: &UnreadableRow) {
     emit(&Event::RowUnreadable {
         row: error.row.clone(),
--- a/crates/entry/src/control/cold.rs
+++ b/crates/entry/src/control/cold.rs
@@ -1,14 +1,14 @@
 //! Leases of upstreams that are cold or state a limit: only the entry that holds the lease sends to them.
 //!
-//! Such an upstream accepts few requests per second from all entries combined. One entry of its region holds the
-//! whole of that, by a row of the store (crate `lease`). Entries that differ on who else there is then claim the
-//! same row, and one of them gets it. The upstream ranks the entries: each next one claims a little later, and the
-//! one that holds the lease tells the others, so that they need not ask the store.
+//! Such an upstream accepts few requests per second from all entries combined. One entry of its region holds the whole
+//! allowance by a lease, which is a row of the store (crate `lease`). Entries that disagree about which entries exist
+//! claim the same row, and only one of them gets it. Rendezvous hashing by upstream ranks the entries: each further one
+//! claims a little later, and the holder announces its leases to the others, so that they need not call the store.
 
 use crate::{
     control::{
         Control,
-        Known, //
+        ControlState, //
     },
     message::Message,
     metric,
@@ -52,92 +52,92 @@
     time::Duration, //
 };
 
-/// Prefix of the rows of leases; the rest of the key is the upstream's name.
-const LEASES: &str = "cold/";
+/// Prefix of the keys of lease rows. It is followed by the upstream's name.
+const LEASE_ROWS: &str = "cold/";
 /// Terms of the leases.
 const TERMS: Terms = Terms {
-    // Longer than most upstreams are cold, so that few leases are renewed.
+    // Most upstreams are cold for a shorter time, so few leases are renewed.
     length: Duration::from_secs(4),
-    // The second for which the bound is stated, and the way of what was sent last.
+    // The second for which the bound is stated, and the transit time of the last requests.
     gap: Duration::from_millis(1500),
-    // A call to the store from the farthest region, and the others' hearing of it.
+    // A call to the store from the farthest region and the announcement to the other entries.
     claim_stagger: Duration::from_millis(400),
-    // How long a call to the store is waited for.
+    // Timeout of a call to the store.
     retry_delay: Duration::from_millis(1000),
 };
-/// Claims of one transaction, which holds a hundred conditions and writes.
+/// Maximum number of claims in one transaction, which is limited to a hundred checks and writes.
 const CLAIMS_MAX: usize = 40;
-/// Longest name of an upstream of which a lease is claimed: a key that the store refuses would take the other claims
-/// of its transaction along.
-const NAME_BYTES_MAX: usize = 120;
-/// Longest time between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(250);
-/// Time between two looks for rows that nobody needs any more; a lease that is in use is renewed many times in it.
-const SWEEP: Duration = Duration::from_secs(60);
+/// Maximum length of the name of an upstream whose lease is claimed. A key that the store rejects would fail the other
+/// claims of its transaction as well.
+const NAME_LEN_MAX: usize = 120;
+/// Maximum interval between checks for due claims.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between sweeps of unused rows. A lease in use is renewed many times within it.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Value of a lease's row, for whoever reads the table.
+/// Value of a lease row. It is informational and never read back.
 #[derive(Debug, Serialize)]
 struct LeaseRow<'a> {
     entry: &'a str,
     incarnation: u64,
 }
 
-/// Leases of a new process: whatever a former one held is another's.
-pub(super) fn none_held() -> Leases {
+/// Returns the leases of a new process, which holds none. Leases of its former process count as held by another entry.
+pub(super) fn new_leases() -> Leases {
     Leases::new(TERMS)
 }
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Claims leases of the cold upstreams of this region, for as long as there are any.
+    /// Claims leases of upstreams that are cold or state a limit, for the lifetime of the process.
     pub(super) async fn hold_cold_leases(&self) {
         loop {
-            // A change of the picture, or what comes due by itself.
+            // Wakes up on changes or when claims may have become due.
             let changed = self.cold_due.notified();
-            let _ = tokio::time::timeout(LOOK, changed).await;
+            let _ = tokio::time::timeout(POLL_INTERVAL, changed).await;
             loop {
-                let asked_at = self.now();
-                let claims = self.due_claims(asked_at);
+                let started_at = self.now();
+                let claims = self.due_claims(started_at);
                 if claims.is_empty() {
                     break;
                 }
-                self.claim(&claims, asked_at).await;
+                self.claim(&claims, started_at).await;
             }
         }
     }
 
     fn due_claims(&self, now: Now) -> Vec<Claim> {
-        let mut known = self.known.borrow_mut();
-        let wanted = self.wanted_leases(&known, now);
-        known.cold_leases.set_wanted(wanted, now);
-        let held = known.cold_leases.held(now).count();
+        let mut state = self.state.borrow_mut();
+        let wanted = self.wanted_leases(&state, now);
+        state.cold_leases.set_wanted(wanted, now);
+        let held = state.cold_leases.held(now).count();
         metrics::gauge!(metric::COLD_LEASES).set(held as f64);
-        known.cold_leases.take_due(CLAIMS_MAX, now)
+        state.cold_leases.take_due(CLAIMS_MAX, now)
     }
 
     /// Returns the upstreams whose leases this entry claims, and how many entries each ranks before this one.
     ///
     /// These are the open upstreams of this region that are cold or state a limit, and those that state a limit in
     /// regions without entries. There are none once this entry is about to stop, since its callers go elsewhere.
-    fn wanted_leases(&self, known: &Known, now: Now) -> Vec<Wanted> {
+    fn wanted_leases(&self, state: &ControlState, now: Now) -> Vec<Wanted> {
         let limited = self.channels.limits.limited();
-        if known.stopping || (now >= known.cold_until && limited.is_empty()) {
+        if state.stopping || (now >= state.cold_until && limited.is_empty()) {
             return Vec::new();
         }
         let own_region = &self.settings.region;
-        let live = known.overlay.live();
+        let live = state.overlay.live();
         let has_entries = |region: &RegionId| {
             region == own_region || live.values().any(|entry| entry.region == *region)
         };
-        let upstreams = known.picture.upstreams(now);
-        let cold = upstreams.filter(|(listed, closed, cold_until)| {
-            let short = listed.id.len() <= NAME_BYTES_MAX;
+        let upstreams = state.view.upstreams(now);
+        let eligible = upstreams.filter(|(listed, closed, cold_until)| {
+            let is_name_allowed = listed.id.len() <= NAME_LEN_MAX;
             let is_limited = limited.contains(&listed.id);
             let is_eligible =
                 listed.region == *own_region || (is_limited && !has_entries(&listed.region));
-            !closed && short && (now < *cold_until || is_limited) && is_eligible
+            !closed && is_name_allowed && (now < *cold_until || is_limited) && is_eligible
         });
-        let mut cold = cold.map(|(listed, ..)| listed).peekable();
-        if cold.peek().is_none() {
+        let mut eligible = eligible.map(|(listed, ..)| listed).peekable();
+        if eligible.peek().is_none() {
             return Vec::new();
         }
         let others: Vec<(u64, &RegionId)> = live
@@ -145,66 +145,69 @@
             .map(|(instance, entry)| (hash(instance), &entry.region))
             .collect();
         let own = hash(&self.settings.instance);
-        cold.map(|listed| {
-            let of = hash(&listed.id);
-            // An upstream of this region is claimed by entries of this region only; one of a region without entries is
-            // claimed by all entries.
-            let is_claimant =
-                |region: &RegionId| region == own_region || listed.region != *own_region;
-            let before = |(other, region): &&(u64, &RegionId)| {
-                is_claimant(region) && rendezvous_score(of, *other) > rendezvous_score(of, own)
-            };
-            Wanted {
-                subject: listed.id.clone(),
-                order: others.iter().filter(before).count() as u32,
-            }
-        })
-        .collect()
+        eligible
+            .map(|listed| {
+                let subject_hash = hash(&listed.id);
+                // An upstream of this region is claimed by entries of this region only; one of a region without
+                // entries is claimed by all entries.
+                let is_claimant =
+                    |region: &RegionId| region == own_region || listed.region != *own_region;
+                let before = |(other, region): &&(u64, &RegionId)| {
+                    is_claimant(region)
+                        && rendezvous_score(subject_hash, *other)
+                            > rendezvous_score(subject_hash, own)
+                };
+                Wanted {
+                    subject: listed.id.clone(),
+                    order: others.iter().filter(before).count() as u32,
+                }
+            })
+            .collect()
     }
 
-    async fn claim(&self, claims: &[Claim], asked_at: Now) {
-        let outcome = self.store.commit(self.txn_of(claims)).await;
+    async fn claim(&self, claims: &[Claim], started_at: Now) {
+        let outcome = self.store.commit(self.claim_txn(claims)).await;
         let now = self.now();
-        let mut known = self.known.borrow_mut();
-        let leases = &mut known.cold_leases;
+        let mut state = self.state.borrow_mut();
+        let leases = &mut state.cold_leases;
         let (outcome, row_version) = match outcome {
             Outcome::Done(Commit::Committed { version }) => {
-                leases.granted(claims, version, asked_at, now);
+                leases.granted(claims, version, started_at, now);
                 ("granted", version)
             }
             Outcome::Done(Commit::Conflict { rows }) => {
-                leases.refused(&standings(claims, rows), now);
+                leases.refused(&row_states(claims, rows), now);
                 ("refused", 0)
             }
-            // Made again after a while; until then nobody can know whether it stands.
+            // The claim is retried later; until then it is unknown whether it was committed.
             Outcome::NotDone(_) | Outcome::Unknown(_) => ("unknown", 0),
         };
-        drop(known);
+        drop(state);
         metrics::counter!(metric::STORE_CALLS, "call" => "lease", "outcome" => outcome)
             .increment(1);
         emit(&Event::ColdLeases {
             outcome: outcome.to_owned(),
             upstreams: claims.iter().map(|claim| claim.subject.clone()).collect(),
             row_version,
-            took_ms: (now - asked_at).as_millis() as u64,
+            took_ms: (now - started_at).as_millis() as u64,
         });
         if outcome == "granted" {
             self.publish();
-            self.tell_held(now);
+            self.announce_held(now);
         }
     }
 
-    /// Tells the entries of this region which leases this one holds.
-    fn tell_held(&self, now: Now) {
-        let held = self.known.borrow().cold_leases.held(now).cloned().collect();
-        self.tell_near(&Message::ColdHeld(held), None);
+    /// Announces the leases that this entry holds to the entries of this region.
+    fn announce_held(&self, now: Now) {
+        let held = self.state.borrow().cold_leases.held(now).cloned().collect();
+        self.send_to_region(&Message::ColdHeld(held), None);
     }
 
-    /// Sends a message towards all entries of this region: a leaf to its hubs, a hub to its leaves and, unless the
-    /// message came from a hub, to the others.
-    fn tell_near(&self, message: &Message, from: Option<&InstanceId>) {
-        let known = self.known.borrow();
-        let overlay = &known.overlay;
+    /// Sends or forwards a message to all entries of this region: a leaf sends it to its hubs; a hub sends it to its
+    /// leaves and, unless it came from a hub, to the other hubs.
+    fn send_to_region(&self, message: &Message, from: Option<&InstanceId>) {
+        let state = self.state.borrow();
+        let overlay = &state.overlay;
         let from_hub = from.is_some_and(|from| overlay.other_hubs().any(|hub| hub == from));
         let hubs = overlay
             .other_hubs()
@@ -213,22 +216,22 @@
         self.send_to(to.filter(|to| Some(*to) != from), message);
     }
 
-    fn txn_of(&self, claims: &[Claim]) -> Txn {
+    fn claim_txn(&self, claims: &[Claim]) -> Txn {
         let row = LeaseRow {
             entry: &self.settings.instance,
             incarnation: self.incarnation,
         };
-        let value = serde_json::to_string(&row).expect("plain fields have a text form");
+        let value = serde_json::to_string(&row).expect("a lease row is serializable");
         let value = ByteString::from(value);
         let checks = claims.iter().map(|claim| {
-            let key = key_of(&claim.subject);
+            let key = lease_row_key(&claim.subject);
             match claim.expected_version {
                 Some(version) => Check::Version { key, version },
                 None => Check::Absent { key },
             }
         });
         let writes = claims.iter().map(|claim| Write::Put {
-            key: key_of(&claim.subject),
+            key: lease_row_key(&claim.subject),
             value: value.clone(),
         });
         Txn {
@@ -237,37 +240,38 @@
         }
     }
 
-    /// Another entry holds these.
+    /// Handles the announcement that another entry holds the leases of these upstreams.
     pub(super) fn on_cold_held(&self, from: &InstanceId, upstreams: Vec<UpstreamId>, now: Now) {
-        let mut known = self.known.borrow_mut();
-        known.cold_leases.note_held_elsewhere(&upstreams, now);
-        let is_hub = known.overlay.is_hub(now);
-        drop(known);
+        let mut state = self.state.borrow_mut();
+        state.cold_leases.note_held_elsewhere(&upstreams, now);
+        let is_hub = state.overlay.is_hub(now);
+        drop(state);
         if is_hub {
-            self.tell_near(&Message::ColdHeld(upstreams), Some(from));
+            self.send_to_region(&Message::ColdHeld(upstreams), Some(from));
         }
     }
 
-    /// Removes the rows of leases that nobody has renewed for long; one entry of all does it, as far as it sees.
+    /// Removes lease rows that have not been renewed between two sweeps. Only one entry sweeps: the one whose name
+    /// comes first among those that it knows to be up.
     pub(super) async fn sweep_cold_leases(&self) {
         let mut before = BTreeMap::new();
         loop {
-            tokio::time::sleep(SWEEP).await;
-            if self.sweeps() {
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            if self.is_sweeper() {
                 before = self.sweep_rows(&before).await;
             }
         }
     }
 
-    fn sweeps(&self) -> bool {
-        let known = self.known.borrow();
-        let mut up = known.overlay.live().keys();
+    fn is_sweeper(&self) -> bool {
+        let state = self.state.borrow();
+        let mut up = state.overlay.live().keys();
         up.all(|instance| *instance > self.settings.instance)
     }
 
-    /// Removes the rows that are as they were `before`; gives those that there are, with their versions.
+    /// Removes the rows whose versions are still those in `before`. Returns the versions of all rows that were read.
     async fn sweep_rows(&self, before: &BTreeMap<ByteString, u64>) -> BTreeMap<ByteString, u64> {
-        let Ok(rows) = self.store.scan(LEASES).await else {
+        let Ok(rows) = self.store.scan(LEASE_ROWS).await else {
             metrics::counter!(metric::STORE_CALLS, "call" => "leases", "outcome" => "failed")
                 .increment(1);
             return BTreeMap::new();
@@ -276,22 +280,22 @@
             .increment(1);
         let old = |row: &&Row| before.get(&row.key) == Some(&row.version);
         let old: Vec<&Row> = rows.iter().filter(old).collect();
-        for some in old.chunks(CLAIMS_MAX) {
-            let checks = some.iter().map(|row| Check::Version {
+        for chunk in old.chunks(CLAIMS_MAX) {
+            let checks = chunk.iter().map(|row| Check::Version {
                 key: row.key.clone(),
                 version: row.version,
             });
-            let writes = some.iter().map(|row| Write::Delete {
+            let writes = chunk.iter().map(|row| Write::Delete {
                 key: row.key.clone(),
             });
             let txn = Txn {
                 checks: checks.collect(),
                 writes: writes.collect(),
             };
-            // Whatever came of it, the next look finds what is left.
+            // Rows that are not removed are found by the next sweep.
             let outcome = self.store.commit(txn).await;
             emit(&Event::ColdLeasesRemoved {
-                rows: some.len(),
+                rows: chunk.len(),
                 outcome: format!("{outcome:?}"),
             });
         }
@@ -304,12 +308,12 @@
     affinity_hash(name.as_bytes())
 }
 
-fn key_of(upstream: &UpstreamId) -> ByteString {
-    format!("{LEASES}{upstream}").into()
+fn lease_row_key(upstream: &UpstreamId) -> ByteString {
+    format!("{LEASE_ROWS}{upstream}").into()
 }
 
-/// How the rows of refused claims stand.
-fn standings(claims: &[Claim], rows: Vec<Option<Row>>) -> Vec<RowState> {
+/// Returns the current versions of the rows of refused claims.
+fn row_states(claims: &[Claim], rows: Vec<Option<Row>>) -> Vec<RowState> {
     let rows = claims.iter().zip(rows);
     rows.map(|(claim, row)| RowState {
         subject: claim.subject.clone(),
--- a/crates/entry/src/control/crash_rows.rs
+++ b/crates/entry/src/control/crash_rows.rs
@@ -6,10 +6,10 @@
 use crate::{
     clock::unix_ms,
     control::{
-        listing::{
-            pause,
+        registry::{
+            sleep_jittered,
             ENTRIES,
-            PAUSE, //
+            RETRY_DELAY, //
         },
         Control, //
     },
@@ -93,7 +93,7 @@
             self.channels.crashes.store_due.notified().await;
             for request in self.channels.crashes.take_unstored() {
                 while !self.write_crash_row(request).await {
-                    pause(PAUSE).await;
+                    sleep_jittered(RETRY_DELAY).await;
                 }
             }
         }
@@ -139,7 +139,7 @@
 
     /// Removes rows whose crashes have all expired. Only hubs do this, to limit the number of concurrent deletes.
     pub(super) async fn remove_expired_crash_rows(&self, rows: &[Row]) {
-        if !self.known.borrow().overlay.is_hub(self.now()) {
+        if !self.state.borrow().overlay.is_hub(self.now()) {
             return;
         }
         let now_ms = unix_ms();
--- a/crates/entry/src/control/crashes.rs
+++ b/crates/entry/src/control/crashes.rs
@@ -47,8 +47,8 @@
     }
 
     fn send_crashes(&self, reports: Vec<Report>, from: Option<&InstanceId>) {
-        let known = self.known.borrow();
-        let to = known.overlay.connected().filter(|to| Some(*to) != from);
+        let state = self.state.borrow();
+        let to = state.overlay.connected().filter(|to| Some(*to) != from);
         self.send_to(to, &Message::Crashes(reports));
     }
 
--- a/crates/entry/src/control/feeds.rs
+++ b/crates/entry/src/control/feeds.rs
@@ -1,6 +1,6 @@
-//! Following the store's tables: by calls, or, for a leaf, through a hub that forwards what it reads.
+//! Following the store's tables, by calls to the store or through other entries that forward the rows.
 
-use crate::{control::Control, message::Followed, metric, rows::RowReader};
+use crate::{control::Control, message::FollowedTable, metric, rows::RowReader};
 use base::Now;
 use event::{
     emit,
@@ -17,278 +17,278 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// How long one call waits for changes. Each call costs the store work; a connection that goes silent
-/// meanwhile is ended by its probes within some six seconds, and the other entries tell sooner that
-/// there is something new.
-const WAIT: Duration = Duration::from_millis(2000);
-/// Longest wait of a new entry for the picture of its hub: sessions stand within a second of the start, and a hub sends
-/// it to a whole domain that starts at once, one after the other. Nobody waits for a new entry yet.
-const PICTURE_WAIT: Duration = Duration::from_millis(4000);
-/// Longest wait for the rows of the other entries, which say whether it is new.
-const ROLE_WAIT: Duration = Duration::from_millis(300);
-/// Time between two looks whether either has come.
-const START_LOOK: Duration = Duration::from_millis(20);
-/// Longest time between two looks whether the store is to be called.
-const DUE_LOOK: Duration = Duration::from_millis(500);
-/// Least time between two calls that wait for changes of one table: what changes within it comes with one answer.
-/// A first change is read at once, since a call waits for it.
+/// Maximum time that one call waits for changes. Each call puts load on the store. A connection that hangs is closed by
+/// its keep-alive probes within some six seconds, and the other entries announce newer versions before that.
+const CHANGES_WAIT: Duration = Duration::from_millis(2000);
+/// Maximum time that a new entry waits for the routing view of its hub. Sessions are up within a second of the start,
+/// and if an entire domain starts at once, its hub sends the view to one entry after the other. No caller uses a new
+/// entry yet.
+const VIEW_WAIT: Duration = Duration::from_millis(4000);
+/// Maximum wait for the first scan of the entries' rows, which determines whether this entry is new.
+const FIRST_SCAN_WAIT: Duration = Duration::from_millis(300);
+/// Interval between checks whether the scan or the view has arrived.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum interval between checks whether a call to the store is due.
+const DUE_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between two calls for changes of one table, per entry of the deployment. Changes within this time are
+/// batched into one answer; a first change is read at once, since a call is waiting for it.
 ///
-/// What goes wrong without it: rows that are written one after the other, as by upstreams that start or are
-/// replaced, each end a call of every entry, and each such call costs the store work. So it grows with the entries:
-/// up to eighty of them together make a hundred calls a second for a table, a twentieth of the two thousand reads
-/// that the smallest store bears.
-const GATHER_PER_ENTRY: Duration = Duration::from_millis(10);
-/// Least such time: an eighth of the shortest bound within which a change has to be in force, two seconds.
-const GATHER_MIN: Duration = Duration::from_millis(250);
-/// Longest such time: a quarter of that bound where deployments have so many entries, three seconds or more.
-const GATHER_MAX: Duration = Duration::from_millis(800);
-/// First pause after a call that failed.
-const PAUSE_MIN: Duration = Duration::from_millis(200);
-/// Longest pause after a call that failed: what the store says after its return has to be in force
-/// within seconds, and each call costs it work.
-const PAUSE_MAX: Duration = Duration::from_millis(1000);
-/// How long after a failed call rows that are missing may have expired during an outage.
-const OUTAGE_MEMORY: Duration = Duration::from_secs(5);
+/// Without batching, rows that are written one after the other, such as those of upstreams that start or are replaced,
+/// each end a call of every entry, and each call puts load on the store. So the time grows with the number of entries:
+/// up to eighty entries together make a hundred calls per second for a table, a twentieth of the two thousand reads
+/// per second that the smallest store sustains.
+const BATCH_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(10);
+/// Lower bound of the batch interval: an eighth of the strictest bound within which a change has to be in force, two
+/// seconds.
+const BATCH_INTERVAL_MIN: Duration = Duration::from_millis(250);
+/// Upper bound of the batch interval: a quarter of that bound in deployments with so many entries, which is three
+/// seconds or more.
+const BATCH_INTERVAL_MAX: Duration = Duration::from_millis(800);
+/// Delay after a first failed call.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(200);
+/// Maximum delay after a failed call. Changes that the store has after an outage have to be in force within seconds,
+/// and each call puts load on the store.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(1000);
+/// Time after a failed call during which missing rows may be rows that expired during an outage.
+const OUTAGE_RETENTION: Duration = Duration::from_secs(5);
 
-/// Calls of one feed.
-struct Calls {
-    table: &'static str,
-    followed: Followed,
-    pause: Duration,
+/// State of the calls that follow one table.
+struct FeedCalls {
+    table_name: &'static str,
+    table: FollowedTable,
+    retry_delay: Duration,
     failing_since: Option<Now>,
-    last: Option<Now>,
-    /// When the last call began that was answered with changes.
+    last_failure: Option<Now>,
+    /// Start of the last call that returned changes.
     changed_at: Now,
 }
 
-impl Calls {
-    fn new(table: &'static str, followed: Followed) -> Self {
+impl FeedCalls {
+    fn new(table_name: &'static str, table: FollowedTable) -> Self {
         Self {
+            table_name,
             table,
-            followed,
-            pause: PAUSE_MIN,
+            retry_delay: RETRY_DELAY_MIN,
             failing_since: None,
-            last: None,
+            last_failure: None,
             changed_at: Now::ZERO,
         }
     }
 
-    /// Notes a failure and waits a little, longer each time, not in step with other entries.
-    async fn note(&mut self, error: &ReadError, now: Now) {
+    /// Records a failed call and waits, with exponential backoff and jitter.
+    async fn on_failure(&mut self, error: &ReadError, now: Now) {
         metrics::counter!(metric::STORE_CALLS, "call" => "read", "outcome" => "failed")
             .increment(1);
-        self.last = Some(now);
+        self.last_failure = Some(now);
         if self.failing_since.is_none() {
             self.failing_since = Some(now);
             emit(&Event::StoreLost {
-                table: self.table.to_owned(),
+                table: self.table_name.to_owned(),
                 error: error.to_string(),
             });
         }
         let jitter = rand::rng().random_range(0.5..1.0);
-        tokio::time::sleep(self.pause.mul_f64(jitter)).await;
-        self.pause = (self.pause * 2).min(PAUSE_MAX);
+        tokio::time::sleep(self.retry_delay.mul_f64(jitter)).await;
+        self.retry_delay = (self.retry_delay * 2).min(RETRY_DELAY_MAX);
     }
 
-    fn end(&mut self, now: Now) {
+    fn on_success(&mut self, now: Now) {
         metrics::counter!(metric::STORE_CALLS, "call" => "read", "outcome" => "done").increment(1);
         if let Some(since) = self.failing_since.take() {
             emit(&Event::StoreRegained {
-                table: self.table.to_owned(),
+                table: self.table_name.to_owned(),
                 outage_ms: (now - since).as_millis() as u64,
             });
         }
-        self.pause = PAUSE_MIN;
+        self.retry_delay = RETRY_DELAY_MIN;
     }
 
     fn after_outage(&self, now: Now) -> bool {
-        self.last
-            .is_some_and(|last| now.saturating_sub(last) < OUTAGE_MEMORY)
+        self.last_failure
+            .is_some_and(|last_failure| now.saturating_sub(last_failure) < OUTAGE_RETENTION)
     }
 }
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Follows a table of the store.
-    pub(super) async fn follow(&self, table: &'static str, followed: Followed) {
-        let mut calls = Calls::new(table, followed);
-        if self.picture_came(followed).await {
+    /// Follows a table of the store for the lifetime of the process.
+    pub(super) async fn follow(&self, table_name: &'static str, table: FollowedTable) {
+        let mut calls = FeedCalls::new(table_name, table);
+        if self.view_received(table).await {
             self.follow_changes(&mut calls).await;
         }
         loop {
-            let whole = self.read_whole(&mut calls).await;
+            let rows = self.read_table(&mut calls).await;
             let after_outage = calls.after_outage(self.now());
-            self.take_whole(followed, &whole, after_outage);
+            self.apply_table(table, &rows, after_outage);
             self.follow_changes(&mut calls).await;
         }
     }
 
-    /// Follows the changes of a table until it has to be read anew.
-    async fn follow_changes(&self, calls: &mut Calls) {
+    /// Follows the changes of a table until the whole table has to be read again.
+    async fn follow_changes(&self, calls: &mut FeedCalls) {
         while let Some((after, rows)) = self.next_changes(calls).await {
             let after_outage = calls.after_outage(self.now());
-            self.forward_rows(calls.followed, after, &rows, after_outage);
-            self.take_changes(calls.followed, &rows.rows, rows.position, after_outage);
+            self.forward_rows(calls.table, after, &rows, after_outage);
+            self.apply_changes(calls.table, &rows.rows, rows.position, after_outage);
         }
     }
 
-    /// Whether a hub's picture has come in the place of the first whole table. A new leaf waits for it; any other entry
-    /// has callers that wait, and reads by itself.
-    async fn picture_came(&self, table: Followed) -> bool {
-        let begun = self.now();
-        while self.now().saturating_sub(begun) < self.picture_wait() {
+    /// Waits for a hub's routing view, which replaces the first read of the whole table, and returns whether it has
+    /// arrived. Only a new leaf waits for it; callers may already use any other entry, which reads the store itself.
+    async fn view_received(&self, table: FollowedTable) -> bool {
+        let started = self.now();
+        while self.now().saturating_sub(started) < self.view_wait() {
             if self.position(table).is_some() {
                 return true;
             }
-            tokio::time::sleep(START_LOOK).await;
+            tokio::time::sleep(START_POLL_INTERVAL).await;
         }
         false
     }
 
-    /// How long after its start this entry waits for a hub's picture.
-    fn picture_wait(&self) -> Duration {
-        let known = self.known.borrow();
-        match known.is_new {
-            None => ROLE_WAIT,
-            Some(true) if !known.settled || !known.overlay.is_hub(self.now()) => PICTURE_WAIT,
+    /// Returns how long after its start this entry waits for a hub's routing view.
+    fn view_wait(&self) -> Duration {
+        let state = self.state.borrow();
+        match state.is_new {
+            None => FIRST_SCAN_WAIT,
+            Some(true) if !state.joined || !state.overlay.is_hub(self.now()) => VIEW_WAIT,
             Some(_) => Duration::ZERO,
         }
     }
 
-    fn position(&self, table: Followed) -> Option<u64> {
-        self.known.borrow_mut().followed(table).follow.position()
+    fn position(&self, table: FollowedTable) -> Option<u64> {
+        self.state.borrow_mut().table_mut(table).follower.position()
     }
 
-    fn take_whole(&self, table: Followed, whole: &Rows, after_outage: bool) {
-        let mut known = self.known.borrow_mut();
-        known.followed(table).follow.on_table_read(whole.position);
-        drop(known);
+    fn apply_table(&self, table: FollowedTable, rows: &Rows, after_outage: bool) {
+        let mut state = self.state.borrow_mut();
+        state.table_mut(table).follower.on_table_read(rows.position);
+        drop(state);
         match table {
-            Followed::Operator => self.take_operator_rows(&whole.rows, Some(whole.position)),
-            Followed::Upstreams => self.apply_upstream_table(whole, after_outage),
+            FollowedTable::Operator => self.apply_operator_rows(&rows.rows, Some(rows.position)),
+            FollowedTable::Upstreams => self.apply_upstream_table(rows, after_outage),
         }
     }
 
-    /// Takes all changes of a table up to `position`.
-    pub(super) fn take_changes(
+    /// Applies all changes of a table up to `position`.
+    pub(super) fn apply_changes(
         &self,
-        table: Followed,
+        table: FollowedTable,
         rows: &[FeedRow],
         position: u64,
         after_outage: bool,
     ) {
-        if table == Followed::Upstreams {
-            self.known
-                .borrow_mut()
-                .picture
-                .advance_read_position(position);
+        if table == FollowedTable::Upstreams {
+            self.state.borrow_mut().view.advance_read_position(position);
         }
         if rows.is_empty() {
             return;
         }
         match table {
-            Followed::Operator => self.take_operator_rows(rows, None),
-            Followed::Upstreams => self.take_upstream_rows(rows, after_outage),
+            FollowedTable::Operator => self.apply_operator_rows(rows, None),
+            FollowedTable::Upstreams => self.apply_upstream_rows(rows, after_outage),
         }
     }
 
-    /// The whole table, however long it takes.
-    async fn read_whole(&self, calls: &mut Calls) -> Rows {
+    /// Reads the whole table, and retries until a read succeeds.
+    async fn read_table(&self, calls: &mut FeedCalls) -> Rows {
         loop {
-            match self.store.read_all(calls.table).await {
+            match self.store.read_all(calls.table_name).await {
                 Ok(rows) => {
-                    self.note_done(calls);
+                    self.on_read_done(calls);
                     emit(&Event::TableRead {
-                        table: calls.table.to_owned(),
+                        table: calls.table_name.to_owned(),
                         rows: rows.rows.len(),
                         position: rows.position,
                     });
                     return rows;
                 }
-                Err(error) => self.note_failed(calls, &error).await,
+                Err(error) => self.on_read_failed(calls, &error).await,
             }
         }
     }
 
-    async fn note_failed(&self, calls: &mut Calls, error: &ReadError) {
-        self.note_reading(calls.followed, false);
-        calls.note(error, self.now()).await;
+    async fn on_read_failed(&self, calls: &mut FeedCalls, error: &ReadError) {
+        self.set_reading(calls.table, false);
+        calls.on_failure(error, self.now()).await;
     }
 
-    fn note_done(&self, calls: &mut Calls) {
-        self.note_reading(calls.followed, true);
-        calls.end(self.now());
+    fn on_read_done(&self, calls: &mut FeedCalls) {
+        self.set_reading(calls.table, true);
+        calls.on_success(self.now());
     }
 
-    /// Least time between two calls for changes: all entries may call, if their hubs are lost.
-    fn gather(&self) -> Duration {
-        let entries = self.known.borrow().overlay.sender_count().unwrap_or(1);
+    /// Returns the minimum time between two calls for changes. It depends on the number of all entries, since all of
+    /// them call the store if their hubs are lost.
+    fn batch_interval(&self) -> Duration {
+        let entries = self.state.borrow().overlay.sender_count().unwrap_or(1);
         let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-        let gather = GATHER_PER_ENTRY.saturating_mul(entries);
-        gather.clamp(GATHER_MIN, GATHER_MAX)
+        let interval = BATCH_INTERVAL_PER_ENTRY.saturating_mul(entries);
+        interval.clamp(BATCH_INTERVAL_MIN, BATCH_INTERVAL_MAX)
     }
 
-    /// Waits until the store is to be called: always for a reader, for others as long as nobody forwards the table or
-    /// something is missing of what was forwarded.
-    async fn until_due(&self, table: Followed) {
+    /// Waits until a call to the store is due: always for a reader, and for other entries while the table is not
+    /// forwarded to them or forwarded changes are missing.
+    async fn wait_until_due(&self, table: FollowedTable) {
         loop {
             let changed = self.feed_due.notified();
             tokio::pin!(changed);
-            // Listening before looking: a change between the two would be missed otherwise.
+            // Registers for the notification before the check; a change between the two would be missed otherwise.
             changed.as_mut().enable();
             if self.is_due(table) {
                 return;
             }
-            let _ = tokio::time::timeout(DUE_LOOK, changed).await;
+            let _ = tokio::time::timeout(DUE_POLL_INTERVAL, changed).await;
         }
     }
 
-    fn is_due(&self, table: Followed) -> bool {
-        let mut known = self.known.borrow_mut();
-        !self.is_forwarded(&mut known, table, self.now())
+    fn is_due(&self, table: FollowedTable) -> bool {
+        let mut state = self.state.borrow_mut();
+        !self.is_forwarded(&mut state, table, self.now())
     }
 
-    /// Version after which the next call for changes asks, and how long it may wait for some.
-    fn next_call(&self, table: Followed) -> Option<(u64, Duration)> {
-        let mut known = self.known.borrow_mut();
-        let follow = &known.followed(table).follow;
-        let wait = if follow.has_gap() {
+    /// Returns the version after which the next call requests changes, and the maximum time that it waits for them.
+    fn next_call(&self, table: FollowedTable) -> Option<(u64, Duration)> {
+        let mut state = self.state.borrow_mut();
+        let follower = &state.table_mut(table).follower;
+        let wait = if follower.has_gap() {
             Duration::ZERO
         } else {
-            WAIT
+            CHANGES_WAIT
         };
-        Some((follow.position()?, wait))
+        Some((follower.position()?, wait))
     }
 
-    /// The next changes and the version after which they begin, however long it takes; `None` if the table has to be
-    /// read anew.
-    async fn next_changes(&self, calls: &mut Calls) -> Option<(u64, Rows)> {
+    /// Waits for changes and returns them with the version after which they begin. Returns `None` if the whole table
+    /// has to be read again.
+    async fn next_changes(&self, calls: &mut FeedCalls) -> Option<(u64, Rows)> {
         loop {
-            self.until_due(calls.followed).await;
-            let gathered = self.now().saturating_sub(calls.changed_at);
-            tokio::time::sleep(self.gather().saturating_sub(gathered)).await;
-            let begun = self.now();
-            let (position, wait) = self.next_call(calls.followed)?;
-            match self.store.changes(calls.table, position, wait).await {
-                // A position before ours: another history than the one that we followed.
+            self.wait_until_due(calls.table).await;
+            let elapsed = self.now().saturating_sub(calls.changed_at);
+            tokio::time::sleep(self.batch_interval().saturating_sub(elapsed)).await;
+            let started = self.now();
+            let (position, wait) = self.next_call(calls.table)?;
+            match self.store.changes(calls.table_name, position, wait).await {
+                // A position that has gone back: the store has another history than the one that was followed.
                 Ok(Changes::Rows(rows)) if rows.position < position => return None,
                 Ok(Changes::Rows(rows)) => {
-                    self.note_done(calls);
+                    self.on_read_done(calls);
                     if !rows.rows.is_empty() {
-                        calls.changed_at = begun;
+                        calls.changed_at = started;
                     }
-                    let mut known = self.known.borrow_mut();
-                    let follow = &mut known.followed(calls.followed).follow;
-                    follow.on_changes_read(rows.position);
+                    let mut state = self.state.borrow_mut();
+                    let follower = &mut state.table_mut(calls.table).follower;
+                    follower.on_changes_read(rows.position);
                     return Some((position, rows));
                 }
                 Ok(Changes::HistoryGone) => {
                     emit(&Event::HistoryGone {
-                        table: calls.table.to_owned(),
+                        table: calls.table_name.to_owned(),
                         position,
                     });
                     return None;
                 }
-                Err(error) => self.note_failed(calls, &error).await,
+                Err(error) => self.on_read_failed(calls, &error).await,
             }
         }
     }
--- a/crates/entry/src/control/hubs.rs
+++ b/crates/entry/src/control/hubs.rs
@@ -1,19 +1,19 @@
-//! What a hub does for its leaves: rosters of the entries that are up, and the rows that it reads from the store.
+//! Messages of a hub for its leaves: rosters of the entries that are up, and rows that were read from the store.
 //!
-//! Each hub advertises the entries of its failure domain that it is in session with to the other hubs and to its
-//! leaves, and forwards the other hubs' rosters to the latter. Which roster a session has had is kept, so that each
-//! goes out once for each change, whoever changes roles meanwhile.
+//! Each hub advertises the entries of its failure domain that it has sessions with to the other hubs and to its leaves,
+//! and forwards the other hubs' rosters to its leaves. The last roster sent on each session is recorded, so that each
+//! change is sent once, even if roles change meanwhile.
 
 use crate::{
     control::{
         Control,
-        Known, //
+        ControlState, //
     },
     message::{
-        Followed,
+        FollowedTable,
         ForwardedRows,
-        Message,
-        WholePicture, //
+        FullView,
+        Message, //
     },
     metric,
     rows::RowReader,
@@ -39,107 +39,113 @@
 };
 use std::time::Duration;
 
-/// Time without a message of any reader after which a hub reads the store itself: the longest call, one that fails, and a
-/// moment.
-const READER_SILENCE: Duration = Duration::from_millis(3500);
-/// Time without a message of any hub after which a leaf does: what its hub needs to notice the same, and to read.
-const HUB_SILENCE: Duration = Duration::from_millis(5000);
-/// Least time between two keep-alives of a hub to its leaves for a table in which nothing changes.
+/// Time without a message of any reader after which a hub reads the store itself: the longest call, a failed call and a
+/// margin.
+const READER_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Time without a message of any hub after which a leaf reads the store itself: the time after which its hub does, and
+/// the hub's read.
+const HUB_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Minimum time between keep-alives of a hub to its leaves for an unchanged table.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Number of a roster that has not been advertised.
-const NEVER: u64 = 0;
+/// Version of a roster that has not been advertised.
+const NOT_ADVERTISED: u64 = 0;
 
 /// Rosters that were advertised.
 #[derive(Debug, Default)]
-pub(super) struct Rosters {
-    /// This hub's own, and a number that grows with each change.
+pub(super) struct AdvertisedRosters {
+    /// This hub's roster and its version, which is incremented with each change.
     own: Option<(u64, Roster)>,
-    /// Number of the roster that each session was sent last, by session and hub.
+    /// Version of the roster last sent, by session and hub.
     sent: FastMap<InstanceId, FastMap<InstanceId, u64>>,
 }
 
-impl Rosters {
-    /// A session is new: nothing was sent on it.
-    pub(super) fn forget(&mut self, instance: &InstanceId) {
+impl AdvertisedRosters {
+    /// Forgets what was sent to an entry whose session is new or has ended.
+    pub(super) fn forget_session(&mut self, instance: &InstanceId) {
         self.sent.remove(instance);
     }
 
-    /// Takes the present own roster; gives its number.
-    fn note_own(&mut self, roster: Roster) -> u64 {
+    /// Sets this hub's current roster and returns its version.
+    fn update_own(&mut self, roster: Roster) -> u64 {
         match &mut self.own {
-            Some((number, own)) if *own == roster => *number,
+            Some((version, own)) if *own == roster => *version,
             own => {
-                let number = own.as_ref().map_or(NEVER, |(number, _)| *number) + 1;
-                *own = Some((number, roster));
-                number
+                let version = own.as_ref().map_or(NOT_ADVERTISED, |(version, _)| *version) + 1;
+                *own = Some((version, roster));
+                version
             }
         }
     }
 }
 
-/// One message about a roster that is due.
-struct Due {
+/// A message about a roster that has to be sent.
+struct DueRoster {
     to: InstanceId,
     hub: InstanceId,
-    number: u64,
+    version: u64,
     message: Message,
 }
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Sends each session the rosters that it has not had.
+    /// Sends each session the rosters that have changed since they were last sent on it.
     pub(super) fn send_rosters(&self, now: Now) {
-        let mut known = self.known.borrow_mut();
-        let is_hub = known.overlay.is_hub(now);
+        let mut state = self.state.borrow_mut();
+        let is_hub = state.overlay.is_hub(now);
         metrics::gauge!(metric::HUB).set(f64::from(u8::from(is_hub)));
-        let due = due_rosters(&mut known, now);
-        drop(known);
-        for Due {
+        let due = due_rosters(&mut state, now);
+        drop(state);
+        for DueRoster {
             to,
             hub,
-            number,
+            version,
             message,
         } in due
         {
-            // What finds no room is due again.
+            // A message that could not be queued stays due.
             if self.send(&to, &message) != Some(SendResult::Queued) {
                 continue;
             }
-            let mut known = self.known.borrow_mut();
-            let sent = known.rosters.sent.entry(to).or_default();
-            if number == NEVER {
+            let mut state = self.state.borrow_mut();
+            let sent = state.rosters.sent.entry(to).or_default();
+            if version == NOT_ADVERTISED {
                 sent.remove(&hub);
             } else {
-                sent.insert(hub, number);
+                sent.insert(hub, version);
             }
         }
     }
 
     pub(super) fn on_roster(&self, from: &InstanceId, roster: Roster, now: Now) {
-        let mut known = self.known.borrow_mut();
-        known.overlay.update_roster(from, roster, now);
+        let mut state = self.state.borrow_mut();
+        state.overlay.update_roster(from, roster, now);
     }
 
     pub(super) fn on_roster_gone(&self, from: &InstanceId, hub: &InstanceId, now: Now) {
-        let mut known = self.known.borrow_mut();
-        known.overlay.mark_roster_lost(from, hub, now);
+        let mut state = self.state.borrow_mut();
+        state.overlay.mark_roster_lost(from, hub, now);
     }
 
-    /// Whether others forward a table to this entry, so that it need not call the store.
-    pub(super) fn is_forwarded(&self, known: &mut Known, table: Followed, now: Now) -> bool {
-        let silence = if known.overlay.is_hub(now) {
-            READER_SILENCE
+    /// Returns whether other entries forward a table to this entry, so that it need not call the store.
+    pub(super) fn is_forwarded(
+        &self,
+        state: &mut ControlState,
+        table: FollowedTable,
+        now: Now,
+    ) -> bool {
+        let timeout = if state.overlay.is_hub(now) {
+            READER_TIMEOUT
         } else {
-            HUB_SILENCE
+            HUB_TIMEOUT
         };
-        let is_reader = known.overlay.is_reader(now);
-        !is_reader && known.followed(table).follow.is_forwarded(silence, now)
+        let is_reader = state.overlay.is_reader(now);
+        !is_reader && state.table_mut(table).follower.is_forwarded(timeout, now)
     }
 
     /// Forwards changes that were read from the store to the leaves of this hub and, if it is a reader, to the other
     /// hubs.
     pub(super) fn forward_rows(
         &self,
-        table: Followed,
+        table: FollowedTable,
         after: u64,
         rows: &Rows,
         after_outage: bool,
@@ -151,37 +157,38 @@
             rows: rows.rows.clone(),
             after_outage,
         });
-        self.tell_followers(&self.known.borrow(), &message);
+        self.send_to_followers(&self.state.borrow(), &message);
     }
 
-    /// Tells a session that is new how far this hub has read the tables, if it forwards them.
+    /// Sends the positions of the tables that this hub forwards on a new session.
     pub(super) fn send_positions(&self, to: &InstanceId) {
-        for table in [Followed::Operator, Followed::Upstreams] {
-            let mut known = self.known.borrow_mut();
-            let is_hub = known.overlay.is_hub(self.now());
-            let followed = known.followed(table);
-            let position = followed.follow.position();
-            let reads = is_hub && !followed.lost;
-            drop(known);
-            if let Some(position) = position.filter(|_| reads) {
+        for table in [FollowedTable::Operator, FollowedTable::Upstreams] {
+            let mut state = self.state.borrow_mut();
+            let is_hub = state.overlay.is_hub(self.now());
+            let table_state = state.table_mut(table);
+            let position = table_state.follower.position();
+            let is_reading = is_hub && !table_state.unreadable;
+            drop(state);
+            if let Some(position) = position.filter(|_| is_reading) {
                 self.send(to, &Message::Position(table, position));
             }
         }
     }
 
-    /// Tells whoever this entry forwards a table to that it can't read it.
-    pub(super) fn note_reading(&self, table: Followed, reads: bool) {
-        let mut known = self.known.borrow_mut();
-        let lost = std::mem::replace(&mut known.followed(table).lost, !reads);
-        if !reads && !lost {
-            self.tell_followers(&known, &Message::NotReading(table));
+    /// Records whether this entry can read a table, and notifies the entries that it forwards the table to if it no
+    /// longer can.
+    pub(super) fn set_reading(&self, table: FollowedTable, is_reading: bool) {
+        let mut state = self.state.borrow_mut();
+        let unreadable = std::mem::replace(&mut state.table_mut(table).unreadable, !is_reading);
+        if !is_reading && !unreadable {
+            self.send_to_followers(&state, &Message::NotReading(table));
         }
     }
 
-    fn tell_followers(&self, known: &Known, message: &Message) {
-        let is_reader = known.overlay.is_reader(self.now());
-        let hubs = known.overlay.other_hubs().filter(|_| is_reader);
-        self.send_to(hubs.chain(known.overlay.leaves()), message);
+    fn send_to_followers(&self, state: &ControlState, message: &Message) {
+        let is_reader = state.overlay.is_reader(self.now());
+        let hubs = state.overlay.other_hubs().filter(|_| is_reader);
+        self.send_to(hubs.chain(state.overlay.leaves()), message);
     }
 
     pub(super) fn on_rows(&self, from: &InstanceId, forwarded: ForwardedRows, now: Now) {
@@ -191,21 +198,21 @@
             position,
             ..
         } = forwarded;
-        let mut known = self.known.borrow_mut();
-        let follow = &mut known.followed(table).follow;
-        let step = follow.on_forwarded(from, after, position, now);
-        drop(known);
-        let name = match step {
+        let mut state = self.state.borrow_mut();
+        let follower = &mut state.table_mut(table).follower;
+        let continuity = follower.on_forwarded(from, after, position, now);
+        drop(state);
+        let label = match continuity {
             Continuity::Next => "taken",
             Continuity::Known => "known",
             Continuity::Gap => "gap",
         };
-        metrics::counter!(metric::FORWARDED_ROWS, "step" => name).increment(1);
-        match step {
+        metrics::counter!(metric::FORWARDED_ROWS, "step" => label).increment(1);
+        match continuity {
             Continuity::Next => {
-                self.take_changes(table, &forwarded.rows, position, forwarded.after_outage);
-                self.tell_leaves(&Message::Rows(forwarded), Some(from));
-                self.known.borrow_mut().followed(table).told_at = now;
+                self.apply_changes(table, &forwarded.rows, position, forwarded.after_outage);
+                self.send_to_leaves(&Message::Rows(forwarded), Some(from));
+                self.state.borrow_mut().table_mut(table).last_sent_at = now;
             }
             Continuity::Known => self.send_keep_alive(table, now),
             Continuity::Gap => {}
@@ -213,31 +220,37 @@
         self.feed_due.notify_waiters();
     }
 
-    /// Sends the leaves of this hub a keep-alive for a table in which nothing changes.
-    fn send_keep_alive(&self, table: Followed, now: Now) {
-        let mut known = self.known.borrow_mut();
-        let followed = known.followed(table);
-        let Some(position) = followed.follow.position() else {
+    /// Sends the leaves of this hub a keep-alive for an unchanged table.
+    fn send_keep_alive(&self, table: FollowedTable, now: Now) {
+        let mut state = self.state.borrow_mut();
+        let table_state = state.table_mut(table);
+        let Some(position) = table_state.follower.position() else {
             return;
         };
-        if now.saturating_sub(followed.told_at) < KEEP_ALIVE_INTERVAL {
+        if now.saturating_sub(table_state.last_sent_at) < KEEP_ALIVE_INTERVAL {
             return;
         }
-        followed.told_at = now;
-        drop(known);
-        self.tell_leaves(&Message::Position(table, position), None);
+        table_state.last_sent_at = now;
+        drop(state);
+        self.send_to_leaves(&Message::Position(table, position), None);
     }
 
-    pub(super) fn on_position(&self, from: &InstanceId, table: Followed, position: u64, now: Now) {
-        let mut known = self.known.borrow_mut();
-        let follow = &mut known.followed(table).follow;
-        follow.on_hub_position(from, position, now);
+    pub(super) fn on_position(
+        &self,
+        from: &InstanceId,
+        table: FollowedTable,
+        position: u64,
+        now: Now,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let follower = &mut state.table_mut(table).follower;
+        follower.on_hub_position(from, position, now);
     }
 
-    pub(super) fn on_not_reading(&self, from: &InstanceId, table: Followed) {
-        let mut known = self.known.borrow_mut();
-        known.followed(table).follow.remove_hub(from);
-        drop(known);
+    pub(super) fn on_not_reading(&self, from: &InstanceId, table: FollowedTable) {
+        let mut state = self.state.borrow_mut();
+        state.table_mut(table).follower.remove_hub(from);
+        drop(state);
         emit(&Event::HubNotReading {
             hub: from.clone(),
             table: table.name().to_owned(),
@@ -245,117 +258,123 @@
         self.feed_due.notify_waiters();
     }
 
-    /// A leaf that is new asks its hub for all that it would have to read from the store.
-    pub(super) fn ask_for_picture(&self, now: Now) {
-        let known = self.known.borrow();
-        let has_none = known.operator.follow.position().is_none();
-        let primary = known.overlay.primary_hub(now);
-        let Some(primary) = primary.filter(|_| has_none && known.is_new == Some(true)) else {
+    /// Requests the routing view from the hub of a new leaf, in place of a read of the tables.
+    pub(super) fn request_view(&self, now: Now) {
+        let state = self.state.borrow();
+        let has_none = state.operator.follower.position().is_none();
+        let primary = state.overlay.primary_hub(now);
+        let Some(primary) = primary.filter(|_| has_none && state.is_new == Some(true)) else {
             return;
         };
-        self.send(primary, &Message::WantPicture);
+        self.send(primary, &Message::WantView);
     }
 
-    pub(super) fn answer_want_picture(&self, from: &InstanceId, now: Now) {
-        let known = self.known.borrow();
+    pub(super) fn on_want_view(&self, from: &InstanceId, now: Now) {
+        let state = self.state.borrow();
         let positions = (
-            known.operator.follow.position(),
-            known.upstreams.follow.position(),
+            state.operator.follower.position(),
+            state.upstreams.follower.position(),
         );
         let (Some(operator_position), Some(upstreams_position)) = positions else {
             return;
         };
-        let picture = &known.picture;
-        let whole = WholePicture {
+        let view = &state.view;
+        let full_view = FullView {
             operator_position,
             upstreams_position,
-            routes: picture.routes().cloned(),
-            evacuations: picture.evacuation_updates(),
-            upstreams: picture.upstream_updates(0, now),
+            routes: view.routes().cloned(),
+            evacuations: view.evacuation_updates(),
+            upstreams: view.upstream_updates(0, now),
         };
-        self.send(from, &Message::Picture(whole));
+        self.send(from, &Message::View(full_view));
     }
 
-    pub(super) fn on_picture(&self, from: &InstanceId, whole: WholePicture, now: Now) {
-        let mut guard = self.known.borrow_mut();
-        let known = &mut *guard;
-        if known.operator.follow.position().is_some() {
+    pub(super) fn on_view(&self, from: &InstanceId, received: FullView, now: Now) {
+        let mut guard = self.state.borrow_mut();
+        let state = &mut *guard;
+        if state.operator.follower.position().is_some() {
             return;
         }
-        if let Some(routes) = &whole.routes {
-            known.picture.apply_routes(routes);
+        if let Some(routes) = &received.routes {
+            state.view.apply_routes(routes);
         }
-        let standing = whole.evacuations.iter().filter(|(_, told)| told.on);
-        let standing: Vec<_> = standing.map(|(domain, _)| domain.clone()).collect();
-        known
-            .picture
-            .apply_evacuation_updates(&whole.evacuations, now);
-        known
-            .picture
-            .end_evacuations_without_row(&standing, whole.operator_position, now);
-        known.picture.apply_upstream_updates(&whole.upstreams, now);
-        known
-            .picture
-            .advance_read_position(whole.upstreams_position);
-        known.operator.follow.on_table_read(whole.operator_position);
-        known
+        let evacuated = received
+            .evacuations
+            .iter()
+            .filter(|(_, evacuation)| evacuation.on);
+        let evacuated: Vec<_> = evacuated.map(|(domain, _)| domain.clone()).collect();
+        state
+            .view
+            .apply_evacuation_updates(&received.evacuations, now);
+        state
+            .view
+            .end_evacuations_without_row(&evacuated, received.operator_position, now);
+        state.view.apply_upstream_updates(&received.upstreams, now);
+        state
+            .view
+            .advance_read_position(received.upstreams_position);
+        state
+            .operator
+            .follower
+            .on_table_read(received.operator_position);
+        state
             .upstreams
-            .follow
-            .on_table_read(whole.upstreams_position);
-        for followed in [&mut known.operator, &mut known.upstreams] {
-            let position = followed.follow.position().unwrap_or_default();
-            followed.follow.on_hub_position(from, position, now);
+            .follower
+            .on_table_read(received.upstreams_position);
+        for table_state in [&mut state.operator, &mut state.upstreams] {
+            let position = table_state.follower.position().unwrap_or_default();
+            table_state.follower.on_hub_position(from, position, now);
         }
         emit(&Event::PictureTaken {
             from: from.clone(),
-            routes_version: known.picture.routes_version(),
-            upstreams: whole.upstreams.len(),
-            position: whole.upstreams_position,
+            routes_version: state.view.routes_version(),
+            upstreams: received.upstreams.len(),
+            position: received.upstreams_position,
         });
         drop(guard);
         self.feed_due.notify_waiters();
         self.publish();
     }
 
-    /// Sends a message to each leaf of this hub but one.
-    pub(super) fn tell_leaves(&self, message: &Message, but: Option<&InstanceId>) {
-        let known = self.known.borrow();
-        let leaves = known.overlay.leaves();
-        let leaves = leaves.filter(|leaf| Some(*leaf) != but);
+    /// Sends a message to each leaf of this hub, except to `except`.
+    pub(super) fn send_to_leaves(&self, message: &Message, except: Option<&InstanceId>) {
+        let state = self.state.borrow();
+        let leaves = state.overlay.leaves();
+        let leaves = leaves.filter(|leaf| Some(*leaf) != except);
         self.send_to(leaves, message);
     }
 }
 
-/// Rosters that sessions have not had, and those that they are to forget.
-fn due_rosters(known: &mut Known, now: Now) -> Vec<Due> {
-    let own = known.overlay.own_roster();
-    let own_number = known.rosters.note_own(own.clone());
+/// Returns the rosters that are new to sessions, and removals of those that are no longer advertised.
+fn due_rosters(state: &mut ControlState, now: Now) -> Vec<DueRoster> {
+    let own = state.overlay.own_roster();
+    let own_version = state.rosters.update_own(own.clone());
     let mut due = Vec::new();
-    let overlay = &known.overlay;
+    let overlay = &state.overlay;
     for to in overlay.roster_receivers(now).chain(overlay.leaves()) {
-        let sent = known.rosters.sent.get(to);
-        let had = |hub: &InstanceId| sent.and_then(|sent| sent.get(hub)).copied();
+        let sent = state.rosters.sent.get(to);
+        let last_sent = |hub: &InstanceId| sent.and_then(|sent| sent.get(hub)).copied();
         let others = overlay.forwarded_rosters(to, now);
         let others = others.filter(|(_, roster)| roster.hub != *to);
-        let wanted = std::iter::once((own_number, &own)).chain(others);
+        let wanted = std::iter::once((own_version, &own)).chain(others);
         let mut present = Vec::new();
-        for (number, roster) in wanted {
+        for (version, roster) in wanted {
             present.push(&roster.hub);
-            if had(&roster.hub) != Some(number) {
-                due.push(Due {
+            if last_sent(&roster.hub) != Some(version) {
+                due.push(DueRoster {
                     to: to.clone(),
                     hub: roster.hub.clone(),
-                    number,
+                    version,
                     message: Message::Roster(roster.clone()),
                 });
             }
         }
         let gone = sent.into_iter().flat_map(FastMap::keys);
         for hub in gone.filter(|hub| !present.contains(hub)) {
-            due.push(Due {
+            due.push(DueRoster {
                 to: to.clone(),
                 hub: hub.clone(),
-                number: NEVER,
+                version: NOT_ADVERTISED,
                 message: Message::RosterGone(hub.clone()),
             });
         }
--- a/crates/entry/src/control/limits.rs
+++ b/crates/entry/src/control/limits.rs
@@ -51,12 +51,14 @@
         if self.channels.limits.is_empty() {
             return;
         }
-        let views = self.known.borrow().views.clone();
-        if views.is_empty() {
+        let upstream_views = self.state.borrow().upstream_views.clone();
+        if upstream_views.is_empty() {
             // The list of upstreams has not been read yet.
             return;
         }
-        let listed = views.iter().map(|view| (&view.id, view.started_ms));
+        let listed = upstream_views
+            .iter()
+            .map(|view| (&view.id, view.started_ms));
         let listed: FastMap<&UpstreamId, u64> = listed.collect();
         self.channels.limits.retain(|report| {
             let started_ms = listed.get(&report.upstream);
@@ -65,8 +67,8 @@
     }
 
     fn send_limits(&self, reports: Vec<Report>, from: Option<&InstanceId>) {
-        let known = self.known.borrow();
-        let to = known.overlay.connected().filter(|to| Some(*to) != from);
+        let state = self.state.borrow();
+        let to = state.overlay.connected().filter(|to| Some(*to) != from);
         self.send_to(to, &Message::Limits(reports));
     }
 
--- a/crates/entry/src/control/loads.rs
+++ b/crates/entry/src/control/loads.rs
@@ -1,14 +1,14 @@
-//! How many requests each entry has in flight at each upstream, and which keys upstreams are warm for.
+//! Exchange of requests in flight at each upstream, and of the affinity keys that upstreams are warm for.
 //!
-//! An entry alone sees of an upstream only what its own answers report, and knows nothing of those it
-//! has not used lately, such as the ones of another region that it would spill to. So the entries
-//! tell each other at short intervals, through their hubs. Nothing depends on it but the choice among upstreams: what
-//! is lost or late makes a choice worse, never wrong.
+//! By itself, an entry knows the load of an upstream only from the answers that it receives, and nothing about
+//! upstreams that it has not used recently, such as those of another region that it would spill over to. So the entries
+//! exchange their loads at short intervals, through their hubs. Only the choice among upstreams depends on them: a lost
+//! or late message makes the choice less efficient but never incorrect.
 
 use crate::{
     control::{
         Control,
-        Known, //
+        ControlState, //
     },
     message::{
         Message,
@@ -30,110 +30,111 @@
     time::Duration, //
 };
 
-/// Time between two tellings for each other entry of the region that a session leads to, ...
+/// Interval between load messages, for each session to another entry of the region.
 const INTERVAL_PER_SESSION: Duration = Duration::from_millis(20);
-/// ... the shortest: about the time of one request, ...
+/// Minimum interval between load messages: about the duration of one request.
 const INTERVAL_MIN: Duration = Duration::from_millis(150);
-/// ... and the longest: what a leaf knows of the others is up to three of them old.
+/// Maximum interval between load messages. A leaf's sums over the other entries are up to three intervals old.
 const INTERVAL_MAX: Duration = Duration::from_millis(250);
-/// Entries of other regions are told with each so many tellings: they send a small part of their requests here,
-/// and what they are told is old by the way already.
-const FAR_EVERY: u32 = 4;
-/// Shortest age at which what an entry said of its requests says nothing any more, and ...
-const STALE_MIN: Duration = Duration::from_millis(1200);
-/// ... the tellings that may be due meanwhile: two of three may be lost.
-const STALE_TELLINGS: u32 = 3;
-/// Most keys that a hub holds for the next telling; beyond it keys are left out.
-const FORWARDED_KEYS_MAX: usize = 8192;
-
-/// Keys that a hub forwards with its next telling.
+/// Loads are sent to other regions only once in this many intervals: their entries send a small part of their requests
+/// here, and the messages are already old when they arrive.
+const OTHER_REGIONS_INTERVALS: u32 = 4;
+/// Minimum age at which received loads are stale.
+const STALE_AGE_MIN: Duration = Duration::from_millis(1200);
+/// Number of messages that may be due before received loads are stale: two of three may be lost.
+const STALE_MESSAGES: u32 = 3;
+/// Maximum number of keys that a hub queues for its next message; further keys are dropped.
+const QUEUE_LEN_MAX: usize = 8192;
+
+/// Warm keys that a hub forwards with its next load messages.
 #[derive(Debug, Default)]
-pub(super) struct Forwarding {
-    /// Of its leaves, for the other hubs of the region.
+pub(super) struct WarmKeyQueues {
+    /// Keys from this hub and its leaves, for the other hubs of the region.
     for_hubs: Vec<WarmKey>,
-    /// Of its leaves and the other hubs, for its leaves.
+    /// Keys from this hub, its leaves and the other hubs, for its leaves.
     for_leaves: Vec<WarmKey>,
 }
 
-impl Forwarding {
+impl WarmKeyQueues {
     fn put(queue: &mut Vec<WarmKey>, keys: &[WarmKey]) {
-        let room = FORWARDED_KEYS_MAX.saturating_sub(queue.len());
-        queue.extend(keys.iter().take(room));
+        let capacity_left = QUEUE_LEN_MAX.saturating_sub(queue.len());
+        queue.extend(keys.iter().take(capacity_left));
     }
 }
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Tells the other entries and sums up what they told.
+    /// Sends loads periodically and publishes the sums of the received ones to traffic.
     pub(super) async fn exchange_loads(&self) {
-        for number in 0_u32.. {
+        for round in 0_u32.. {
             tokio::time::sleep(self.loads_interval()).await;
             let now = self.now();
-            if self.known.borrow().overlay.is_hub(now) {
-                self.tell_as_hub(number % FAR_EVERY == 0, now);
+            if self.state.borrow().overlay.is_hub(now) {
+                self.send_as_hub(round % OTHER_REGIONS_INTERVALS == 0, now);
             } else {
-                self.tell_as_leaf(now);
+                self.send_as_leaf(now);
             }
-            self.answer_warmth();
+            self.send_requested_warm_keys();
         }
     }
 
     fn loads_interval(&self) -> Duration {
-        let known = self.known.borrow();
-        let overlay = &known.overlay;
-        let near = overlay.other_hubs().chain(overlay.leaves());
-        let near = near.filter(|one| overlay.region_of(one) == Some(&self.settings.region));
-        let near = u32::try_from(near.count()).unwrap_or(u32::MAX);
-        let interval = INTERVAL_PER_SESSION.saturating_mul(near);
+        let state = self.state.borrow();
+        let overlay = &state.overlay;
+        let same_region = overlay.other_hubs().chain(overlay.leaves());
+        let same_region = same_region
+            .filter(|instance| overlay.region_of(instance) == Some(&self.settings.region));
+        let same_region = u32::try_from(same_region.count()).unwrap_or(u32::MAX);
+        let interval = INTERVAL_PER_SESSION.saturating_mul(same_region);
         interval.clamp(INTERVAL_MIN, INTERVAL_MAX)
     }
 
-    fn tell_as_hub(&self, far: bool, now: Now) {
+    fn send_as_hub(&self, include_other_regions: bool, now: Now) {
         let own = self.channels.loads.own.load();
         let warmed = self.channels.loads.warmed.take();
-        let mut known = self.known.borrow_mut();
-        let known = &mut *known;
-        Forwarding::put(&mut known.warmed.for_hubs, &warmed);
-        Forwarding::put(&mut known.warmed.for_leaves, &warmed);
-        let of_domain = known.sums.domain_sums(&own, now);
-        let of_domain = Message::DomainLoads(PackedLoads::pack(&of_domain));
-        let hubs = known.overlay.other_hubs();
-        let hubs = hubs.filter(|hub| far || self.is_near(known, hub));
-        self.send_to(hubs, &of_domain);
-        if known.sums.reporting_leaves(now).next().is_some() {
-            let of_fleet = known.sums.fleet_sums(&own, now);
-            let of_fleet = Message::FleetLoads(PackedLoads::pack(&of_fleet));
-            self.send_to(known.sums.reporting_leaves(now), &of_fleet);
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        WarmKeyQueues::put(&mut state.warm_key_queues.for_hubs, &warmed);
+        WarmKeyQueues::put(&mut state.warm_key_queues.for_leaves, &warmed);
+        let domain_loads = state.load_sums.domain_sums(&own, now);
+        let domain_loads = Message::DomainLoads(PackedLoads::pack(&domain_loads));
+        let hubs = state.overlay.other_hubs();
+        let hubs = hubs.filter(|hub| include_other_regions || self.is_same_region(state, hub));
+        self.send_to(hubs, &domain_loads);
+        if state.load_sums.reporting_leaves(now).next().is_some() {
+            let fleet_loads = state.load_sums.fleet_sums(&own, now);
+            let fleet_loads = Message::FleetLoads(PackedLoads::pack(&fleet_loads));
+            self.send_to(state.load_sums.reporting_leaves(now), &fleet_loads);
         }
         self.channels
             .loads
-            .put_others(Some(known.sums.others_for_hub(now)));
-        self.forward_warmed(known, now);
+            .set_others(Some(state.load_sums.others_for_hub(now)));
+        self.forward_warmed(state, now);
     }
 
-    /// Tells the entries of this region what requests have warmed: what an entry doesn't know to be warm, it
-    /// warms once more at another upstream, and each time a caller waits for cold work.
-    fn forward_warmed(&self, known: &mut Known, now: Now) {
-        let for_hubs = std::mem::take(&mut known.warmed.for_hubs);
-        let for_leaves = std::mem::take(&mut known.warmed.for_leaves);
+    /// Sends newly warmed keys to the entries of this region. An entry that doesn't know that an upstream is warm for a
+    /// key warms another one for it, and each time a caller waits for a cold request.
+    fn forward_warmed(&self, state: &mut ControlState, now: Now) {
+        let for_hubs = std::mem::take(&mut state.warm_key_queues.for_hubs);
+        let for_leaves = std::mem::take(&mut state.warm_key_queues.for_leaves);
         if !for_hubs.is_empty() {
-            let hubs = known.overlay.other_hubs();
-            let hubs = hubs.filter(|hub| self.is_near(known, hub));
+            let hubs = state.overlay.other_hubs();
+            let hubs = hubs.filter(|hub| self.is_same_region(state, hub));
             self.send_to(hubs, &Message::Warmed(for_hubs));
         }
         if !for_leaves.is_empty() {
             self.send_to(
-                known.sums.reporting_leaves(now),
+                state.load_sums.reporting_leaves(now),
                 &Message::Warmed(for_leaves),
             );
         }
     }
 
-    fn tell_as_leaf(&self, now: Now) {
+    fn send_as_leaf(&self, now: Now) {
         let own = self.channels.loads.own.load();
-        let mut known = self.known.borrow_mut();
-        let primary = known.overlay.primary_hub(now).cloned();
+        let mut state = self.state.borrow_mut();
+        let primary = state.overlay.primary_hub(now).cloned();
         if let Some(primary) = primary {
-            known.sums.record_reported(&own);
+            state.load_sums.record_reported(&own);
             self.send(&primary, &Message::Loads(PackedLoads::pack(&own)));
             let warmed = self.channels.loads.warmed.take();
             if !warmed.is_empty() {
@@ -142,82 +143,89 @@
         }
         self.channels
             .loads
-            .put_others(known.sums.others_for_leaf(now));
+            .set_others(state.load_sums.others_for_leaf(now));
     }
 
-    fn is_near(&self, known: &Known, instance: &InstanceId) -> bool {
-        known.overlay.region_of(instance) == Some(&self.settings.region)
+    fn is_same_region(&self, state: &ControlState, instance: &InstanceId) -> bool {
+        state.overlay.region_of(instance) == Some(&self.settings.region)
     }
 
-    /// Asks an entry of this region, once, which keys upstreams are warm for: a process that is started anew would
-    /// warm others beside them.
-    pub(super) fn ask_for_warmth(&self, instance: &InstanceId) {
-        let mut known = self.known.borrow_mut();
-        if !self.is_near(&known, instance) || std::mem::replace(&mut known.asked_for_warmth, true) {
+    /// Requests the warm keys from one entry of this region, once. Without them, a restarted process would warm further
+    /// upstreams for the same keys.
+    pub(super) fn request_warm_keys(&self, instance: &InstanceId) {
+        let mut state = self.state.borrow_mut();
+        if !self.is_same_region(&state, instance)
+            || std::mem::replace(&mut state.requested_warm_keys, true)
+        {
             return;
         }
-        drop(known);
+        drop(state);
         self.send(instance, &Message::WantWarmed);
     }
 
-    /// An entry that has just started asks for all keys.
-    pub(super) fn want_warmth(&self, from: &InstanceId) {
+    /// Handles the request of an entry that has just started for all warm keys.
+    pub(super) fn on_want_warmed(&self, from: &InstanceId) {
         self.channels
             .loads
             .all_wanted
             .store(true, Ordering::Relaxed);
-        self.known.borrow_mut().want_warmth.push(from.clone());
+        self.state
+            .borrow_mut()
+            .warm_key_requesters
+            .push(from.clone());
     }
 
-    /// Answers those that asked, once traffic has put the keys.
-    fn answer_warmth(&self) {
+    /// Sends the warm keys to the entries that requested them, once traffic has stored the keys.
+    fn send_requested_warm_keys(&self) {
         let keys = self.channels.loads.all_warm.take();
         if keys.is_empty() {
             return;
         }
-        let wanting = std::mem::take(&mut self.known.borrow_mut().want_warmth);
-        self.send_to(wanting.iter(), &Message::Warmed(keys));
+        let requesters = std::mem::take(&mut self.state.borrow_mut().warm_key_requesters);
+        self.send_to(requesters.iter(), &Message::Warmed(keys));
     }
 
     pub(super) fn on_warmed(&self, from: &InstanceId, keys: Vec<WarmKey>) {
-        let mut known = self.known.borrow_mut();
-        let known = &mut *known;
-        if known.overlay.is_hub(self.now()) {
-            Forwarding::put(&mut known.warmed.for_leaves, &keys);
-            let from_leaf = known.overlay.leaves().any(|leaf| leaf == from);
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        if state.overlay.is_hub(self.now()) {
+            WarmKeyQueues::put(&mut state.warm_key_queues.for_leaves, &keys);
+            let from_leaf = state.overlay.leaves().any(|leaf| leaf == from);
             if from_leaf {
-                Forwarding::put(&mut known.warmed.for_hubs, &keys);
+                WarmKeyQueues::put(&mut state.warm_key_queues.for_hubs, &keys);
             }
         }
         self.channels.loads.heard.put(keys);
     }
 
     pub(super) fn on_loads(&self, from: &InstanceId, loads: &PackedLoads, now: Now) {
-        let mut known = self.known.borrow_mut();
-        known
-            .sums
+        let mut state = self.state.borrow_mut();
+        state
+            .load_sums
             .record_leaf(from, loads.unpack(), stale_after(1), now);
     }
 
     pub(super) fn on_domain_loads(&self, from: &InstanceId, loads: &PackedLoads, now: Now) {
-        let mut known = self.known.borrow_mut();
-        let every = if self.is_near(&known, from) {
+        let mut state = self.state.borrow_mut();
+        let intervals = if self.is_same_region(&state, from) {
             1
         } else {
-            FAR_EVERY
+            OTHER_REGIONS_INTERVALS
         };
-        known
-            .sums
-            .record_hub(from, loads.unpack(), stale_after(every), now);
+        state
+            .load_sums
+            .record_hub(from, loads.unpack(), stale_after(intervals), now);
     }
 
     pub(super) fn on_fleet_loads(&self, loads: &PackedLoads, now: Now) {
-        let mut known = self.known.borrow_mut();
-        known.sums.record_fleet(loads.unpack(), stale_after(1), now);
+        let mut state = self.state.borrow_mut();
+        state
+            .load_sums
+            .record_fleet(loads.unpack(), stale_after(1), now);
     }
 }
 
-/// Age at which loads that are told with each so many tellings say nothing any more.
-fn stale_after(every: u32) -> Duration {
-    (INTERVAL_MAX * every * STALE_TELLINGS).max(STALE_MIN)
+/// Returns the age at which loads that are sent once in `intervals` intervals are stale.
+fn stale_after(intervals: u32) -> Duration {
+    (INTERVAL_MAX * intervals * STALE_MESSAGES).max(STALE_AGE_MIN)
 }
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -1,19 +1,18 @@
-//! Control: follows the store and the other entries, and publishes what traffic decides from.
+//! Control: follows the store and the other entries, and publishes snapshots for traffic.
 //!
-//! All of it runs on one thread, so the state is a plain [`RefCell`] that no borrow outlives an
-//! await of. [`Control::publish`] makes a snapshot of it; everything that changes the state ends with
-//! that.
+//! Everything in this module runs on one thread, so the state is a [`RefCell`]; no borrow of it is held across an
+//! await. Each change of the state ends with a call of [`Control::publish`], which creates a snapshot of it.
 //!
-//! - `feeds` follows the two tables of the store, `apply` takes their rows into the picture.
-//! - `publish` makes snapshots.
-//! - `listing` registers this entry and finds the others, `members` keeps sessions to them.
-//! - `hubs` exchanges rosters, and forwards what the store said to a hub's leaves.
+//! - `feeds` follows the two tables of the store, and `apply` applies their rows to the routing view.
+//! - `publish` creates snapshots.
+//! - `registry` registers this entry and reads the rows of the others, and `sessions` keeps sessions to them.
+//! - `hubs` exchanges rosters and forwards the store's rows to a hub's leaves.
 //! - `cold` holds leases of upstreams that are cold or state a limit.
 //! - `limits` exchanges the limits that upstreams state.
 //! - `crashes` exchanges reports of requests that crashed upstreams.
 //! - `crash_rows` stores quarantined requests, so that they survive a restart of all entries.
 //! - `loads` exchanges how many requests each entry has in flight at each upstream.
-//! - `relay` takes the messages of other entries, and gives them what they miss.
+//! - `messages` sends messages, handles those of other entries, and sends entries the updates that they miss.
 
 mod apply;
 mod cold;
@@ -22,18 +21,18 @@
 mod feeds;
 mod hubs;
 mod limits;
-mod listing;
 mod loads;
-mod members;
+mod messages;
 mod publish;
-mod relay;
+mod registry;
+mod sessions;
 
 use crate::{
     channels::Channels,
     clock::Clock,
     message::{
-        Followed,
-        State, //
+        EntryState,
+        FollowedTable, //
     },
     rows::RowReader,
     settings::{
@@ -84,123 +83,123 @@
     sync::Notify, //
 };
 
-/// Time between two looks whether the settings have changed, which may come without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Time between two looks at what comes due by itself.
-const TICK: Duration = Duration::from_millis(250);
-/// Ticks between two sweeps of what is long gone.
+/// Interval between checks for changed settings, which may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval of periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of ticks between sweeps of expired state.
 const SWEEP_TICKS: u32 = 8;
 
-/// A table of the store that is followed.
+/// State of a table of the store that is followed.
 #[derive(Debug)]
-struct Table {
-    follow: TableFollower,
-    /// Calls for it fail.
-    lost: bool,
-    /// When the leaves of this hub were last told of it.
-    told_at: Now,
+struct TableState {
+    follower: TableFollower,
+    /// Whether this entry's calls for the table fail.
+    unreadable: bool,
+    /// Time of the last message about the table to the leaves of this hub.
+    last_sent_at: Now,
 }
 
-impl Table {
+impl TableState {
     fn new() -> Self {
         Self {
-            follow: TableFollower::new(),
-            lost: false,
-            told_at: Now::ZERO,
+            follower: TableFollower::new(),
+            unreadable: false,
+            last_sent_at: Now::ZERO,
         }
     }
 }
 
-/// What the other entries were told last of this one.
+/// State of this entry that was last sent to the other entries.
 #[derive(Debug, Default)]
-struct Told {
-    state: Option<State>,
+struct LastBroadcast {
+    state: Option<EntryState>,
     at: Now,
-    /// It was new, and is to be told once more.
-    again: bool,
+    /// Whether the state was new and has to be sent once more.
+    repeat: bool,
 }
 
-/// Everything that control knows.
+/// State of control.
 #[derive(Debug)]
-struct Known {
-    picture: RoutingView,
-    /// Leases of this entry on cold upstreams.
+struct ControlState {
+    view: RoutingView,
+    /// Leases of upstreams that are cold or state a limit.
     cold_leases: Leases,
-    /// Compiled routes of the picture.
+    /// Compiled routes of the routing view.
     routes: Option<Arc<route::Table>>,
-    operator: Table,
-    upstreams: Table,
+    operator: TableState,
+    upstreams: TableState,
     overlay: Overlay,
-    /// The overlay's number when the last snapshot was made.
-    overlay_published: u64,
-    /// What entries in session said of themselves last.
-    states: BTreeMap<InstanceId, State>,
-    rosters: hubs::Rosters,
-    /// Whom sessions are kept to.
+    /// Version of the overlay in the last snapshot.
+    published_overlay_version: u64,
+    /// Last state received from each entry that this one has a session with.
+    entry_states: BTreeMap<InstanceId, EntryState>,
+    rosters: hubs::AdvertisedRosters,
+    /// Entries that sessions are kept to.
     partners: Vec<Partner>,
-    sums: LoadSums,
-    /// Keys that this hub forwards.
-    warmed: loads::Forwarding,
-    /// Whether the store had no row of this entry when it first looked: its deployment or its instance is new, and
-    /// nobody waits for it yet. `None` before that.
+    load_sums: LoadSums,
+    /// Warm keys that this hub forwards.
+    warm_key_queues: loads::WarmKeyQueues,
+    /// Whether the store had no row of this entry at the first scan. The deployment or the instance is new then, and no
+    /// caller uses it yet. `None` before that scan.
     is_new: Option<bool>,
-    /// This entry is listed and has seen the others since: it takes its place among them.
-    settled: bool,
-    /// Upstreams as the last snapshot has them.
-    views: Arc<Vec<UpstreamView>>,
-    /// When the next of them closes by itself.
-    closing: Option<Now>,
-    /// Until when any of them is cold.
+    /// Whether this entry is registered and has scanned the rows of the others since, so that it may open sessions.
+    joined: bool,
+    /// Upstreams in the last snapshot.
+    upstream_views: Arc<Vec<UpstreamView>>,
+    /// Next time at which one of these closes without a change in the store.
+    next_closing: Option<Now>,
+    /// Time until which at least one of them is cold.
     cold_until: Now,
-    /// Since when entries that the store lists are missing.
-    missing: BTreeMap<InstanceId, Now>,
+    /// Time since which each registered entry of this domain has been gone.
+    gone_since: BTreeMap<InstanceId, Now>,
     bounds: Bounds,
     stopping: bool,
-    number: u64,
-    told: Told,
-    /// When another entry was last asked for its picture.
-    wanted_at: Option<Now>,
-    /// An entry of this region was asked for the keys that upstreams are warm for.
-    asked_for_warmth: bool,
-    /// Entries that asked for them.
-    want_warmth: Vec<InstanceId>,
+    snapshot_number: u64,
+    last_broadcast: LastBroadcast,
+    /// Time of the last request for updates.
+    updates_requested_at: Option<Now>,
+    /// Whether an entry of this region has been asked for its warm keys.
+    requested_warm_keys: bool,
+    /// Entries that have requested this entry's warm keys.
+    warm_key_requesters: Vec<InstanceId>,
 }
 
-impl Known {
+impl ControlState {
     fn new(own: Member, bounds: Bounds) -> Self {
         Self {
-            picture: RoutingView::default(),
-            cold_leases: cold::none_held(),
+            view: RoutingView::default(),
+            cold_leases: cold::new_leases(),
             routes: None,
-            operator: Table::new(),
-            upstreams: Table::new(),
+            operator: TableState::new(),
+            upstreams: TableState::new(),
             overlay: Overlay::new(own),
-            overlay_published: 0,
-            states: BTreeMap::new(),
-            rosters: hubs::Rosters::default(),
+            published_overlay_version: 0,
+            entry_states: BTreeMap::new(),
+            rosters: hubs::AdvertisedRosters::default(),
             partners: Vec::new(),
-            sums: LoadSums::default(),
-            warmed: loads::Forwarding::default(),
+            load_sums: LoadSums::default(),
+            warm_key_queues: loads::WarmKeyQueues::default(),
             is_new: None,
-            settled: false,
-            views: Arc::default(),
-            closing: None,
+            joined: false,
+            upstream_views: Arc::default(),
+            next_closing: None,
             cold_until: Now::ZERO,
-            missing: BTreeMap::new(),
+            gone_since: BTreeMap::new(),
             bounds,
             stopping: false,
-            number: 0,
-            told: Told::default(),
-            wanted_at: None,
-            asked_for_warmth: false,
-            want_warmth: Vec::new(),
+            snapshot_number: 0,
+            last_broadcast: LastBroadcast::default(),
+            updates_requested_at: None,
+            requested_warm_keys: false,
+            warm_key_requesters: Vec::new(),
         }
     }
 
-    fn followed(&mut self, table: Followed) -> &mut Table {
+    fn table_mut(&mut self, table: FollowedTable) -> &mut TableState {
         match table {
-            Followed::Operator => &mut self.operator,
-            Followed::Upstreams => &mut self.upstreams,
+            FollowedTable::Operator => &mut self.operator,
+            FollowedTable::Upstreams => &mut self.upstreams,
         }
     }
 }
@@ -212,13 +211,13 @@
     rows: W,
     clock: Clock,
     incarnation: u64,
-    known: RefCell<Known>,
+    state: RefCell<ControlState>,
     mesh: RefCell<Option<Mesh>>,
     published: Arc<ArcSwap<Snapshot>>,
     channels: Channels,
-    /// Something changed on which leases of cold upstreams depend.
+    /// Signals a change that may make claims of leases due.
     cold_due: Notify,
-    /// Something changed on which it depends whether the store is to be called.
+    /// Signals a change that may make a call to the store due.
     feed_due: Notify,
 }
 
@@ -231,15 +230,15 @@
         published: Arc<ArcSwap<Snapshot>>,
         channels: Channels,
     ) -> Rc<Self> {
-        let own = listing::own_member(&settings);
-        let known = Known::new(own, settings.bounds.clone());
+        let own = registry::own_member(&settings);
+        let state = ControlState::new(own, settings.bounds.clone());
         Rc::new(Self {
             settings,
             store,
             rows,
             clock,
             incarnation: incarnation(),
-            known: RefCell::new(known),
+            state: RefCell::new(state),
             mesh: RefCell::default(),
             published,
             channels,
@@ -248,13 +247,21 @@
         })
     }
 
-    /// Starts all that runs for as long as the process.
+    /// Spawns the tasks that run for the lifetime of the process.
     pub(crate) fn start(self: &Rc<Self>) {
         let tables = self.rows.tables();
         let control = self.clone();
-        actix_rt::spawn(async move { control.follow(tables.operator, Followed::Operator).await });
+        actix_rt::spawn(async move {
+            control
+                .follow(tables.operator, FollowedTable::Operator)
+                .await
+        });
         let control = self.clone();
-        actix_rt::spawn(async move { control.follow(tables.upstreams, Followed::Upstreams).await });
+        actix_rt::spawn(async move {
+            control
+                .follow(tables.upstreams, FollowedTable::Upstreams)
+                .await
+        });
         let control = self.clone();
         actix_rt::spawn(async move { control.join().await });
         let control = self.clone();
@@ -270,20 +277,20 @@
         let control = self.clone();
         actix_rt::spawn(async move { control.sweep_cold_leases().await });
         let control = self.clone();
-        actix_rt::spawn(async move { control.tick().await });
+        actix_rt::spawn(async move { control.run_periodic_work().await });
     }
 
-    /// Follows the settings: at each signal, and by looking.
+    /// Reloads the settings on each SIGHUP and periodically.
     pub(crate) async fn follow_settings(&self, mut reload: Reload, mut hangups: Signal) {
         loop {
             tokio::select! {
                 _ = hangups.recv() => emit(&Event::ReloadAsked),
-                () = tokio::time::sleep(SETTINGS_LOOK) => {}
+                () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
             }
             match reload() {
                 None => {}
-                Some(Ok(next)) => self.take_settings(next),
-                // What was in force stays so.
+                Some(Ok(next)) => self.apply_settings(next),
+                // The settings in force are kept.
                 Some(Err(findings)) => {
                     emit(&Event::SettingsRefused { findings });
                 }
@@ -291,22 +298,22 @@
         }
     }
 
-    fn take_settings(&self, next: Settings) {
+    fn apply_settings(&self, next: Settings) {
         let after_restart = self.settings.fixed_differences(&next).join(", ");
         emit(&Event::SettingsInForce { after_restart });
-        self.known.borrow_mut().bounds = next.bounds;
+        self.state.borrow_mut().bounds = next.bounds;
         self.publish();
     }
 
-    /// Takes this entry out of use: not ready, out of the other entries' answers to look-ups.
+    /// Withdraws this entry: it is no longer ready, and the other entries leave it out of their answers to look-ups.
     pub(crate) async fn begin_stop(&self) {
-        self.known.borrow_mut().stopping = true;
+        self.state.borrow_mut().stopping = true;
         self.publish();
-        self.leave().await;
+        self.remove_own_row().await;
     }
 
-    /// Says goodbye to the other entries.
-    pub(crate) async fn end(&self) {
+    /// Closes the sessions to the other entries.
+    pub(crate) async fn close_sessions(&self) {
         let mesh = self.mesh.borrow_mut().take();
         if let Some(mesh) = mesh {
             mesh.close(Duration::from_millis(100)).await;
@@ -317,53 +324,53 @@
         self.clock.now()
     }
 
-    async fn tick(&self) {
+    async fn run_periodic_work(&self) {
         let mut dropped_since_start = 0;
-        for number in 0_u32.. {
-            tokio::time::sleep(TICK).await;
+        for tick in 0_u32.. {
+            tokio::time::sleep(TICK_INTERVAL).await;
             let now = self.now();
-            let mut known = self.known.borrow_mut();
-            known.overlay.sweep(now);
-            if number % SWEEP_TICKS == 0 {
-                known.picture.sweep(now);
+            let mut state = self.state.borrow_mut();
+            state.overlay.sweep(now);
+            if tick % SWEEP_TICKS == 0 {
+                state.view.sweep(now);
             }
-            let closes = known.closing.is_some_and(|at| at <= now);
-            drop(known);
+            let closing_due = state.next_closing.is_some_and(|at| at <= now);
+            drop(state);
             self.update_partners(now);
-            if closes {
+            if closing_due {
                 self.publish();
             } else if self.entries_changed() {
                 self.publish_entries();
             }
             self.broadcast_periodically(now);
             self.send_rosters(now);
-            self.ask_for_picture(now);
-            dropped_since_start += self.tell_dropped(dropped_since_start);
+            self.request_view(now);
+            dropped_since_start += self.report_dropped_lines(dropped_since_start);
         }
     }
 
-    /// Says how many log lines were lost, at most once a tick; gives their number.
-    fn tell_dropped(&self, before: u64) -> u64 {
+    /// Logs how many log lines were dropped since the last call and returns their number.
+    fn report_dropped_lines(&self, dropped_before: u64) -> u64 {
         let lines = take_dropped();
         if lines > 0 {
             metrics::counter!(crate::metric::LOG_LINES_LEFT_OUT, "reason" => "queue full")
                 .increment(lines);
             emit(&Event::LinesDropped {
                 lines,
-                since_start: before + lines,
+                since_start: dropped_before + lines,
             });
         }
         lines
     }
 }
 
-/// A number that grows from one life of an instance to the next.
+/// Returns a number that increases with each restart of an instance: the wall-clock time in microseconds.
 ///
-/// The time of day may jump; a restart that gets a lower number is refused by the others until the
-/// session to its former life is gone, some seconds.
+/// The wall clock may jump back. A restarted instance with a lower number is refused by the other entries until the
+/// session of its former process has been dropped, which takes some seconds.
 fn incarnation() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |since| {
-        u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| {
+        u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
     })
 }
--- a/crates/entry/src/control/publish.rs
+++ b/crates/entry/src/control/publish.rs
@@ -1,9 +1,9 @@
-//! Snapshots of what control knows.
+//! Publication of snapshots of control's state.
 
 use crate::{
     control::{
         Control,
-        Known, //
+        ControlState, //
     },
     metric,
     rows::RowReader,
@@ -30,80 +30,84 @@
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
     pub(super) fn entries_changed(&self) -> bool {
-        let known = self.known.borrow();
-        known.overlay.version() != known.overlay_published
+        let state = self.state.borrow();
+        state.overlay.version() != state.published_overlay_version
     }
 
-    /// Publishes what is known, and tells the other entries.
+    /// Publishes a new snapshot and sends urgent changes to the other entries.
     pub(super) fn publish(&self) {
         let now = self.now();
-        let mut known = self.known.borrow_mut();
-        known.views = Arc::new(views(&known, now));
-        known.closing = known.picture.next_closing(now);
-        let cold_until = known.views.iter().map(|view| view.cold_until).max();
-        known.cold_until = cold_until.unwrap_or_default();
-        drop(known);
+        let mut state = self.state.borrow_mut();
+        state.upstream_views = Arc::new(upstream_views(&state, now));
+        state.next_closing = state.view.next_closing(now);
+        let cold_until = state
+            .upstream_views
+            .iter()
+            .map(|view| view.cold_until)
+            .max();
+        state.cold_until = cold_until.unwrap_or_default();
+        drop(state);
         self.publish_entries();
     }
 
-    /// Publishes what is known after a change that concerns no upstream.
+    /// Publishes a new snapshot after a change that doesn't affect upstreams.
     pub(super) fn publish_entries(&self) {
         let now = self.now();
-        let mut known = self.known.borrow_mut();
-        let known = &mut *known;
-        let compiled = known.routes.as_ref().map(|table| table.version());
-        if let Some(routes) = known.picture.routes() {
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        let compiled = state.routes.as_ref().map(|table| table.version());
+        if let Some(routes) = state.view.routes() {
             if compiled != Some(routes.version) {
-                known.routes = Some(Arc::new(route::Table::new(routes.clone())));
+                state.routes = Some(Arc::new(route::Table::new(routes.clone())));
                 metrics::gauge!(metric::ROUTES_VERSION).set(routes.version as f64);
             }
         }
-        known.overlay.sweep(now);
-        known.overlay_published = known.overlay.version();
-        let entries = known.overlay.live().len() + 1;
+        state.overlay.sweep(now);
+        state.published_overlay_version = state.overlay.version();
+        let entries = state.overlay.live().len() + 1;
         metrics::gauge!(metric::ENTRIES).set(entries as f64);
-        metrics::gauge!(metric::PEERS).set(known.overlay.connected().count() as f64);
-        known.number += 1;
-        let snapshot = self.snapshot(known, now);
+        metrics::gauge!(metric::PEERS).set(state.overlay.connected().count() as f64);
+        state.snapshot_number += 1;
+        let snapshot = self.snapshot(state, now);
         self.published.store(Arc::new(snapshot));
-        self.broadcast_urgent(known, now);
+        self.broadcast_urgent(state, now);
         self.cold_due.notify_one();
     }
 
-    fn snapshot(&self, known: &Known, now: Now) -> Snapshot {
+    fn snapshot(&self, state: &ControlState, now: Now) -> Snapshot {
         let settings = &self.settings;
         let here = Location {
             region: settings.region.clone(),
             failure_domain: settings.failure_domain.clone(),
-            round_trips: self.round_trips(known),
+            round_trips: self.round_trips(state),
         };
         Snapshot {
-            number: known.number,
+            number: state.snapshot_number,
             made_at: now,
-            table: known.routes.clone(),
-            upstreams: known.views.clone(),
-            entries: self.entries(known),
-            entries_known: known.overlay.sender_count(),
+            table: state.routes.clone(),
+            upstreams: state.upstream_views.clone(),
+            entries: self.entries(state),
+            entries_known: state.overlay.sender_count(),
             here,
-            bounds: known.bounds.clone(),
-            stopping: known.stopping,
+            bounds: state.bounds.clone(),
+            stopping: state.stopping,
         }
     }
 
-    /// Entries that take new callers.
-    fn entries(&self, known: &Known) -> Vec<EntryView> {
-        let live = known.overlay.live();
+    /// Returns the entries that accept new callers.
+    fn entries(&self, state: &ControlState) -> Vec<EntryView> {
+        let live = state.overlay.live();
         let mut entries = Vec::with_capacity(live.len() + 1);
-        if known.routes.is_some() && !known.stopping {
+        if state.routes.is_some() && !state.stopping {
             entries.push(EntryView {
                 region: self.settings.region.clone(),
                 callers_addr: self.settings.callers_addr,
             });
         }
-        for one in live.values().filter(|one| one.ready) {
-            if let Some(callers_addr) = one.callers_addr {
+        for entry in live.values().filter(|entry| entry.ready) {
+            if let Some(callers_addr) = entry.callers_addr {
                 entries.push(EntryView {
-                    region: one.region.clone(),
+                    region: entry.region.clone(),
                     callers_addr,
                 });
             }
@@ -111,25 +115,28 @@
         entries
     }
 
-    /// Shortest round trip to each other region, by this entry's sessions or else by its hubs'.
-    fn round_trips(&self, known: &Known) -> FastMap<RegionId, Duration> {
-        let own = known.overlay.round_trips();
-        let hubs = known.states.values().flat_map(|state| &state.round_trips);
+    /// Returns the shortest round-trip time to each other region, over this entry's sessions and those of its hubs.
+    fn round_trips(&self, state: &ControlState) -> FastMap<RegionId, Duration> {
+        let own = state.overlay.round_trips();
+        let others = state
+            .entry_states
+            .values()
+            .flat_map(|entry| &entry.round_trips);
         let mut shortest: FastMap<RegionId, Duration> = own.into_iter().collect();
-        for (region, trip) in hubs {
+        for (region, round_trip) in others {
             if *region != self.settings.region {
-                let shortest = shortest.entry(region.clone()).or_insert(*trip);
-                *shortest = (*shortest).min(*trip);
+                let shortest = shortest.entry(region.clone()).or_insert(*round_trip);
+                *shortest = (*shortest).min(*round_trip);
             }
         }
         shortest
     }
 }
 
-/// Upstreams as traffic sees them.
-fn views(known: &Known, now: Now) -> Vec<UpstreamView> {
-    let upstreams = known.picture.upstreams(now);
-    let views = upstreams.map(|(listed, closed, cold_until)| UpstreamView {
+/// Returns the upstreams for a snapshot.
+fn upstream_views(state: &ControlState, now: Now) -> Vec<UpstreamView> {
+    let upstreams = state.view.upstreams(now);
+    let upstream_views = upstreams.map(|(listed, closed, cold_until)| UpstreamView {
         id: listed.id.clone(),
         started_ms: listed.started_ms,
         service: listed.service.clone(),
@@ -139,7 +146,7 @@
         slots: listed.slots,
         closed,
         cold_until,
-        lease_until: known.cold_leases.held_until(&listed.id, now),
+        lease_until: state.cold_leases.held_until(&listed.id, now),
     });
-    views.collect()
+    upstream_views.collect()
 }
--- a/crates/entry/src/control/listing.rs
+++ b/crates/entry/src/control/registry.rs
@@ -1,4 +1,4 @@
-//! Rows of the entries in the store: this one's, the others', and the key that they prove themselves by.
+//! Rows of the entries in the store: this entry's, the others', and the key by which they authenticate each other.
 
 use crate::{
     control::Control,
@@ -29,22 +29,22 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Prefix of the rows of entries.
+/// Prefix of the keys of entries' rows.
 pub(super) const ENTRIES: &str = "entries/";
-/// Row of the key that entries prove themselves by to each other. Whoever reads the store is one of
-/// them. It stands among their rows, so that one call reads all; no instance has such a name.
+/// Row of the secret key by which entries authenticate each other. Whoever can read the store counts as an entry. The
+/// row has the prefix of the entries' rows, so that one call reads all of them; no instance has such a name.
 const KEY_ROW: &str = "entries/.key";
-/// Bytes of that key.
-const KEY_BYTES: usize = 32;
+/// Length of the secret key in bytes.
+const KEY_LEN: usize = 32;
 /// First character after [`ENTRIES`] in the keys of rows that don't describe an instance.
 const NON_INSTANCE_PREFIX: char = '.';
-/// Pause after a call that failed.
-pub(super) const PAUSE: Duration = Duration::from_millis(600);
-/// After this time without a session, the row of another entry is removed: an instance that was
-/// replaced never removes its own.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Delay after a failed call.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(600);
+/// Time after which the row of an entry that is gone is removed. An instance that was replaced never removes its own
+/// row.
+const ROW_REMOVAL_DELAY: Duration = Duration::from_secs(30);
 
-/// This entry as the others know it.
+/// Returns the description of this entry for the others.
 pub(super) fn own_member(settings: &Settings) -> Member {
     Member {
         instance: settings.instance.clone(),
@@ -56,13 +56,13 @@
 }
 
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// The key that all entries share; the first one makes it.
+    /// Returns the secret key that all entries share. The first entry creates it.
     pub(super) async fn shared_key(&self, rows: &[Row]) -> ByteString {
         if let Some(row) = rows.iter().find(|row| row.key == KEY_ROW) {
             return row.value.clone();
         }
         let key = ByteString::from_static(KEY_ROW);
-        let random: [u8; KEY_BYTES] = rand::rng().random();
+        let random: [u8; KEY_LEN] = rand::rng().random();
         let value: String = random.iter().map(|byte| format!("{byte:02x}")).collect();
         let value = ByteString::from(value);
         loop {
@@ -82,23 +82,23 @@
                         return row.value;
                     }
                 }
-                // Whatever came of it, the next try finds the key that was made.
+                // If the key was created nevertheless, the next attempt finds it.
                 Outcome::NotDone(_) | Outcome::Unknown(_) => {}
             }
-            pause(PAUSE).await;
+            sleep_jittered(RETRY_DELAY).await;
         }
     }
 
-    fn own_row(&self) -> ByteString {
+    fn own_row_key(&self) -> ByteString {
         format!("{ENTRIES}{}", self.settings.instance).into()
     }
 
-    /// Writes this entry's row; whether it is known to stand.
+    /// Writes this entry's row. Returns whether the write is known to have succeeded.
     pub(super) async fn register(&self) -> bool {
         let value = serde_json::to_string(&own_member(&self.settings))
-            .expect("plain fields have a text form");
+            .expect("an entry's row is serializable");
         let write = Write::Put {
-            key: self.own_row(),
+            key: self.own_row_key(),
             value: value.into(),
         };
         let txn = Txn {
@@ -112,16 +112,16 @@
         done
     }
 
-    /// Removes this entry's row, and tells the others that it takes no more callers.
-    pub(super) async fn leave(&self) {
+    /// Removes this entry's row.
+    pub(super) async fn remove_own_row(&self) {
         let write = Write::Delete {
-            key: self.own_row(),
+            key: self.own_row_key(),
         };
         let txn = Txn {
             checks: Vec::new(),
             writes: vec![write],
         };
-        // Others forget a row that has no session behind it.
+        // A row that remains is removed by a hub once the entry has been gone for some time.
         if !matches!(self.store.commit(txn).await, Outcome::Done(_)) {
             emit(&Event::OwnRowNotRemoved);
         }
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Takes the rows of all entries.
-    pub(super) fn take_entries(&self, rows: &[Row]) {
+    /// Applies the rows of all entries.
+    pub(super) fn apply_entry_rows(&self, rows: &[Row]) {
         self.merge_crash_rows(rows);
         let mut registered = Vec::with_capacity(rows.len());
         for row in rows.iter().filter(|row| is_instance_row(row)) {
@@ -165,23 +165,23 @@
             registered.retain(|member| member.instance != own.instance);
             registered.push(own);
         }
-        let mut known = self.known.borrow_mut();
-        known.overlay.set_registered(registered);
-        known.is_new.get_or_insert(is_new);
-        drop(known);
+        let mut state = self.state.borrow_mut();
+        state.overlay.set_registered(registered);
+        state.is_new.get_or_insert(is_new);
+        drop(state);
         self.publish_entries();
     }
 
-    /// Whether this entry's row stands as it is to be.
-    pub(super) fn is_listed(&self, rows: &[Row]) -> bool {
-        let own = rows.iter().find(|row| row.key == self.own_row());
+    /// Returns whether this entry's row exists and is up to date.
+    pub(super) fn is_registered(&self, rows: &[Row]) -> bool {
+        let own = rows.iter().find(|row| row.key == self.own_row_key());
         let listed = own.and_then(|row| serde_json::from_str::<Member>(&row.value).ok());
         listed == Some(own_member(&self.settings))
     }
 
-    /// Removes the rows of entries of a hub's domain that have been gone for long.
-    pub(super) async fn forget_lost(&self, rows: &[Row], now: Now) {
-        for row in self.long_missing(rows, now) {
+    /// Removes the rows of entries of this hub's domain that have been gone for long.
+    pub(super) async fn remove_lost_entries(&self, rows: &[Row], now: Now) {
+        for row in self.rows_to_remove(rows, now) {
             let txn = Txn {
                 checks: vec![Check::Version {
                     key: row.key.clone(),
@@ -191,7 +191,7 @@
                     key: row.key.clone(),
                 }],
             };
-            // Another entry may have done it, or its owner may be back.
+            // Fails if another entry has removed the row, or its owner has rewritten it.
             let outcome = self.store.commit(txn).await;
             emit(&Event::LostEntryRow {
                 row: row.key.to_string(),
@@ -200,27 +200,29 @@
         }
     }
 
-    fn long_missing<'a>(&self, rows: &'a [Row], now: Now) -> Vec<&'a Row> {
-        let mut known = self.known.borrow_mut();
-        let known = &mut *known;
-        if !known.overlay.is_hub(now) {
-            known.missing.clear();
+    fn rows_to_remove<'a>(&self, rows: &'a [Row], now: Now) -> Vec<&'a Row> {
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        if !state.overlay.is_hub(now) {
+            state.gone_since.clear();
             return Vec::new();
         }
         let instance_of = |row: &Row| -> InstanceId {
             let instance = row.key.strip_prefix(ENTRIES).unwrap_or(&row.key);
             instance.into()
         };
-        let gone = |row: &&Row| known.overlay.is_gone(&instance_of(row));
+        let gone = |row: &&Row| state.overlay.is_gone(&instance_of(row));
         let gone: Vec<&Row> = rows.iter().filter(gone).collect();
         let since = gone.iter().map(|row| {
             let instance = instance_of(row);
-            let since = known.missing.get(&instance).copied().unwrap_or(now);
+            let since = state.gone_since.get(&instance).copied().unwrap_or(now);
             (instance, since)
         });
-        known.missing = since.collect();
-        let long = |row: &&Row| now.saturating_sub(known.missing[&instance_of(row)]) > FORGET_AFTER;
-        gone.into_iter().filter(long).collect()
+        state.gone_since = since.collect();
+        let expired = |row: &&Row| {
+            now.saturating_sub(state.gone_since[&instance_of(row)]) > ROW_REMOVAL_DELAY
+        };
+        gone.into_iter().filter(expired).collect()
     }
 }
 
@@ -229,8 +231,8 @@
     name.is_some_and(|name| !name.starts_with(NON_INSTANCE_PREFIX))
 }
 
-/// Waits about so long, not in step with other entries.
-pub(super) async fn pause(about: Duration) {
+/// Sleeps for about the given time, with jitter so that entries don't call in step.
+pub(super) async fn sleep_jittered(duration: Duration) {
     let jitter = rand::rng().random_range(0.8..1.2);
-    tokio::time::sleep(about.mul_f64(jitter)).await;
+    tokio::time::sleep(duration.mul_f64(jitter)).await;
 }
--- a/crates/entry/src/control/members.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -1,14 +1,14 @@
-//! This entry's place among the others: sessions to those that the overlay names.
+//! Sessions to the entries that the overlay selects.
 //!
-//! An entry writes one row at its start and reads the rows of the others; the overlay then says to which of them it
-//! keeps sessions. Whether an entry is up is seen by sessions, not in the store, so that an outage of the
-//! store takes no entry away and no entry has to write to it at intervals.
+//! An entry writes one row at its start and reads the rows of the others; the overlay then determines to which of them
+//! it keeps sessions. Sessions, not rows, determine whether an entry is up, so that an outage of the store removes no
+//! entry and no entry has to write to the store periodically.
 
 use crate::{
     control::{
-        listing::{
-            pause,
-            PAUSE, //
+        registry::{
+            sleep_jittered,
+            RETRY_DELAY, //
         },
         Control, //
     },
@@ -45,28 +45,28 @@
     time::Duration, //
 };
 
-/// Time between two looks of a hub at the rows of the others. A newcomer opens the sessions itself, so this only finds
-/// what its first look missed, and what is long gone.
-const HUB_LOOK: Duration = Duration::from_secs(30);
-/// The same of a leaf, which learns of the others through its hubs.
-const LEAF_LOOK: Duration = Duration::from_secs(60);
-/// Time after which an entry that wasn't listed looks again, before it takes its place: of entries that start
-/// together, the first to look sees few.
-const SETTLE_LOOK: Duration = Duration::from_millis(700);
-/// Time between two looks whether a leaf still has a hub.
-const ALONE_LOOK: Duration = Duration::from_millis(1500);
-/// So many such looks in a row without one make it look at the rows again.
-const ALONE_LOOKS: u32 = 2;
+/// Interval between scans of the entries' rows by a hub. A new entry opens its sessions itself, so these scans only
+/// find rows that the first scan missed and rows of entries that are long gone.
+const HUB_SCAN_INTERVAL: Duration = Duration::from_secs(30);
+/// Interval between scans by a leaf, which receives the other entries through its hubs.
+const LEAF_SCAN_INTERVAL: Duration = Duration::from_secs(60);
+/// Delay of the second scan after this entry has registered, before it opens sessions. Of entries that start together,
+/// the first one to scan finds few of the others.
+const SECOND_SCAN_DELAY: Duration = Duration::from_millis(700);
+/// Interval between checks whether a leaf still has a hub.
+const HUB_CHECK_INTERVAL: Duration = Duration::from_millis(1500);
+/// Number of consecutive checks without a hub after which a leaf scans the rows again.
+const HUB_CHECKS_MAX: u32 = 2;
 impl<S: Feed + StoreTable + 'static, W: RowReader> Control<S, W> {
-    /// Joins the other entries, and keeps looking for new ones.
+    /// Registers this entry, opens its sessions, and scans for other entries periodically.
     pub(super) async fn join(self: Rc<Self>) {
         let rows = loop {
             match self.scan().await {
                 Some(rows) => break rows,
-                None => pause(PAUSE).await,
+                None => sleep_jittered(RETRY_DELAY).await,
             }
         };
-        self.take_entries(&rows);
+        self.apply_entry_rows(&rows);
         let key = self.shared_key(&rows).await;
         let events = loop {
             match self.open_mesh(&key) {
@@ -78,50 +78,54 @@
                     emit(&LogEvent::NoPeersPort {
                         error: error.to_string(),
                     });
-                    pause(PAUSE).await;
+                    sleep_jittered(RETRY_DELAY).await;
                 }
             }
         };
         let control = self.clone();
-        actix_rt::spawn(async move { control.hear(events).await });
+        actix_rt::spawn(async move { control.handle_events(events).await });
         let mut rows = rows;
         loop {
-            self.forget_lost(&rows, self.now()).await;
+            self.remove_lost_entries(&rows, self.now()).await;
             self.remove_expired_crash_rows(&rows).await;
-            if self.known.borrow().stopping || self.is_listed(&rows) {
-                self.known.borrow_mut().settled = true;
+            if self.state.borrow().stopping || self.is_registered(&rows) {
+                self.state.borrow_mut().joined = true;
                 self.update_partners(self.now());
-                self.until_next_look().await;
+                self.wait_until_next_scan().await;
             } else if self.register().await {
-                pause(SETTLE_LOOK).await;
+                sleep_jittered(SECOND_SCAN_DELAY).await;
             } else {
-                pause(PAUSE).await;
+                sleep_jittered(RETRY_DELAY).await;
             }
             rows = loop {
                 match self.scan().await {
                     Some(rows) => break rows,
-                    None => pause(PAUSE).await,
+                    None => sleep_jittered(RETRY_DELAY).await,
                 }
             };
-            self.take_entries(&rows);
+            self.apply_entry_rows(&rows);
         }
     }
 
-    /// Waits until the rows of the others are to be looked at again.
-    async fn until_next_look(&self) {
-        let begun = self.now();
-        let mut alone = 0;
-        while alone < ALONE_LOOKS {
-            pause(ALONE_LOOK).await;
+    /// Waits until the rows of the entries have to be scanned again.
+    async fn wait_until_next_scan(&self) {
+        let started = self.now();
+        let mut failed_checks = 0;
+        while failed_checks < HUB_CHECKS_MAX {
+            sleep_jittered(HUB_CHECK_INTERVAL).await;
             let now = self.now();
-            let known = self.known.borrow();
-            let is_hub = known.overlay.is_hub(now);
-            let interval = if is_hub { HUB_LOOK } else { LEAF_LOOK };
-            if now.saturating_sub(begun) >= interval {
+            let state = self.state.borrow();
+            let is_hub = state.overlay.is_hub(now);
+            let interval = if is_hub {
+                HUB_SCAN_INTERVAL
+            } else {
+                LEAF_SCAN_INTERVAL
+            };
+            if now.saturating_sub(started) >= interval {
                 return;
             }
-            let has_hub = is_hub || known.overlay.primary_hub(now).is_some();
-            alone = if has_hub { 0 } else { alone + 1 };
+            let has_hub = is_hub || state.overlay.primary_hub(now).is_some();
+            failed_checks = if has_hub { 0 } else { failed_checks + 1 };
         }
     }
 
@@ -134,8 +138,8 @@
             failure_domain: settings.failure_domain.clone(),
         };
         let options = Options {
-            // A lost entry is out of the answers to look-ups within some three seconds, well
-            // before its callers would have to notice it by time-outs of their own.
+            // With these values, a lost entry is left out of look-up answers within some three seconds, well before
+            // timeouts of its callers would detect the loss.
             ping_interval: Duration::from_millis(700),
             pong_timeout: Duration::from_millis(1200),
             reopen_timeout: Duration::from_millis(1500),
@@ -147,31 +151,31 @@
         Mesh::start(listener, identity, Key::from_text(key), options)
     }
 
-    /// Keeps sessions to those that the overlay names now.
+    /// Sets the entries that sessions are kept to, as selected by the overlay.
     pub(super) fn update_partners(&self, now: Now) {
-        let mut known = self.known.borrow_mut();
-        if !known.settled {
+        let mut state = self.state.borrow_mut();
+        if !state.joined {
             return;
         }
-        let partners = known.overlay.session_targets(now).into_iter();
+        let partners = state.overlay.session_targets(now).into_iter();
         let partners: Vec<Partner> = partners
             .map(|member| Partner {
                 instance: member.instance,
                 addr: member.peers_addr,
             })
             .collect();
-        if partners == known.partners {
+        if partners == state.partners {
             return;
         }
-        known.partners.clone_from(&partners);
-        drop(known);
+        state.partners.clone_from(&partners);
+        drop(state);
         if let Some(mesh) = &*self.mesh.borrow() {
             mesh.set_partners(partners);
         }
     }
 
-    /// Takes what happens on the sessions.
-    async fn hear(&self, mut events: Events) {
+    /// Handles the events of the sessions.
+    async fn handle_events(&self, mut events: Events) {
         while let Some(event) = events.recv().await {
             match event {
                 Event::Up(info) | Event::Reopened(info) => {
@@ -179,27 +183,27 @@
                         entry: info.instance.clone(),
                         incarnation: info.incarnation,
                     });
-                    let mut known = self.known.borrow_mut();
-                    known.overlay.on_session_up(
+                    let mut state = self.state.borrow_mut();
+                    state.overlay.on_session_up(
                         &info.instance,
                         &info.region,
                         &info.failure_domain,
                         info.rtt,
                     );
-                    known.rosters.forget(&info.instance);
-                    drop(known);
+                    state.rosters.forget_session(&info.instance);
+                    drop(state);
                     self.send_state(&info.instance);
                     self.send_positions(&info.instance);
                     self.send_all_crashes(&info.instance);
                     self.send_all_limits(&info.instance);
-                    self.ask_for_warmth(&info.instance);
+                    self.request_warm_keys(&info.instance);
                 }
                 Event::Frame { from, frame, .. } => {
                     if let Frame::Note(note) = frame {
-                        self.on_note(&from, &note.payload);
+                        self.on_payload(&from, &note.payload);
                     }
                 }
-                Event::Down { instance, why, .. } => self.lose(&instance, why),
+                Event::Down { instance, why, .. } => self.on_session_down(&instance, why),
                 Event::Stranger { addr, why } => {
                     emit(&LogEvent::StrangerRefused {
                         addr: addr.to_string(),
@@ -210,27 +214,27 @@
         }
     }
 
-    fn lose(&self, instance: &InstanceId, why: DownReason) {
+    fn on_session_down(&self, instance: &InstanceId, why: DownReason) {
         emit(&LogEvent::EntryLost {
             entry: instance.clone(),
             why: format!("{why:?}"),
         });
         let now = self.now();
-        let down = match why {
+        let session_end = match why {
             DownReason::Unwanted | DownReason::Dropped => SessionEnd::Unneeded,
             DownReason::Stopping
             | DownReason::Silent
             | DownReason::Lost
             | DownReason::Restarted => SessionEnd::Lost,
         };
-        let mut known = self.known.borrow_mut();
-        known.overlay.on_session_down(instance, down, now);
-        known.states.remove(instance);
-        known.sums.forget_session(instance);
-        known.rosters.forget(instance);
-        known.operator.follow.remove_hub(instance);
-        known.upstreams.follow.remove_hub(instance);
-        drop(known);
+        let mut state = self.state.borrow_mut();
+        state.overlay.on_session_down(instance, session_end, now);
+        state.entry_states.remove(instance);
+        state.load_sums.forget_session(instance);
+        state.rosters.forget_session(instance);
+        state.operator.follower.remove_hub(instance);
+        state.upstreams.follower.remove_hub(instance);
+        drop(state);
         self.feed_due.notify_waiters();
         self.update_partners(now);
         self.publish_entries();
--- a/crates/entry/src/dialect.rs
+++ b/crates/entry/src/dialect.rs
@@ -1,25 +1,25 @@
-//! Names on the wire towards callers and upstreams.
+//! Names of headers, paths and fields in the protocols with callers and upstreams.
 
 use actix_http::header::HeaderName;
 
-/// Names of headers, of the affinity cookie and of paths.
+/// Names of headers, of the affinity cookie, of paths and of fields.
 ///
-/// The entry knows what each says; how it is called belongs to the deployment.
+/// The entry defines the meaning of each; the deployment defines its name.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Id of one attempt of a caller; passed on as sent and repeated in the answer.
+    /// Id of one attempt of a caller; forwarded unchanged and repeated in the answer.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller will wait, and that the upstream may work.
+    /// Remaining time until the caller's deadline, which also limits the upstream's work, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Cookie whose value requests about the same object share.
+    /// Cookie whose value is the same in all requests about the same object.
     pub affinity_cookie: &'static str,
-    /// Incarnation that is to do the work; any other one refuses.
+    /// Incarnation that the request is addressed to; any other incarnation refuses it.
     pub target: HeaderName,
     /// In an answer: the upstream did not run the request.
     pub not_run: HeaderName,
-    /// In an answer: the upstream's proof that it is its own.
+    /// In an answer: proof that it was made by the upstream.
     pub seal: HeaderName,
-    /// In an answer: running requests, waiting requests and slots.
+    /// In an answer: running requests, waiting requests and slots of the upstream.
     pub load: HeaderName,
     /// In an answer: maximum requests per second that the upstream accepts from all entries combined. The first header
     /// present is used; if none is present, the upstream has no limit.
@@ -30,12 +30,12 @@
     pub ready_path: &'static str,
     /// Field of a look-up's answer that lists addresses.
     pub addresses_field: &'static str,
-    /// Field of a look-up's answer that says how long it holds, in seconds.
+    /// Field of a look-up's answer that states how long the answer is valid, in seconds.
     pub ttl_s_field: &'static str,
 }
 
 impl Dialect {
-    /// The product's own names.
+    /// Returns the default names.
     pub fn own() -> Self {
         Self {
             request_id: HeaderName::from_static("jasmine-request"),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,17 +1,17 @@
 //! An entry instance that routes by host and path.
 //!
-//! Start with [`run`], the life of the process. What it meets outside comes in behind traits and
-//! plain data: the store as [`plat::Table`] and [`plat::Feed`], the meaning of the store's rows as
-//! [`RowReader`], the names of headers and paths as [`Dialect`], the rest as [`Settings`].
+//! [`run`] runs the process until it is stopped. External dependencies are passed in as traits and plain data: the
+//! store as [`plat::Table`] and [`plat::Feed`], the parser of the store's rows as [`RowReader`], the names of headers
+//! and paths as [`Dialect`], and everything else as [`Settings`].
 //!
-//! - `control` runs on the main thread: it follows the store's feeds and the other entries, keeps
-//!   the [`Picture`](picture::RoutingView), and publishes a [`Snapshot`] for each change.
-//! - `traffic` runs on a thread of its own: callers' requests, look-ups, readiness, metrics. It
+//! - `control` runs on the main thread: it follows the store's feeds and the other entries, maintains
+//!   the [`RoutingView`](picture::RoutingView), and publishes a [`Snapshot`] for each change.
+//! - `traffic` runs on a thread of its own and serves callers' requests, look-ups, readiness checks and metrics. It
 //!   reads the newest snapshot and never waits for the store, another entry or control.
 //!
-//! Invariants: a version of the routes is replaced by a higher one only. An upstream that was seen
-//! leaving stays closed for as long as its incarnation is listed. What was learnt last stays in
-//! force while the store is away, and entries tell each other what the store told them.
+//! Invariants: a version of the routes is only replaced by a higher one. An upstream that was seen leaving stays closed
+//! for as long as its incarnation is listed. While the store is unavailable, the last known state stays in force, and
+//! entries exchange what they have read from the store.
 
 mod channels;
 mod clock;
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at upstreams and keys that these are warm for, between the two threads.
+//! Requests in flight and warm affinity keys of upstreams, shared by the control and traffic threads.
 
 use crate::message::WarmKey;
 use arc_swap::ArcSwap;
@@ -18,66 +18,65 @@
     PoisonError, //
 };
 
-/// What each thread tells the other; neither waits.
+/// Loads and warm keys that the two threads exchange without blocking each other.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
-    /// This entry's, as traffic last put them.
+    /// Requests of this entry in flight, as last stored by traffic.
     pub(crate) own: ArcSwap<Vec<Load>>,
-    /// Sums over the other entries, as control last put them; `None` if nothing is known of them.
+    /// Sums over the other entries, as last stored by control; `None` if they are unknown.
     others: ArcSwap<Option<FastMap<LoadKey, u32>>>,
-    /// Grows with each change of `others`.
-    number: AtomicU64,
-    /// Keys that this entry's requests warmed upstreams for, from traffic to control.
-    pub(crate) warmed: WarmQueue,
-    /// Those that other entries told of, from control to traffic.
-    pub(crate) heard: WarmQueue,
-    /// All keys that are known, as traffic puts them while another entry wants them.
-    pub(crate) all_warm: WarmQueue,
-    /// Another entry wants all keys.
+    /// Incremented with each change of `others`.
+    others_version: AtomicU64,
+    /// Keys that this entry's requests warmed upstreams for; from traffic to control.
+    pub(crate) warmed: WarmKeyQueue,
+    /// Warm keys that other entries reported; from control to traffic.
+    pub(crate) heard: WarmKeyQueue,
+    /// All known warm keys, stored by traffic when another entry has requested them.
+    pub(crate) all_warm: WarmKeyQueue,
+    /// Whether another entry has requested all warm keys.
     pub(crate) all_wanted: AtomicBool,
 }
 
 impl Loads {
-    /// Puts the sums over the other entries.
-    pub(crate) fn put_others(&self, sums: Option<FastMap<LoadKey, u32>>) {
+    /// Stores the sums over the other entries.
+    pub(crate) fn set_others(&self, sums: Option<FastMap<LoadKey, u32>>) {
         self.others.store(Arc::new(sums));
-        self.number.fetch_add(1, Ordering::Release);
+        self.others_version.fetch_add(1, Ordering::Release);
     }
 
-    /// The sums, if they changed since `seen`, which is then set.
+    /// Returns the sums over the other entries if their version differs from `seen`, and updates `seen`.
     pub(crate) fn others_since(
         &self,
         seen: &mut u64,
     ) -> Option<Arc<Option<FastMap<LoadKey, u32>>>> {
-        let number = self.number.load(Ordering::Acquire);
-        if number == *seen {
+        let others_version = self.others_version.load(Ordering::Acquire);
+        if others_version == *seen {
             return None;
         }
-        *seen = number;
+        *seen = others_version;
         Some(self.others.load_full())
     }
 }
 
-/// Most keys that wait in a queue: several seconds of any entry's requests. Beyond it keys are left out, which
-/// makes choices worse, never wrong.
-const QUEUE_MAX: usize = 4096;
+/// Maximum number of keys in a queue: several seconds of any entry's requests. Further keys are dropped, which makes
+/// the choice of upstreams less efficient but never incorrect.
+const QUEUE_LEN_MAX: usize = 4096;
 
-/// Keys on their way from one thread to the other.
+/// Queue of warm keys from one thread to the other.
 ///
-/// The lock is held for as long as it takes to append to a list or to take it away, so neither thread waits
-/// for the other's work.
+/// The lock is held only to append keys or to take all of them, so neither thread blocks the other for long.
 #[derive(Debug, Default)]
-pub(crate) struct WarmQueue(Mutex<Vec<WarmKey>>);
+pub(crate) struct WarmKeyQueue(Mutex<Vec<WarmKey>>);
 
-impl WarmQueue {
-    /// Appends keys.
+impl WarmKeyQueue {
+    /// Appends keys, up to the capacity of the queue.
     pub(crate) fn put(&self, keys: impl IntoIterator<Item = WarmKey>) {
         let mut queue = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let room = QUEUE_MAX.saturating_sub(queue.len());
-        queue.extend(keys.into_iter().take(room));
+        let capacity_left = QUEUE_LEN_MAX.saturating_sub(queue.len());
+        queue.extend(keys.into_iter().take(capacity_left));
     }
 
-    /// Takes all keys.
+    /// Removes and returns all keys.
     pub(crate) fn take(&self) -> Vec<WarmKey> {
         let mut queue = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut queue)
--- a/crates/entry/src/message.rs
+++ b/crates/entry/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other.
+//! Messages between entries.
 
 use base::{
     DomainId,
@@ -35,66 +35,69 @@
     time::Duration, //
 };
 
-/// One message between entries.
+/// A message from one entry to another.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Message {
-    /// How the sender is, and how far its picture reaches.
-    State(State),
-    /// The receiver's picture reaches farther: send me what it has.
-    Want(Want),
-    /// Routes.
+    /// State of the sender and the versions of its routing view.
+    State(EntryState),
+    /// Requests the parts in which the receiver's routing view is newer.
+    #[serde(rename = "want")]
+    WantUpdates(UpdateRequest),
+    /// Routes in force.
     Routes(Arc<Routes>),
-    /// Evacuations, and those taken back.
+    /// Evacuations, including ended ones.
     Evacuations(Vec<(DomainId, Evacuation)>),
-    /// Upstreams.
+    /// Changed upstreams.
     Upstreams(Vec<UpstreamUpdate>),
     /// Changes that a reader has read from the store, for the other hubs and all leaves.
     Rows(ForwardedRows),
-    /// How far the hub has read a table, on a new session.
-    Position(Followed, u64),
-    /// The reader can't read this table of the store.
-    NotReading(Followed),
-    /// The sender has just started and has read no table yet.
-    WantPicture,
-    /// All that a hub knows, for an entry that has just started.
-    Picture(WholePicture),
-    /// Entries that a hub is in session with.
+    /// Version up to which a hub has read a table, sent on a new session and as a keep-alive.
+    Position(FollowedTable, u64),
+    /// The sender can't read this table of the store.
+    NotReading(FollowedTable),
+    /// The sender has just started and has not read any table yet.
+    #[serde(rename = "want-picture")]
+    WantView,
+    /// Entire routing view of a hub, for an entry that has just started.
+    #[serde(rename = "picture")]
+    View(FullView),
+    /// Entries that a hub has sessions with.
     Roster(Roster),
-    /// The sender has lost this hub.
+    /// The sender has lost its session with this hub.
     RosterGone(InstanceId),
-    /// Cold upstreams of which the sender holds the leases.
+    /// Upstreams that are cold or state a limit and whose leases the sender holds.
     ColdHeld(Vec<UpstreamId>),
-    /// Affinity keys that the sender has sent to upstreams which it did not know to be warm for them.
+    /// Affinity keys that the sender has sent to upstreams that it did not know to be warm for them.
     Warmed(Vec<WarmKey>),
-    /// The sender has just started: tell it all such keys that are known.
+    /// The sender has just started and requests all known warm keys.
     WantWarmed,
     /// Reports of upstreams that crashed while they ran a request.
     Crashes(Vec<Report>),
     /// Reports of rate limits that upstreams stated.
     Limits(Vec<limit::Report>),
-    /// A leaf's requests in flight at upstreams, for its hub; none at those not named.
+    /// A leaf's requests in flight by upstream, for its hub. Upstreams without requests are omitted.
     Loads(PackedLoads),
-    /// Those of a hub and its leaves, for the other hubs.
+    /// Requests in flight of a hub and its leaves, for the other hubs.
     DomainLoads(PackedLoads),
-    /// Those of all entries, for a hub's leaves.
+    /// Requests in flight of all entries, for a hub's leaves.
     FleetLoads(PackedLoads),
 }
 
 impl Message {
-    /// Its kind, for a metric.
+    /// Returns the kind of the message, a label of a metric.
     pub(crate) fn kind(&self) -> &'static str {
         match self {
             Self::State(_) => "state",
-            Self::Want(_) => "want",
+            Self::WantUpdates(_) => "want",
             Self::Routes(_) => "routes",
             Self::Evacuations(_) => "evacuations",
             Self::Upstreams(_) => "upstreams",
             Self::Rows(_) => "rows",
             Self::Position(..) => "position",
             Self::NotReading(_) => "not-reading",
-            Self::WantPicture => "want-picture",
-            Self::Picture(_) => "picture",
+            Self::WantView => "want-picture",
+            Self::View(_) => "picture",
             Self::Roster(_) => "roster",
             Self::RosterGone(_) => "roster-gone",
             Self::ColdHeld(_) => "cold-held",
@@ -109,18 +112,18 @@
     }
 }
 
-/// The tables of the store that entries follow.
+/// Table of the store that entries follow.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Followed {
-    /// What operators say.
+pub(crate) enum FollowedTable {
+    /// Rows written by operators.
     Operator,
-    /// The upstreams.
+    /// Rows of upstreams.
     Upstreams,
 }
 
-impl Followed {
-    /// Its name in log lines.
+impl FollowedTable {
+    /// Returns the name of the table in log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Operator => "operator",
@@ -132,34 +135,32 @@
 /// All changes of one table from one version to another.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ForwardedRows {
-    /// The table.
-    pub(crate) table: Followed,
-    /// Version after which they begin.
+    pub(crate) table: FollowedTable,
+    /// Version after which the changes begin.
     pub(crate) after: u64,
-    /// Version up to which they reach.
+    /// Version up to which the changes reach.
     pub(crate) position: u64,
-    /// The rows that changed.
+    /// Changed rows.
     pub(crate) rows: Vec<FeedRow>,
-    /// The store has just come back: rows may be missing that are written again soon.
+    /// The store has just become available again; rows may be missing that are soon rewritten.
     pub(crate) after_outage: bool,
 }
 
-/// What a hub knows from both tables.
+/// Routing view of a hub, with the positions of both tables.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct WholePicture {
-    /// Version up to which the operators' rows were read.
+pub(crate) struct FullView {
+    /// Version up to which the operators' table was read.
     pub(crate) operator_position: u64,
-    /// Version up to which the rows of upstreams were read.
+    /// Version up to which the upstreams' table was read.
     pub(crate) upstreams_position: u64,
     /// Routes in force.
     pub(crate) routes: Option<Arc<Routes>>,
-    /// Evacuations, and those taken back.
+    /// Evacuations, including ended ones.
     pub(crate) evacuations: Vec<(DomainId, Evacuation)>,
-    /// Upstreams.
     pub(crate) upstreams: Vec<UpstreamUpdate>,
 }
 
-/// Bits of a count in [`PackedLoads`]; the rest is the upstream's key.
+/// Number of bits for the count in a word of [`PackedLoads`]; the other bits are the upstream's key.
 const COUNT_BITS: u32 = 8;
 /// Largest count: several times the slots of any upstream.
 const COUNT_MAX: u32 = (1 << COUNT_BITS) - 1;
@@ -190,45 +191,44 @@
     }
 }
 
-/// Key of an upstream in a message of loads, by the hash of its name: two upstreams may share one, which makes a
-/// choice worse, never wrong.
+/// Returns the key of an upstream in [`PackedLoads`], from the hash of its name. Two upstreams may share a key, which
+/// makes the choice of upstreams less efficient but never incorrect.
 pub(crate) fn load_key(hash: u64) -> LoadKey {
     (hash >> (u64::BITS - (u32::BITS - COUNT_BITS))) as u32
 }
 
-/// An affinity key that an upstream had.
+/// An affinity key that an upstream is warm for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct WarmKey(
-    /// Hash of the upstream's name, as [`balance::affinity_hash`] makes it.
+    /// Hash of the upstream's name, computed by [`balance::affinity_hash`].
     pub(crate) u64,
-    /// Hash of the key, made likewise.
+    /// Hash of the key, computed by the same function.
     pub(crate) u64,
 );
 
-/// State of an entry; told at intervals and at each change.
+/// State of an entry, sent periodically and on each change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct State {
-    /// What it is.
+pub(crate) struct EntryState {
     pub(crate) member: Member,
-    /// Where callers reach it.
+    /// Address that callers connect to.
     pub(crate) callers_addr: SocketAddr,
-    /// Takes new callers.
+    /// Whether it accepts new callers.
     pub(crate) ready: bool,
-    /// It is a hub.
     pub(crate) is_hub: bool,
-    /// How far its picture reaches.
-    pub(crate) reach: ViewVersions,
-    /// A hub's round trips to other regions, which its leaves have no sessions to.
+    /// Versions of its routing view.
+    #[serde(rename = "reach")]
+    pub(crate) versions: ViewVersions,
+    /// Round-trip times to other regions. Leaves have no sessions with these and use the times of their hubs.
     pub(crate) round_trips: Vec<(RegionId, Duration)>,
 }
 
-impl State {
-    /// Whether the other entries have to be told of the difference.
+impl EntryState {
+    /// Returns whether the difference has to be sent to the other entries.
     pub(crate) fn differs(&self, other: &Self) -> bool {
-        self.is_urgent(other) || self.reach != other.reach
+        self.is_urgent(other) || self.versions != other.versions
     }
 
-    /// Whether that concerns callers or who sends what to whom.
+    /// Returns whether the difference affects callers or the roles of entries.
     pub(crate) fn is_urgent(&self, other: &Self) -> bool {
         self.ready != other.ready
             || self.is_hub != other.is_hub
@@ -236,11 +236,11 @@
     }
 }
 
-/// The parts of a picture that are asked for.
+/// Parts of a routing view that are requested.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct Want {
+pub(crate) struct UpdateRequest {
     pub(crate) operator: bool,
     pub(crate) upstreams: bool,
-    /// Rows of upstreams up to this version are known.
+    /// Version up to which the sender has the upstreams' rows.
     pub(crate) upstreams_after: u64,
 }
--- a/crates/entry/src/metric.rs
+++ b/crates/entry/src/metric.rs
@@ -1,4 +1,4 @@
-//! The table of an entry's metrics.
+//! Metrics that an entry exports.
 
 metric::table! {
     /// Every metric that an entry exports.
@@ -37,7 +37,7 @@
         "Bytes sent to other entries, by kind of message.";
 }
 
-/// The entry's part of `docs/METRICS.md`.
+/// Returns the entry's section of `docs/METRICS.md`.
 pub fn metrics_page() -> String {
     format!(
         "\n## `jasmine-entry` and `jasmine-router`\n\n{}",
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The life of the process: ports, two threads, and the planned stop.
+//! Start of the process, its ports and threads, and the planned stop.
 
 use crate::{
     channels::Channels,
@@ -61,18 +61,18 @@
     SignalKind, //
 };
 
-/// Time kept free at the end of the grace period, for what a busy machine does late.
+/// Reserve at the end of the grace period, since timers fire late on a busy machine.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
-/// Part of the grace period in which callers are still served. What goes wrong with a longer one: a
-/// request that comes just before the end is cut with it. Most callers' answers to look-ups have run
-/// out by then; the others are told that their request did not run, and use another entry.
+/// Part of the grace period during which requests are still accepted, in percent. With a longer part, a request that
+/// arrives just before its end would be cut off by the end of the process. By then the look-up answers of most
+/// callers have expired; requests of the others are refused as not run, and these callers use another entry.
 const SERVE_PCT: u32 = 50;
-/// Least time between the last request that is served and the end, so that refusals arrive.
-const LAST_ANSWERS: Duration = Duration::from_millis(500);
-/// Time between two looks whether all requests have ended.
-const STOP_TICK: Duration = Duration::from_millis(50);
+/// Minimum time between the last accepted request and the end of the process, so that refusals reach the callers.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(500);
+/// Interval between checks whether all requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an entry until the planned stop that `until` begins has ended.
+/// Runs an entry until the planned stop, which begins when `stop_requested` resolves, has ended.
 ///
 /// # Errors
 ///
@@ -84,7 +84,7 @@
     metrics: PrometheusHandle,
     store: impl FnOnce() -> S,
     reload: Reload,
-    until: impl Future<Output = eyre::Result<()>>,
+    stop_requested: impl Future<Output = eyre::Result<()>>,
 ) -> eyre::Result<()>
 where
     S: Feed + Table + 'static,
@@ -99,11 +99,11 @@
             bind(settings.metrics_addr, "metrics")?,
         ],
     };
-    let first = Snapshot {
+    let initial = Snapshot {
         bounds: settings.bounds.clone(),
         ..Snapshot::default()
     };
-    let published = Arc::new(ArcSwap::from_pointee(first));
+    let published = Arc::new(ArcSwap::from_pointee(initial));
     let channels = Channels::default();
     let clock = Clock::start();
     let shared = Arc::new(Shared {
@@ -123,25 +123,25 @@
             callers_addr: settings.callers_addr.to_string(),
         });
         let traffic = Arbiter::new();
-        let of_traffic = shared.clone();
-        let opened = traffic.spawn_fn(move || {
-            if let Err(error) = open(ports, of_traffic) {
+        let traffic_shared = shared.clone();
+        let spawned = traffic.spawn_fn(move || {
+            if let Err(error) = open(ports, traffic_shared) {
                 emit(&Event::PortsNotServed {
                     error: error.to_string(),
                 });
                 System::current().stop_with_code(1);
             }
         });
-        if !opened {
-            return Err(eyre!("the traffic thread ended at its start"));
+        if !spawned {
+            return Err(eyre!("the traffic thread has stopped before it was set up"));
         }
-        actix_rt::spawn(keep_up(shared.metrics.clone()));
+        actix_rt::spawn(run_metrics_upkeep(shared.metrics.clone()));
         let control = Control::new(settings.clone(), store(), rows, clock, published, channels);
         control.start();
         let hangups = signal(SignalKind::hangup()).wrap_err("handling SIGHUP")?;
-        let following = control.clone();
-        actix_rt::spawn(async move { following.follow_settings(reload, hangups).await });
-        until.await?;
+        let settings_control = control.clone();
+        actix_rt::spawn(async move { settings_control.follow_settings(reload, hangups).await });
+        stop_requested.await?;
         stop(&control, &shared).await;
         traffic.stop();
         end_log();
@@ -149,46 +149,47 @@
     })
 }
 
-/// Empties what the recorder gathers, for as long as the process runs.
-async fn keep_up(metrics: PrometheusHandle) {
+/// Runs the metrics recorder's upkeep periodically, which drains the samples that it buffers.
+async fn run_metrics_upkeep(metrics: PrometheusHandle) {
     loop {
         tokio::time::sleep(::metric::UPKEEP).await;
         metrics.run_upkeep();
     }
 }
 
-/// The planned stop: out of use first, then serve what still comes, then end what runs.
+/// Performs the planned stop: withdraws this entry, accepts requests for a part of the grace period, then refuses new
+/// ones and waits for those in flight.
 async fn stop<S, W>(control: &Rc<Control<S, W>>, shared: &Shared)
 where
     S: Feed + Table + 'static,
     W: RowReader,
 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let under_way = || shared.under_way.load(Ordering::Relaxed);
     emit(&Event::Stopping {
         under_way: under_way(),
     });
     let grace = shared.published.load().bounds.grace;
-    let leaving = control.clone();
-    actix_rt::spawn(async move { leaving.begin_stop().await });
+    let stopping_control = control.clone();
+    actix_rt::spawn(async move { stopping_control.begin_stop().await });
     tokio::time::sleep(grace * SERVE_PCT / 100).await;
     shared.closing.store(true, Ordering::Relaxed);
-    tokio::time::sleep(LAST_ANSWERS).await;
-    while under_way() > 0 && begun.elapsed() < grace.saturating_sub(STOP_MARGIN) {
-        tokio::time::sleep(STOP_TICK).await;
+    tokio::time::sleep(REFUSAL_PERIOD).await;
+    while under_way() > 0 && started.elapsed() < grace.saturating_sub(STOP_MARGIN) {
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    control.end().await;
+    control.close_sessions().await;
     emit(&Event::Stopped {
         under_way: under_way(),
-        took_ms: begun.elapsed().as_millis() as u64,
+        took_ms: started.elapsed().as_millis() as u64,
     });
 }
 
-/// Waits for the signal to stop.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// The signals can't be watched.
+/// A signal handler can't be installed.
 pub async fn stop_signal() -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("handling SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("handling SIGINT")?;
--- a/crates/entry/src/rows.rs
+++ b/crates/entry/src/rows.rs
@@ -1,4 +1,4 @@
-//! What the rows of the store mean.
+//! Parsed rows of the store's tables.
 
 use base::DomainId;
 use picture::ListedUpstream;
@@ -12,29 +12,29 @@
 /// Names of the tables that an entry follows.
 #[derive(Clone, Copy, Debug)]
 pub struct Tables {
-    /// What operators say.
+    /// Table written by operators.
     pub operator: &'static str,
-    /// The upstreams.
+    /// Table of the upstreams.
     pub upstreams: &'static str,
 }
 
-/// One row that operators wrote.
+/// A row of the operators' table.
 #[derive(Clone, Debug)]
 pub enum OperatorRow {
     /// A version of the routes.
     Routes(Arc<Routes>),
-    /// Nothing is to be sent to the upstreams of a failure domain while the row stands.
+    /// No requests are sent to the upstreams of the failure domain while the row exists.
     Evacuation(DomainId),
-    /// A row that doesn't concern entries.
+    /// A row that entries ignore.
     Other,
 }
 
-/// A row that can't be read, with all that is wrong in it.
+/// Error for a row that can't be parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UnreadableRow {
-    /// Table and key.
+    /// Table and key of the row.
     pub row: String,
-    /// Each finding with its place.
+    /// All findings, each with its location.
     pub findings: Vec<String>,
 }
 
@@ -44,23 +44,22 @@
     }
 }
 
-/// Reads rows.
+/// Parser of the rows of the tables that an entry follows.
 pub trait RowReader: 'static {
-    /// Tables to follow.
+    /// Returns the names of the tables to follow.
     fn tables(&self) -> Tables;
 
-    /// Reads a row of the operators' table; `None` stands for a row that was removed, of which the
-    /// key says enough.
+    /// Parses a row of the operators' table. A removed row has no value and is identified by its key.
     ///
     /// # Errors
     ///
-    /// All that is wrong in the row.
+    /// The row is invalid; the error lists all findings.
     fn operator(&self, row: &FeedRow) -> Result<OperatorRow, UnreadableRow>;
 
-    /// Reads a row of the upstreams' table that was not removed.
+    /// Parses a row of the upstreams' table that was not removed.
     ///
     /// # Errors
     ///
-    /// All that is wrong in the row.
+    /// The row is invalid; the error lists all findings.
     fn upstream(&self, row: &FeedRow) -> Result<ListedUpstream, UnreadableRow>;
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! Settings of an entry process.
 
 use base::{
     DomainId,
@@ -13,30 +13,31 @@
     time::Duration, //
 };
 
-/// Bounds that the deployment promises its users.
+/// Bounds that the deployment guarantees to its users.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// From the signal to stop to the end of the process.
+    /// Maximum time from the signal to stop to the end of the process.
     pub grace: Duration,
-    /// Sends beyond a request's first, as a part of the requests of a service.
+    /// Maximum ratio of retries to requests of a service.
     pub retry_ratio: f64,
-    /// Window of that part.
+    /// Window over which the ratio of retries is measured.
     pub retry_window: Duration,
-    /// Such sends that are allowed besides, of all entries together, in one window.
+    /// Retries allowed in addition to the ratio, of all entries together, in one window.
     pub retry_slack: f64,
-    /// What a cold upstream bears in one second: its stated rate times this ...
+    /// Factor on a cold upstream's stated rate. Its product with the rate, plus `cold_slack`, is the maximum number of
+    /// requests that are sent to the upstream in one second.
     pub cold_factor: f64,
-    /// ... plus this many requests.
+    /// Requests per second to a cold upstream that are allowed in addition to its rate.
     pub cold_slack: f64,
-    /// Most of a region's requests that may change the region in which they run, from one window
-    /// to the next.
+    /// Maximum fraction of a region's requests that may move to another region from one window to the next.
     pub shift_max: f64,
-    /// Longest time for which an answer to a look-up holds.
+    /// Maximum time for which an answer to a look-up is valid.
     pub lookup_ttl_max: Duration,
 }
 
 impl Default for Bounds {
-    /// What is kept where a deployment promises nothing: the least that any has stated so far, or less.
+    /// Bounds that are kept if the deployment states none: the strictest that any deployment has stated so far, or
+    /// stricter.
     fn default() -> Self {
         Self {
             grace: Duration::from_secs(6),
@@ -51,46 +52,46 @@
     }
 }
 
-/// Sockets that are neither callers' nor upstreams' connections: ports, the store, other entries.
-const SOCKETS_APART: usize = 300;
+/// Sockets reserved for uses other than connections of callers and upstreams: ports, the store and other entries.
+const RESERVED_SOCKETS: usize = 300;
 
 /// Settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Its region.
+    /// Region of this instance.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub failure_domain: DomainId,
     /// Region of each failure domain.
     pub regions: FastMap<DomainId, RegionId>,
-    /// Where callers send requests.
+    /// Address for callers' requests.
     pub callers_addr: SocketAddr,
-    /// Where callers look up entries.
+    /// Address for look-ups of entries.
     pub lookup_addr: SocketAddr,
-    /// Where readiness is checked.
+    /// Address for readiness checks.
     pub ready_addr: SocketAddr,
-    /// Where other entries connect.
+    /// Address for sessions of other entries.
     pub peers_addr: SocketAddr,
-    /// Where metrics are read.
+    /// Address of the metrics page.
     pub metrics_addr: SocketAddr,
-    /// Promised bounds.
+    /// Bounds guaranteed to users.
     pub bounds: Bounds,
-    /// Most sockets that the process may hold.
+    /// Maximum number of open sockets of the process.
     pub max_sockets: usize,
-    /// Processor, in thousandths of a core.
+    /// CPU allotment, in thousandths of a core.
     pub cpu_milli: u32,
 }
 
 impl Settings {
-    /// Most connections of callers at once: the rest is for upstreams, of which a request that is sent
-    /// again holds one after the other, and idle ones.
+    /// Returns the maximum number of concurrent connections of callers. The other sockets are left for connections to
+    /// upstreams: a request holds one per attempt, one after the other, and idle connections are kept open.
     pub(crate) fn max_callers(&self) -> usize {
-        self.max_sockets.saturating_sub(SOCKETS_APART) * 2 / 3
+        self.max_sockets.saturating_sub(RESERVED_SOCKETS) * 2 / 3
     }
 
-    /// What differs in `next` and can't change while the process runs.
+    /// Returns the names of settings that differ in `next` and only change with a restart.
     pub(crate) fn fixed_differences(&self, next: &Self) -> Vec<&'static str> {
         let differs = [
             ("instance", self.instance != next.instance),
@@ -110,25 +111,26 @@
     }
 }
 
-/// Looks whether the settings have changed: `None` if not, else the new ones or all findings.
+/// Checks whether the settings have changed. Returns `None` if not, else the new settings or all findings.
 pub type Reload = Box<dyn FnMut() -> Option<Result<Settings, Vec<String>>>>;
 
-/// Follows a settings file whose text was `before`; `parse` gives the settings of a text, or all findings.
+/// Returns a [`Reload`] for the settings file at `path`. `last_text` is the text that was last read; `parse` returns
+/// the settings in a text, or all findings.
 ///
-/// A file that can't be read is a finding like any other, said once for as long as it stays so.
+/// A file that can't be read is a finding, which is reported only once while it stays the same.
 pub fn follow_file(
     path: PathBuf,
-    mut before: String,
+    mut last_text: String,
     mut parse: impl FnMut(&str) -> Result<Settings, Vec<String>> + 'static,
 ) -> Reload {
     Box::new(move || {
         let read = fs::read_to_string(&path);
         let read = read.map_err(|error| format!("{}: {error}", path.display()));
         let (Ok(text) | Err(text)) = &read;
-        if *text == before {
+        if *text == last_text {
             return None;
         }
-        before.clone_from(text);
+        last_text.clone_from(text);
         Some(match read {
             Ok(text) => parse(&text),
             Err(finding) => Err(vec![finding]),
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The immutable picture that traffic decides from.
+//! Immutable snapshot of the routing state, published by control and read by traffic.
 
 use crate::settings::Bounds;
 use balance::Location;
@@ -15,59 +15,59 @@
     sync::Arc, //
 };
 
-/// An upstream as control knows it.
+/// An upstream as known to control.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamView {
     pub(crate) id: UpstreamId,
-    /// Tells incarnations of one name apart.
+    /// Start time, in Unix milliseconds. Distinguishes incarnations with the same name.
     pub(crate) started_ms: u64,
     pub(crate) service: ServiceId,
     pub(crate) region: RegionId,
     pub(crate) failure_domain: DomainId,
     pub(crate) addr: SocketAddr,
     pub(crate) slots: u32,
-    /// Gets no new work: it leaves, is gone, or its failure domain is evacuated.
+    /// Gets no new requests: it is leaving or gone, or its failure domain is evacuated.
     pub(crate) closed: bool,
-    /// Cold until then.
+    /// Time until which it is cold.
     pub(crate) cold_until: Now,
-    /// End of this entry's lease, during which it alone may send while the upstream is cold or states a limit; `None`
-    /// without a lease.
+    /// End of this entry's lease; `None` without a lease. While an upstream is cold or states a limit, only the holder
+    /// of its lease may send to it.
     pub(crate) lease_until: Option<Now>,
 }
 
-/// An entry as callers may use it.
+/// An entry that accepts callers.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryView {
     pub(crate) region: RegionId,
     pub(crate) callers_addr: SocketAddr,
 }
 
-/// What control knew at one moment.
+/// Routing state at one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Grows with each snapshot of a process.
+    /// Incremented with each snapshot of a process.
     pub(crate) number: u64,
-    /// When it was made.
+    /// Time at which the snapshot was created.
     pub(crate) made_at: Now,
-    /// Routes in force; `None` until a first version is known.
+    /// Compiled routes in force; `None` until a first version is known.
     pub(crate) table: Option<Arc<Table>>,
-    /// The same list in each snapshot until one of them changes.
+    /// Upstreams; snapshots share the list until an upstream changes.
     pub(crate) upstreams: Arc<Vec<UpstreamView>>,
-    /// Entries that take new callers, this one included if it does.
+    /// Entries that accept new callers, including this one if it does.
     pub(crate) entries: Vec<EntryView>,
-    /// Entries that may be sending, however little was heard of them, this one included; `None` until the
-    /// others have been looked for.
+    /// Number of entries that may be sending, including this one and those without a session; `None` until the rows of
+    /// the other entries have been read.
     pub(crate) entries_known: Option<usize>,
-    /// Where this entry is.
+    /// Location of this entry.
     pub(crate) here: Location,
-    /// Promised bounds.
+    /// Bounds guaranteed to users.
     pub(crate) bounds: Bounds,
-    /// A planned stop has begun.
+    /// Whether a planned stop has begun.
     pub(crate) stopping: bool,
 }
 
 impl Snapshot {
-    /// Whether callers may be sent here.
+    /// Returns whether this entry accepts new callers.
     pub(crate) fn ready(&self) -> bool {
         self.table.is_some() && !self.stopping
     }
