--- a/crates/entry/src/traffic/attempt.rs
+++ b/crates/entry/src/traffic/attempt.rs
@@ -1,14 +1,14 @@
-//! One send to one upstream, and what is known of the run afterwards.
+//! Sends a request once to one upstream and reports whether it may have run.
 
 use crate::{
     dialect::Dialect,
     metric,
     traffic::{
-        log::hex,
         placement::{
             Incarnation,
             Placement, //
         },
+        request_log::hex,
         Traffic, //
     },
 };
@@ -30,9 +30,9 @@
 use relay::{
     BodyReader,
     Failure,
-    Target, //
+    Target,
     UpstreamRequest,
-    UpstreamResponse,
+    UpstreamResponse, //
 };
 use std::{
     cell::Cell,
@@ -43,32 +43,32 @@
     },
 };
 
-/// Longest answer that is held whole before its first byte goes to the caller. One that breaks off
-/// can then be asked for again; a longer one is passed on as it comes.
-const WHOLE_ANSWER_BYTES: usize = 256 << 10;
+/// Longest response body that is buffered completely before it is forwarded, so that the request can be retried if the
+/// body breaks off. A longer body is streamed.
+const BUFFERED_BODY_BYTES_MAX: usize = 256 << 10;
 
 /// Timeout of the connection attempt that checks whether an upstream has crashed. Covers a round trip to the farthest
 /// region, including jitter.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A request in flight at an upstream, until it is dropped.
+/// Guard that counts a request as in flight at an upstream until it is dropped.
 pub(super) struct InFlight {
     traffic: Rc<Traffic>,
     target: Target,
     placement: Placement,
     chosen_at: Instant,
-    /// Whether it counts as waiting at a restricted upstream; cleared when it is sent.
-    waits: Cell<bool>,
+    /// Whether the request counts as waiting at a restricted upstream; cleared when it is sent.
+    is_waiting: Cell<bool>,
 }
 
 impl InFlight {
-    /// Takes over what [`super::fleet::Fleet::place`] counted.
+    /// Takes ownership of the counts that [`super::fleet::Fleet::place`] added.
     pub(super) fn new(traffic: &Rc<Traffic>, target: &Target, placement: Placement) -> Self {
         Self {
             traffic: traffic.clone(),
             target: target.clone(),
             chosen_at: Instant::now(),
-            waits: Cell::new(placement.restricted),
+            is_waiting: Cell::new(placement.restricted),
             placement,
         }
     }
@@ -81,22 +81,22 @@
         &self.target.id
     }
 
-    /// Whether its upstream may have it now, when a connection stands.
+    /// Returns whether the request may still be sent to its upstream, once a connection is open.
     fn may_send(&self) -> bool {
-        // What has come since the choice counts, too.
-        self.traffic.follow_control();
+        // The upstream's state may have changed since it was chosen.
+        self.traffic.refresh_snapshot();
         let mut fleet = self.traffic.fleet.borrow_mut();
         let wait = self.chosen_at.elapsed();
         metrics::histogram!(metric::SEND_WAIT_SECONDS).record(wait.as_secs_f64());
-        let waited = self.waits.replace(false);
-        fleet.may_send(&self.placement.at, waited, self.traffic.now())
+        let is_waiting = self.is_waiting.replace(false);
+        fleet.may_send(&self.placement.incarnation, is_waiting, self.traffic.now())
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut fleet = self.traffic.fleet.borrow_mut();
-        fleet.ended(&self.placement.at, self.waits.get());
+        fleet.note_finished(&self.placement.incarnation, self.is_waiting.get());
     }
 }
 
@@ -105,7 +105,7 @@
 pub(super) async fn check_crash(
     traffic: Rc<Traffic>,
     target: Target,
-    at: Incarnation,
+    incarnation: Incarnation,
     id: String,
     request: Fingerprint,
 ) {
@@ -114,21 +114,21 @@
         return;
     }
     let now = traffic.now();
-    traffic.fleet.borrow_mut().note_ended(&at, now);
+    traffic.fleet.borrow_mut().note_exit(&incarnation, now);
     metrics::counter!(metric::CRASHES).increment(1);
-    let upstream = quarantine::incarnation_hash(&at.id, at.started_ms);
+    let upstream = quarantine::incarnation_hash(&incarnation.id, incarnation.started_ms);
     let quarantined = traffic
         .shared
         .channels
         .crashes
         .note_crash(request, upstream, now);
     let fingerprint = hex(request);
-    if traffic.log.take(true, now) {
+    if traffic.log_limiter.try_take(true, now) {
         emit(&Event::UpstreamCrashed {
             id,
             fingerprint: fingerprint.clone(),
-            upstream: at.id,
-            service: at.service,
+            upstream: incarnation.id,
+            service: incarnation.service,
         });
     }
     if quarantined {
@@ -137,76 +137,83 @@
     }
 }
 
-/// Answer of an upstream.
-pub(super) struct Answered {
+/// Response received from an upstream.
+pub(super) struct ReceivedResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) length_bytes: Option<u64>,
-    pub(super) body: AnsweredBody,
+    pub(super) body: ReceivedBody,
 }
 
-/// Body of an upstream's answer.
-pub(super) enum AnsweredBody {
-    /// All of it.
-    Whole(Bytes),
-    /// The beginning of a long one, and the rest with what it holds.
-    Long {
-        begun: Bytes,
+/// Body of a response received from an upstream.
+pub(super) enum ReceivedBody {
+    /// A complete body.
+    Complete(Bytes),
+    /// A long body: the data read so far, and the reader of the rest with the guard that it keeps.
+    Partial {
+        prefix: Bytes,
         rest: Box<BodyReader>,
         in_flight: Box<InFlight>,
     },
 }
 
-/// What came of one send.
-pub(super) enum Outcome {
-    /// An answer that is the caller's.
-    Answered(Box<Answered>),
+/// Result of one send.
+pub(super) enum SendOutcome {
+    /// The upstream responded.
+    Answered(Box<ReceivedResponse>),
     /// The upstream states that it did not run the request.
     NotRun {
-        /// Its status.
+        /// Status of its response.
         status: u16,
     },
-    /// No answer.
+    /// There was no complete response.
     Failed(Failure),
 }
 
-/// Sends once.
+/// Sends a request once.
 pub(super) async fn send(
     traffic: &Rc<Traffic>,
     in_flight: InFlight,
-    exchange: UpstreamRequest,
-) -> Outcome {
-    let (at, target) = (in_flight.placement.at.clone(), in_flight.target.clone());
-    let deadline = exchange.deadline;
+    upstream_request: UpstreamRequest,
+) -> SendOutcome {
+    let (incarnation, target) = (
+        in_flight.placement.incarnation.clone(),
+        in_flight.target.clone(),
+    );
+    let deadline = upstream_request.deadline;
     let sent = Instant::now();
     let may_send = || in_flight.may_send();
-    let response = match traffic.pool.exchange(&target, exchange, may_send).await {
+    let response = match traffic
+        .pool
+        .exchange(&target, upstream_request, may_send)
+        .await
+    {
         Ok(response) => response,
         Err(failure) => {
-            note_failure(traffic, &at, &failure);
-            return Outcome::Failed(failure);
+            note_failure(traffic, &incarnation, &failure);
+            return SendOutcome::Failed(failure);
         }
     };
-    note_head(traffic, &at, &response);
+    note_head(traffic, &incarnation, &response);
     let dialect = &traffic.shared.dialect;
     let status = response.status;
     let not_run = response.headers.contains_key(&dialect.not_run);
     if not_run || status == StatusCode::MISDIRECTED_REQUEST {
         let mut fleet = traffic.fleet.borrow_mut();
         if status == StatusCode::MISDIRECTED_REQUEST {
-            // Another incarnation has the address: this one is gone.
-            fleet.close(&at, "another incarnation has its address");
+            // Another incarnation has the address, so this one has ended.
+            fleet.close(&incarnation, "another incarnation has its address");
         } else {
-            fleet.note_failure(&at, false, traffic.now());
+            fleet.note_failure(&incarnation, false, traffic.now());
         }
-        return Outcome::NotRun {
+        return SendOutcome::NotRun {
             status: status.as_u16(),
         };
     }
     if status.is_success() && !response.headers.contains_key(&dialect.seal) {
         let failure = Failure::Malformed("a success without the upstream's seal".to_owned());
-        note_failure(traffic, &at, &failure);
-        return Outcome::Failed(failure);
+        note_failure(traffic, &incarnation, &failure);
+        return SendOutcome::Failed(failure);
     }
     let UpstreamResponse {
         headers,
@@ -214,49 +221,49 @@
         mut body,
         ..
     } = response;
-    let mut begun = BytesMut::new();
+    let mut prefix = BytesMut::new();
     loop {
         match body.next(deadline).await {
-            Ok(Some(data)) => begun.extend_from_slice(&data),
+            Ok(Some(data)) => prefix.extend_from_slice(&data),
             Ok(None) => break,
             Err(cut) => {
                 let failure = Failure::Broken(cut.to_string());
-                note_failure(traffic, &at, &failure);
-                return Outcome::Failed(failure);
+                note_failure(traffic, &incarnation, &failure);
+                return SendOutcome::Failed(failure);
             }
         }
-        if begun.len() > WHOLE_ANSWER_BYTES {
-            let body = AnsweredBody::Long {
-                begun: begun.freeze(),
+        if prefix.len() > BUFFERED_BODY_BYTES_MAX {
+            let body = ReceivedBody::Partial {
+                prefix: prefix.freeze(),
                 rest: Box::new(body),
                 in_flight: Box::new(in_flight),
             };
-            return answered(status, headers, length_bytes, body);
+            return received(status, headers, length_bytes, body);
         }
     }
     let mut fleet = traffic.fleet.borrow_mut();
     if status.is_server_error() {
-        fleet.note_failure(&at, false, traffic.now());
+        fleet.note_failure(&incarnation, false, traffic.now());
     } else {
         let placement = &in_flight.placement;
-        fleet.note_answer(&at, placement, sent.elapsed(), traffic.now());
+        fleet.note_answer(&incarnation, placement, sent.elapsed(), traffic.now());
     }
     drop(fleet);
-    answered(
+    received(
         status,
         headers,
         length_bytes,
-        AnsweredBody::Whole(begun.freeze()),
+        ReceivedBody::Complete(prefix.freeze()),
     )
 }
 
-fn answered(
+fn received(
     status: StatusCode,
     headers: HeaderMap,
     length_bytes: Option<u64>,
-    body: AnsweredBody,
-) -> Outcome {
-    Outcome::Answered(Box::new(Answered {
+    body: ReceivedBody,
+) -> SendOutcome {
+    SendOutcome::Answered(Box::new(ReceivedResponse {
         status,
         headers,
         length_bytes,
@@ -264,20 +271,28 @@
     }))
 }
 
-/// Takes what the head of an answer says of its upstream.
-fn note_head(traffic: &Traffic, at: &Incarnation, response: &UpstreamResponse) {
+/// Records the load and the rate limit that the head of a response states.
+fn note_head(traffic: &Traffic, incarnation: &Incarnation, response: &UpstreamResponse) {
     let load = response.headers.get(&traffic.shared.dialect.load);
     if let Some(reported) = load.and_then(|value| parse_load(value.to_str().ok()?)) {
         let mut fleet = traffic.fleet.borrow_mut();
-        fleet.report(at, reported, traffic.now());
+        fleet.note_load(incarnation, reported, traffic.now());
     }
-    // A 421 answer comes from another incarnation, whose limit doesn't apply to `at`.
+    // A 421 response comes from another incarnation, whose limit doesn't apply to `incarnation`.
     if response.status != StatusCode::MISDIRECTED_REQUEST {
         let limit_per_s = parse_limit(&traffic.shared.dialect, &response.headers);
-        let changed = traffic.fleet.borrow_mut().note_limit(at, limit_per_s);
+        let changed = traffic
+            .fleet
+            .borrow_mut()
+            .note_limit(incarnation, limit_per_s);
         if changed {
             let limits = &traffic.shared.channels.limits;
-            limits.note(&at.id, at.started_ms, limit_per_s, traffic.now());
+            limits.note(
+                &incarnation.id,
+                incarnation.started_ms,
+                limit_per_s,
+                traffic.now(),
+            );
         }
     }
 }
@@ -290,7 +305,7 @@
     (limit_per_s.is_finite() && limit_per_s >= 0.0).then_some(limit_per_s)
 }
 
-/// `running,waiting,slots`.
+/// Parses a load report of the form `running,waiting,slots`.
 fn parse_load(text: &str) -> Option<LoadReport> {
     let mut numbers = text.split(',').map(|part| part.trim().parse().ok());
     Some(LoadReport {
@@ -300,13 +315,13 @@
     })
 }
 
-fn note_failure(traffic: &Traffic, at: &Incarnation, failure: &Failure) {
+fn note_failure(traffic: &Traffic, incarnation: &Incarnation, failure: &Failure) {
     let now = traffic.now();
     let mut fleet = traffic.fleet.borrow_mut();
     match failure {
         Failure::BodyTruncated | Failure::Withdrawn => {}
-        Failure::Refused => fleet.note_ended(at, now),
-        Failure::NotSent(_) => fleet.note_failure(at, true, now),
-        _ => fleet.note_failure(at, false, now),
+        Failure::Refused => fleet.note_exit(incarnation, now),
+        Failure::NotSent(_) => fleet.note_failure(incarnation, true, now),
+        _ => fleet.note_failure(incarnation, false, now),
     }
 }
--- a/crates/entry/src/traffic/job.rs
+++ b/crates/entry/src/traffic/dispatch.rs
@@ -1,30 +1,29 @@
-//! Sending a request until there is an answer, or nothing more can be done.
+//! Sends a request to upstreams, with retries, until there is a final response.
 //!
-//! A request that certainly did not run may go to another upstream, whatever its kind. One that may
-//! have run is sent again only if it is idempotent. Each send beyond the first that reached an
-//! upstream is taken from the retry budget. When nothing more can be done the caller hears so at
-//! once: with a claim that it did not run and a time to come back, if no send may have run, and
-//! without a claim otherwise.
+//! A request that certainly did not run may be sent to another upstream, whether or not it is idempotent. One that may
+//! have run is sent again only if it is idempotent. Each send after the first that reached an upstream is charged to
+//! the retry budget. When no further send is possible, the caller gets a response at once. If no send may have run, the
+//! response states that the request did not run and when to retry; otherwise it states neither.
 
 use crate::{
     metric,
     traffic::{
         attempt::{
             self,
-            Answered,
             InFlight,
-            Outcome, //
+            ReceivedResponse,
+            SendOutcome, //
         },
-        log::text,
         placement::{
-            Need,
-            Placed,
             Placement,
-            Refused, //
+            PlacementDecision,
+            PlacementRequest,
+            Rejection, //
         },
-        reply::{
-            Final,
-            Last, //
+        request_log::text,
+        response::{
+            FinalResponse,
+            LastSend, //
         },
         Traffic, //
     },
@@ -48,8 +47,8 @@
     Failure,
     Framing,
     RequestBody,
-    Target, //
-    UpstreamRequest,
+    Target,
+    UpstreamRequest, //
 };
 use route::Route;
 use std::{
@@ -66,13 +65,13 @@
 };
 use tokio::time::timeout_at;
 
-/// When to come back after a failure that left nothing running.
-const FAILED_RETRY: Duration = Duration::from_millis(100);
-/// Least time left for another send to be worth it: a round trip and the shortest work.
-const RESEND_LEFT: Duration = Duration::from_millis(40);
+/// `Retry-After` for a request that failed without having run.
+const FAILURE_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Minimum time before the deadline for another send: one round trip and the shortest service time.
+const RESEND_TIME_MIN: Duration = Duration::from_millis(40);
 
-/// A request on its way, with what all its sends share.
-pub(super) struct Job {
+/// A request being dispatched, with the state shared by all its sends.
+pub(super) struct Dispatch {
     pub(super) traffic: Rc<Traffic>,
     pub(super) route: Arc<Route>,
     pub(super) service: ServiceId,
@@ -80,105 +79,107 @@
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) headers: HeaderMap,
-    pub(super) body: Resend,
+    pub(super) body: BodySource,
     /// Identical for all attempts of a request, unlike the id.
     pub(super) fingerprint: Fingerprint,
     /// Hash of the affinity key, or of the id if there is none.
     pub(super) key: u64,
-    pub(super) keyed: bool,
+    pub(super) has_affinity_key: bool,
     pub(super) received: Instant,
     pub(super) deadline: Instant,
-    /// It has its final answer.
-    pub(super) ended: Cell<bool>,
-    /// The upstream that has or had it last, and how it stood there.
+    /// If not set when the request is dropped, it is logged as cancelled.
+    pub(super) has_final_response: Cell<bool>,
+    /// The last upstream chosen, and the placement there.
     pub(super) last_placed: RefCell<Option<(UpstreamId, Placement)>>,
 }
 
-/// Body that can be sent once more, or only once.
-pub(super) enum Resend {
-    Whole(Bytes),
-    Once(Option<RequestBody>),
+/// Source of the request body for each send.
+pub(super) enum BodySource {
+    /// A complete body, which can be sent any number of times.
+    Buffered(Bytes),
+    /// A streamed body, which can be sent once; `None` afterwards.
+    Streamed(Option<RequestBody>),
 }
 
-impl Resend {
-    fn next(&mut self) -> Option<RequestBody> {
+impl BodySource {
+    fn next_body(&mut self) -> Option<RequestBody> {
         match self {
-            Self::Whole(bytes) => Some(RequestBody::Whole(bytes.clone())),
-            Self::Once(body) => body.take(),
+            Self::Buffered(bytes) => Some(RequestBody::Whole(bytes.clone())),
+            Self::Streamed(body) => body.take(),
         }
     }
 
-    fn is_spent(&self) -> bool {
-        matches!(self, Self::Once(None))
+    fn is_consumed(&self) -> bool {
+        matches!(self, Self::Streamed(None))
     }
 }
 
-/// What became of a request so far.
+/// Results of the sends made so far.
 #[derive(Default)]
 pub(super) struct Progress {
     tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// Number of sends that reached an upstream.
     pub(super) sends: u32,
     pub(super) may_have_run: bool,
-    pub(super) last: Option<Last>,
-    /// How it stood at the last upstream.
+    pub(super) last: Option<LastSend>,
+    /// Placement at the last upstream chosen.
     pub(super) placement: Option<Placement>,
 }
 
 impl Progress {
-    /// The upstream that it was sent to last.
+    /// Returns the last upstream chosen.
     pub(super) fn upstream(&self) -> Option<&UpstreamId> {
         self.tried.last()
     }
 }
 
-/// Whether a request is sent once more.
-enum Next {
-    Again,
-    Done(Final),
+/// Whether to send the request again.
+enum NextStep {
+    Retry,
+    Done(FinalResponse),
 }
 
-impl Job {
-    /// Sends until there is an answer, or nothing more can be done.
-    pub(super) async fn run(mut self) -> Final {
+impl Dispatch {
+    /// Sends the request until there is a response or no further send is possible.
+    pub(super) async fn run(mut self) -> FinalResponse {
         let mut progress = Progress::default();
         loop {
             let crashes = &self.traffic.shared.channels.crashes;
             if let Some(remaining) = crashes.remaining(self.fingerprint, self.traffic.now()) {
-                return self.give_up(progress, &Refused::new(Reason::Quarantined, remaining));
+                return self.give_up(progress, &Rejection::new(Reason::Quarantined, remaining));
             }
             let (target, placement) = match self.place(&progress.tried) {
-                Placed::Send { target, placement } => (target, *placement),
-                Placed::Refuse(refused) => return self.give_up(progress, &refused),
+                PlacementDecision::Send { target, placement } => (target, *placement),
+                PlacementDecision::Reject(rejection) => return self.give_up(progress, &rejection),
             };
             let in_flight = InFlight::new(&self.traffic, &target, placement.clone());
             progress.tried.push(target.id.clone());
             let placed = (target.id.clone(), placement.clone());
             self.last_placed.replace(Some(placed));
             progress.placement = Some(placement.clone());
-            let Some(exchange) = self.exchange(&target) else {
-                return self.give_up(progress, &refused_after(Reason::BodySpent));
+            let Some(upstream_request) = self.build_request(&target) else {
+                return self.give_up(progress, &rejection_after_send(Reason::BodySpent));
             };
-            let outcome = attempt::send(&self.traffic, in_flight, exchange).await;
-            metrics::counter!(metric::SENDS, "outcome" => name_of(&outcome)).increment(1);
+            let outcome = attempt::send(&self.traffic, in_flight, upstream_request).await;
+            metrics::counter!(metric::SENDS, "outcome" => outcome_label(&outcome)).increment(1);
             let next = match outcome {
-                Outcome::Answered(answered) => self.after_answer(&mut progress, answered),
-                Outcome::NotRun { status } => {
+                SendOutcome::Answered(response) => self.after_response(&mut progress, response),
+                SendOutcome::NotRun { status } => {
                     let why = format!("status {status}");
-                    self.log_send(&target, &placement, true, why);
+                    self.log_failed_send(&target, &placement, true, why);
                     self.after_refusal(&mut progress)
                 }
-                Outcome::Failed(failure) => {
+                SendOutcome::Failed(failure) => {
                     let why = failure.to_string();
-                    self.log_send(&target, &placement, failure.not_run(), why);
+                    self.log_failed_send(&target, &placement, failure.not_run(), why);
                     if matches!(failure, Failure::Broken(_)) {
                         self.check_crash(&target, &placement).await;
                     }
                     self.after_failure(&mut progress, &failure)
                 }
             };
-            if let Next::Done(answer) = next {
-                return answer;
+            if let NextStep::Done(final_response) = next {
+                return final_response;
             }
         }
     }
@@ -188,7 +189,7 @@
         let check = attempt::check_crash(
             self.traffic.clone(),
             target.clone(),
-            placement.at.clone(),
+            placement.incarnation.clone(),
             text(&self.id),
             self.fingerprint,
         );
@@ -196,88 +197,89 @@
         let _ = timeout_at(self.deadline.into(), actix_rt::spawn(check)).await;
     }
 
-    /// An answer is the caller's, unless it is a failure and another upstream may do better.
-    fn after_answer(&self, progress: &mut Progress, answered: Box<Answered>) -> Next {
-        let retry = answered.status.is_server_error()
+    /// Forwards a response to the caller, or retries if it is a server error and the request may be sent again.
+    fn after_response(&self, progress: &mut Progress, response: Box<ReceivedResponse>) -> NextStep {
+        let retry = response.status.is_server_error()
             && self.route.kind.is_idempotent()
             && self.may_resend(progress.sends + 1);
         progress.sends += 1;
         progress.may_have_run = true;
-        if !answered.status.is_server_error() {
+        if !response.status.is_server_error() {
             let crashes = &self.traffic.shared.channels.crashes;
             crashes.note_answer(self.fingerprint, self.traffic.now());
         }
         if !retry {
             let progress = std::mem::take(progress);
-            return Next::Done(self.deliver(&progress, *answered));
+            return NextStep::Done(self.forward_response(&progress, *response));
         }
-        progress.last = Some(Last::Answered(answered));
-        Next::Again
+        progress.last = Some(LastSend::Answered(response));
+        NextStep::Retry
     }
 
-    /// The upstream did not run it.
-    fn after_refusal(&self, progress: &mut Progress) -> Next {
+    /// Retries after an upstream refused to run the request, if possible.
+    fn after_refusal(&self, progress: &mut Progress) -> NextStep {
         progress.sends += 1;
-        progress.last.get_or_insert(Last::NotRun);
+        progress.last.get_or_insert(LastSend::NotRun);
         if self.may_resend(progress.sends) {
-            return Next::Again;
+            return NextStep::Retry;
         }
         let progress = std::mem::take(progress);
-        Next::Done(self.give_up(progress, &refused_after(Reason::UpstreamRefused)))
+        NextStep::Done(self.give_up(progress, &rejection_after_send(Reason::UpstreamRefused)))
     }
 
-    /// There was no answer.
-    fn after_failure(&self, progress: &mut Progress, failure: &Failure) -> Next {
-        let again = if failure.not_run() {
-            self.in_time() && !self.body.is_spent()
+    /// Retries after a send without a response, if possible.
+    fn after_failure(&self, progress: &mut Progress, failure: &Failure) -> NextStep {
+        let retry = if failure.not_run() {
+            self.has_time_left() && !self.body.is_consumed()
         } else {
             progress.sends += 1;
             progress.may_have_run = true;
             let timeout = *failure == Failure::Timeout;
-            progress.last = Some(Last::Failed { timeout });
+            progress.last = Some(LastSend::Failed { timeout });
             let whole = *failure != Failure::BodyTruncated;
             whole && self.route.kind.is_idempotent() && self.may_resend(progress.sends)
         };
-        if again {
-            return Next::Again;
+        if retry {
+            return NextStep::Retry;
         }
         let progress = std::mem::take(progress);
-        Next::Done(self.give_up(progress, &refused_after(Reason::SendFailed)))
+        NextStep::Done(self.give_up(progress, &rejection_after_send(Reason::SendFailed)))
     }
 
-    fn place(&self, tried: &[UpstreamId]) -> Placed {
-        self.traffic.snapshot();
+    fn place(&self, tried: &[UpstreamId]) -> PlacementDecision {
+        self.traffic.refresh();
         let now = Instant::now();
         let target_at = self.received + self.route.latency_target;
-        let need = Need {
+        let request = PlacementRequest {
             service: &self.service,
             route: &self.route,
             key: self.key,
-            keyed: self.keyed,
+            has_affinity_key: self.has_affinity_key,
             nonce: balance::affinity_hash(self.id.as_bytes()),
             target_left: target_at.saturating_duration_since(now),
             deadline_left: self.deadline.saturating_duration_since(now),
             tried,
         };
         let mut fleet = self.traffic.fleet.borrow_mut();
-        fleet.place(&need, self.traffic.now())
+        fleet.place(&request, self.traffic.now())
     }
 
-    fn in_time(&self) -> bool {
-        self.deadline.saturating_duration_since(Instant::now()) > RESEND_LEFT
+    fn has_time_left(&self) -> bool {
+        self.deadline.saturating_duration_since(Instant::now()) > RESEND_TIME_MIN
     }
 
-    /// Whether one more send is allowed after `sends` that reached an upstream.
+    /// Returns whether another send is allowed after `sends` sends that reached an upstream. If so, it is charged to the
+    /// retry budget.
     fn may_resend(&self, sends: u32) -> bool {
-        sends < self.route.max_attempts && self.in_time() && !self.body.is_spent() && {
+        sends < self.route.max_attempts && self.has_time_left() && !self.body.is_consumed() && {
             let mut fleet = self.traffic.fleet.borrow_mut();
-            fleet.take_retry(&self.service, self.traffic.now())
+            fleet.try_take_retry(&self.service, self.traffic.now())
         }
     }
 
-    /// The request as it goes to one upstream.
-    fn exchange(&mut self, target: &Target) -> Option<UpstreamRequest> {
-        let body = self.body.next()?;
+    /// Builds the request for one upstream. Returns `None` if the body can't be sent again.
+    fn build_request(&mut self, target: &Target) -> Option<UpstreamRequest> {
+        let body = self.body.next_body()?;
         let dialect = &self.traffic.shared.dialect;
         let left = self.deadline.saturating_duration_since(Instant::now());
         let left_ms = HeaderValue::from(left.as_millis() as u64);
@@ -309,23 +311,24 @@
     }
 }
 
-/// Nothing more can be done after a send.
-fn refused_after(reason: Reason) -> Refused {
-    Refused::new(reason, FAILED_RETRY)
+/// Rejection of a request that can't be sent again.
+fn rejection_after_send(reason: Reason) -> Rejection {
+    Rejection::new(reason, FAILURE_RETRY_AFTER)
 }
 
-fn name_of(outcome: &Outcome) -> &'static str {
+/// Returns the metric label of an outcome.
+fn outcome_label(outcome: &SendOutcome) -> &'static str {
     match outcome {
-        Outcome::Answered(_) => "answered",
-        Outcome::NotRun { .. } => "not run",
-        Outcome::Failed(Failure::NotSent(_) | Failure::Refused) => "not sent",
-        Outcome::Failed(Failure::Withdrawn) => "withdrawn",
-        Outcome::Failed(Failure::Timeout) => "timed out",
-        Outcome::Failed(_) => "broken",
+        SendOutcome::Answered(_) => "answered",
+        SendOutcome::NotRun { .. } => "not run",
+        SendOutcome::Failed(Failure::NotSent(_) | Failure::Refused) => "not sent",
+        SendOutcome::Failed(Failure::Withdrawn) => "withdrawn",
+        SendOutcome::Failed(Failure::Timeout) => "timed out",
+        SendOutcome::Failed(_) => "broken",
     }
 }
 
-/// Methods whose requests state a length even if it is zero.
+/// Returns whether requests of this method state a length even if it is zero.
 fn expects_body(method: &Method) -> bool {
     matches!(*method, Method::POST | Method::PUT | Method::PATCH)
 }
--- a/crates/entry/src/traffic/fleet.rs
+++ b/crates/entry/src/traffic/fleet.rs
@@ -1,10 +1,10 @@
-//! What the traffic thread knows of upstreams, and where a request goes.
+//! The traffic thread's state of the upstreams, and the selection of an upstream for each request.
 //!
-//! - `outcome` takes what becomes of a request, from its first byte on, and what that says of its upstream.
-//! - `told` is what entries tell each other: requests in flight, and keys that upstreams are warm for.
+//! - `outcome` updates the state with the results of requests.
+//! - `peer_reports` exchanges requests in flight and warm keys with other entries.
 
 mod outcome;
-mod told;
+mod peer_reports;
 
 use crate::{
     limits::SharedLimits,
@@ -18,14 +18,14 @@
         UpstreamView, //
     },
     traffic::{
-        group::Group,
+        group::UpstreamGroup,
         placement::{
-            logged,
+            logged_expectation,
             Incarnation,
-            Need,
-            Placed,
             Placement,
-            Refused, //
+            PlacementDecision,
+            PlacementRequest,
+            Rejection, //
         },
     },
 };
@@ -36,8 +36,8 @@
     Choice,
     Query,
     ShiftLimiter,
-    Upstream, //
-    UpstreamCounts,
+    Upstream,
+    UpstreamCounts, //
 };
 use base::{
     FastMap,
@@ -65,44 +65,43 @@
     time::Duration, //
 };
 
-/// Windows over which the part of requests that leaves the region may change.
+/// Window over which the change of the distribution of requests over regions is limited.
 const SHIFT_WINDOW: Duration = Duration::from_secs(2);
-/// Part of the promised bound on that change that one entry uses: windows of different entries
-/// overlap, so that a window of the whole may see the growth of two of theirs.
-const SHIFT_USED: f64 = 0.5;
-/// When to come back if the service has no upstream at all: as long as one that starts takes to be
-/// listed.
-const NOT_LISTED_RETRY: Duration = Duration::from_millis(500);
-/// One request in so many tries the upstream of this failure domain that its key ranks highest, though one
-/// beyond it is warm: it warms within some seconds without making many requests late at once.
+/// Fraction of the configured limit on that change that one entry uses. The windows of different entries overlap, so a
+/// window over all entries may include the changes of two windows of an entry.
+const SHIFT_LIMIT_FRACTION: f64 = 0.5;
+/// `Retry-After` if the service has no upstream at all: the time until an upstream that starts is listed.
+const NOT_LISTED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// One in this many requests is sent to the upstream of this failure domain that its key ranks highest, even if an
+/// upstream outside the domain is warm. This warms it within seconds without delaying many requests at once.
 const EXPLORE_EVERY: u64 = 12;
 
-/// How upstreams of a service start.
+/// Cold-start parameters of a service's upstreams.
 #[derive(Clone, Copy, Debug, Default)]
 struct ColdStart {
-    /// How long they are cold.
-    lasts: Duration,
-    /// Requests that a cold one bears in a second; zero is no bound.
-    per_s: f64,
+    /// Time for which a started upstream is cold.
+    duration: Duration,
+    /// Requests per second that a cold upstream can handle; 0 means no limit.
+    requests_per_s: f64,
 }
 
-/// Upstreams of all services, and the budgets of this entry.
+/// Upstreams of all services, and this entry's limits on sends to them.
 pub(crate) struct Fleet {
     bounds: Bounds,
-    groups: FastMap<ServiceId, Group>,
+    groups: FastMap<ServiceId, UpstreamGroup>,
     splits: FastMap<ByteString, Split>,
-    shift: ShiftLimiter,
-    here: balance::Location,
+    shift_limiter: ShiftLimiter,
+    location: balance::Location,
     entries_known: Option<usize>,
-    starts: FastMap<ServiceId, ColdStart>,
-    number: u64,
-    /// Upstreams of the snapshot that was followed last.
+    cold_starts: FastMap<ServiceId, ColdStart>,
+    snapshot_number: u64,
+    /// Upstreams of the last snapshot applied.
     views: Arc<Vec<UpstreamView>>,
     routes_version: Version,
     loads_seen: u64,
     limits_seen: u64,
-    /// Keys that were sent to upstreams not known to be warm for them, and not told yet.
-    warmed: Vec<WarmKey>,
+    /// Keys sent to upstreams that were not known to be warm for them, not yet reported to other entries.
+    unreported_warm_keys: Vec<WarmKey>,
 }
 
 impl Fleet {
@@ -111,39 +110,42 @@
             bounds: settings.bounds.clone(),
             groups: FastMap::default(),
             splits: FastMap::default(),
-            shift: ShiftLimiter::new(SHIFT_WINDOW, affinity_hash(settings.instance.as_bytes())),
-            here: balance::Location::default(),
+            shift_limiter: ShiftLimiter::new(
+                SHIFT_WINDOW,
+                affinity_hash(settings.instance.as_bytes()),
+            ),
+            location: balance::Location::default(),
             entries_known: None,
-            starts: FastMap::default(),
-            number: 0,
+            cold_starts: FastMap::default(),
+            snapshot_number: 0,
             views: Arc::default(),
             routes_version: 0,
             loads_seen: 0,
             limits_seen: 0,
-            warmed: Vec::new(),
+            unreported_warm_keys: Vec::new(),
         }
     }
 
-    /// Takes over a newer snapshot; whether it was newer.
-    pub(super) fn follow(&mut self, snapshot: &Snapshot) -> bool {
-        if snapshot.number == self.number {
+    /// Applies a snapshot. Returns whether it is newer than the last one.
+    pub(super) fn update(&mut self, snapshot: &Snapshot) -> bool {
+        if snapshot.number == self.snapshot_number {
             return false;
         }
-        self.number = snapshot.number;
-        self.here = snapshot.here.clone();
+        self.snapshot_number = snapshot.number;
+        self.location = snapshot.here.clone();
         self.bounds = snapshot.bounds.clone();
         self.entries_known = snapshot.entries_known;
         if !Arc::ptr_eq(&self.views, &snapshot.upstreams) {
             self.views = snapshot.upstreams.clone();
-            self.follow_upstreams(&snapshot.upstreams);
+            self.update_upstreams(&snapshot.upstreams);
         }
         if let Some(table) = &snapshot.table {
-            self.follow_routes(table);
+            self.update_routes(table);
         }
         true
     }
 
-    fn follow_upstreams(&mut self, upstreams: &[UpstreamView]) {
+    fn update_upstreams(&mut self, upstreams: &[UpstreamView]) {
         let mut views: FastMap<&ServiceId, Vec<&UpstreamView>> = FastMap::default();
         for view in upstreams {
             views.entry(&view.service).or_default().push(view);
@@ -154,13 +156,13 @@
             let group = self
                 .groups
                 .entry(service.clone())
-                .or_insert_with(|| Group::new(bounds));
-            group.follow(&mut views);
+                .or_insert_with(|| UpstreamGroup::new(bounds));
+            group.update(&mut views);
         }
     }
 
     /// Applies the limits known to the entries, if the limits or the upstreams have changed.
-    pub(super) fn follow_limits(&mut self, limits: &SharedLimits, upstreams_changed: bool) {
+    pub(super) fn update_limits(&mut self, limits: &SharedLimits, upstreams_changed: bool) {
         if upstreams_changed {
             self.limits_seen = 0;
         }
@@ -173,60 +175,60 @@
         }
     }
 
-    /// Takes over a newer version of the routes; what belongs to routes that are gone is forgotten.
-    fn follow_routes(&mut self, table: &Table) {
+    /// Applies a newer version of the routes and drops the state of removed routes.
+    fn update_routes(&mut self, table: &Table) {
         if table.version() == self.routes_version {
             return;
         }
         self.routes_version = table.version();
         let services = &table.routes().services;
-        let starts = services.iter().map(|service| {
-            let start = ColdStart {
-                lasts: service.cold_start,
-                per_s: service.cold_per_s,
+        let cold_starts = services.iter().map(|service| {
+            let cold_start = ColdStart {
+                duration: service.cold_start,
+                requests_per_s: service.cold_per_s,
             };
-            (service.id.clone(), start)
+            (service.id.clone(), cold_start)
         });
-        self.starts = starts.collect();
+        self.cold_starts = cold_starts.collect();
         let hosts = &table.routes().hosts;
         let routes = hosts.iter().flat_map(|host| &host.routes);
         let ids: FastSet<&ByteString> = routes.map(|route| &route.id).collect();
         self.splits.retain(|id, _| ids.contains(id));
         for group in self.groups.values_mut() {
-            group.work.retain(|id, _| ids.contains(id));
+            group.service_times.retain(|id, _| ids.contains(id));
         }
     }
 
-    /// Whether connections to an upstream may still be of use.
-    pub(super) fn knows(&self, id: &UpstreamId) -> bool {
+    /// Returns whether an upstream is known and not closed, so that connections to it are worth keeping.
+    pub(super) fn is_usable(&self, id: &UpstreamId) -> bool {
         self.groups.values().any(|group| {
-            let place = group.place(id);
-            place.is_some_and(|place| !group.upstreams[place].is_closed())
+            let index = group.index_of(id);
+            index.is_some_and(|index| !group.upstreams[index].is_closed())
         })
     }
 
-    /// Service for the next request of a route.
-    pub(super) fn service(&mut self, route: &Route) -> Option<ServiceId> {
+    /// Returns the service for the next request of a route, by its traffic split.
+    pub(super) fn next_service(&mut self, route: &Route) -> Option<ServiceId> {
         let split = self.splits.entry(route.id.clone()).or_default();
-        let place = split.next(&route.split)?;
-        Some(route.split[place].service.clone())
+        let index = split.next(&route.split)?;
+        Some(route.split[index].service.clone())
     }
 
-    /// Counts a caller's request for a service.
-    pub(super) fn offer(&mut self, service: &ServiceId, now: Now) {
+    /// Adds a caller's request to the retry budget of a service.
+    pub(super) fn note_request(&mut self, service: &ServiceId, now: Now) {
         if let Some(group) = self.groups.get_mut(service) {
             group.budget.note_request(now);
         }
     }
 
-    /// Takes one send beyond a request's first from the budget.
-    pub(super) fn take_retry(&mut self, service: &ServiceId, now: Now) -> bool {
+    /// Charges one retry to the budget of a service. Returns whether the budget allowed it.
+    pub(super) fn try_take_retry(&mut self, service: &ServiceId, now: Now) -> bool {
         let slack = entry_share(self.bounds.retry_slack, self.entries_known);
         let Some(group) = self.groups.get_mut(service) else {
             return false;
         };
         let taken = group.budget.try_take(slack, now);
-        if !taken && group.spent_told.replace(now.as_secs()) != Some(now.as_secs()) {
+        if !taken && group.exhaustion_logged_s.replace(now.as_secs()) != Some(now.as_secs()) {
             emit(&Event::RetriesSpent {
                 service: service.clone(),
             });
@@ -234,62 +236,66 @@
         taken
     }
 
-    /// Decides where a request goes; what it is sent to then counts it as in flight.
-    pub(super) fn place(&mut self, need: &Need<'_>, now: Now) -> Placed {
-        let cold_per_s = self.cold_per_s(need.service);
-        let full_regions = self.full_regions(need.service, now);
-        let Some(group) = self.groups.get_mut(need.service) else {
-            return Placed::Refuse(Refused::new(Reason::NoUpstreamListed, NOT_LISTED_RETRY));
+    /// Selects the upstream for a request and counts the request as in flight there.
+    pub(super) fn place(&mut self, request: &PlacementRequest<'_>, now: Now) -> PlacementDecision {
+        let cold_per_s = self.cold_per_s(request.service);
+        let shift_limited_regions = self.shift_limited_regions(request.service, now);
+        let Some(group) = self.groups.get_mut(request.service) else {
+            return PlacementDecision::Reject(Rejection::new(
+                Reason::NoUpstreamListed,
+                NOT_LISTED_RETRY_AFTER,
+            ));
         };
-        let tried = need.tried.iter().filter_map(|id| group.place(id));
+        let tried = request.tried.iter().filter_map(|id| group.index_of(id));
         let tried: Vec<usize> = tried.collect();
         let query = Query {
-            key: need.key,
-            has_affinity_key: need.keyed,
-            explores: need.nonce % EXPLORE_EVERY == 0,
-            target_left: need.target_left,
-            deadline_left: need.deadline_left,
-            home_regions: &need.route.homes,
+            key: request.key,
+            has_affinity_key: request.has_affinity_key,
+            explores: request.nonce % EXPLORE_EVERY == 0,
+            target_left: request.target_left,
+            deadline_left: request.deadline_left,
+            home_regions: &request.route.homes,
             tried: &tried,
-            shift_limited_regions: &full_regions,
+            shift_limited_regions: &shift_limited_regions,
             cold_per_s,
-            service_times: group.work(&need.route.id),
+            service_times: group.service_times(&request.route.id),
         };
-        match choose(&mut group.upstreams, &query, &self.here, now) {
+        match choose(&mut group.upstreams, &query, &self.location, now) {
             Choice::Send {
-                index: place,
+                index,
                 warm,
                 idle,
                 expected,
             } => {
-                let upstream = &mut group.upstreams[place];
+                let upstream = &mut group.upstreams[index];
                 let load = upstream.load(now);
                 let report_age = upstream.report_age(now);
                 upstream.in_flight += 1;
-                if need.keyed {
-                    upstream.warm_keys.note(need.key, now);
+                if request.has_affinity_key {
+                    upstream.warm_keys.note(request.key, now);
                     if !warm {
-                        self.warmed.push(WarmKey(upstream.hash, need.key));
+                        self.unreported_warm_keys
+                            .push(WarmKey(upstream.hash, request.key));
                     }
                 }
                 let restricted = upstream.is_restricted(now);
                 if restricted {
                     upstream.note_chosen();
                 }
-                self.shift.note(&upstream.region, now);
+                self.shift_limiter.note(&upstream.region, now);
                 let target = Target {
                     id: upstream.id.clone(),
-                    addr: group.addrs[place],
+                    addr: group.addrs[index],
                 };
-                let at = Incarnation {
-                    service: need.service.clone(),
+                let incarnation = Incarnation {
+                    service: request.service.clone(),
                     id: upstream.id.clone(),
                     started_ms: upstream.started_ms,
                 };
                 let placement = Placement {
-                    at,
-                    route: need.route.id.clone(),
-                    key: need.keyed.then_some(need.key),
+                    incarnation,
+                    route: request.route.id.clone(),
+                    key: request.has_affinity_key.then_some(request.key),
                     warm,
                     idle,
                     restricted,
@@ -298,9 +304,9 @@
                     report_age,
                     region: upstream.region.clone(),
                     failure_domain: upstream.failure_domain.clone(),
-                    expected: logged(expected),
+                    expected: logged_expectation(expected),
                 };
-                Placed::Send {
+                PlacementDecision::Send {
                     target,
                     placement: Box::new(placement),
                 }
@@ -308,57 +314,58 @@
             Choice::Refuse {
                 retry_after,
                 expected,
-            } => Placed::Refuse(Refused {
+            } => PlacementDecision::Reject(Rejection {
                 reason: Reason::NoSlotInTime,
                 retry_after,
-                expected: logged(expected),
-                census: UpstreamCounts::of(&group.upstreams, now),
+                expected: logged_expectation(expected),
+                upstream_counts: UpstreamCounts::of(&group.upstreams, now),
             }),
-            Choice::NoUpstream { retry_after } => Placed::Refuse(Refused {
-                census: UpstreamCounts::of(&group.upstreams, now),
-                ..Refused::new(Reason::NoUpstreamOpen, retry_after)
+            Choice::NoUpstream { retry_after } => PlacementDecision::Reject(Rejection {
+                upstream_counts: UpstreamCounts::of(&group.upstreams, now),
+                ..Rejection::new(Reason::NoUpstreamOpen, retry_after)
             }),
         }
     }
 
-    /// Regions of the service's upstreams that get no more for now, by the bound on shifts.
-    fn full_regions(&mut self, service: &ServiceId, now: Now) -> Vec<RegionId> {
-        let growth = self.bounds.shift_max * SHIFT_USED;
-        let mut full: Vec<RegionId> = Vec::new();
-        let mut open: Vec<RegionId> = Vec::new();
+    /// Returns the regions of the service's upstreams that may get no more requests for now, by the limit on shifts
+    /// between regions.
+    fn shift_limited_regions(&mut self, service: &ServiceId, now: Now) -> Vec<RegionId> {
+        let growth = self.bounds.shift_max * SHIFT_LIMIT_FRACTION;
+        let mut limited: Vec<RegionId> = Vec::new();
+        let mut allowed: Vec<RegionId> = Vec::new();
         let upstreams = self.groups.get(service).map(|group| &group.upstreams);
         for upstream in upstreams.into_iter().flatten() {
             let region = &upstream.region;
-            if open.contains(region) || full.contains(region) {
+            if allowed.contains(region) || limited.contains(region) {
                 continue;
             }
-            let side = if self.shift.allows(region, growth, now) {
-                &mut open
+            let list = if self.shift_limiter.allows(region, growth, now) {
+                &mut allowed
             } else {
-                &mut full
+                &mut limited
             };
-            side.push(region.clone());
+            list.push(region.clone());
         }
-        full
+        limited
     }
 
-    /// Requests in a second that a cold upstream bears.
+    /// Returns the limit on requests per second to a cold upstream.
     fn cold_per_s(&self, service: &ServiceId) -> f64 {
-        let rate = self.start_of(service).per_s;
+        let rate = self.cold_start(service).requests_per_s;
         if rate <= 0.0 {
             return f64::MAX;
         }
         rate * self.bounds.cold_factor + self.bounds.cold_slack
     }
 
-    fn start_of(&self, service: &ServiceId) -> ColdStart {
-        self.starts.get(service).copied().unwrap_or_default()
+    fn cold_start(&self, service: &ServiceId) -> ColdStart {
+        self.cold_starts.get(service).copied().unwrap_or_default()
     }
 
-    fn upstream(&mut self, at: &Incarnation) -> Option<&mut Upstream> {
-        let group = self.groups.get_mut(&at.service)?;
-        let place = group.place(&at.id)?;
-        let upstream = &mut group.upstreams[place];
-        at.is(upstream).then_some(upstream)
+    fn upstream(&mut self, incarnation: &Incarnation) -> Option<&mut Upstream> {
+        let group = self.groups.get_mut(&incarnation.service)?;
+        let index = group.index_of(&incarnation.id)?;
+        let upstream = &mut group.upstreams[index];
+        incarnation.matches(upstream).then_some(upstream)
     }
 }
--- a/crates/entry/src/traffic/fleet/outcome.rs
+++ b/crates/entry/src/traffic/fleet/outcome.rs
@@ -1,12 +1,12 @@
-//! What becomes of a request, and what that says of its upstream.
+//! Updates the state of upstreams with the results of requests.
 
 use crate::traffic::{
     fleet::Fleet,
-    log::millis,
     placement::{
         Incarnation,
         Placement, //
     },
+    request_log::millis,
 };
 use balance::LoadReport;
 use base::Now;
@@ -16,27 +16,27 @@
 };
 use std::time::Duration;
 
-/// Longest time that the start of an upstream under a former one's name takes to be heard of: what has to be in force
-/// within some seconds is known by then.
-const START_HEARD: Duration = Duration::from_secs(3);
+/// Maximum time until this entry learns that an upstream has restarted under the same name. Changes that must take
+/// effect within seconds are known by then.
+const RESTART_KNOWN_WITHIN: Duration = Duration::from_secs(3);
 
 impl Fleet {
-    /// Whether a request may be sent to the upstream that was chosen for it, now that a connection stands; `waited` says
-    /// that it counts as waiting there. If so it counts as sent.
+    /// Returns whether a request may still be sent to its chosen upstream, now that a connection is open. If so, it is
+    /// counted as sent. `is_waiting` states whether it counts as waiting there.
     ///
-    /// What goes wrong without it: the upstream has said meanwhile that it leaves, or has started again under its name
-    /// and is cold.
+    /// Without this check, the request could go to an upstream that has meanwhile announced that it is leaving, or that
+    /// has restarted under the same name and is cold.
     pub(in crate::traffic) fn may_send(
         &mut self,
-        at: &Incarnation,
-        waited: bool,
+        incarnation: &Incarnation,
+        is_waiting: bool,
         now: Now,
     ) -> bool {
-        let cold_per_s = self.cold_per_s(&at.service);
-        let Some(upstream) = self.upstream(at) else {
+        let cold_per_s = self.cold_per_s(&incarnation.service);
+        let Some(upstream) = self.upstream(incarnation) else {
             return false;
         };
-        if waited {
+        if is_waiting {
             upstream.note_wait_ended();
         }
         if upstream.is_closed() {
@@ -52,117 +52,138 @@
         fits
     }
 
-    /// A request is no longer at an upstream; `waited` says that it still counts as waiting there.
-    pub(in crate::traffic) fn ended(&mut self, at: &Incarnation, waited: bool) {
-        if let Some(upstream) = self.upstream(at) {
+    /// Removes a request from the counts of its upstream. `is_waiting` states whether it still counts as waiting there.
+    pub(in crate::traffic) fn note_finished(
+        &mut self,
+        incarnation: &Incarnation,
+        is_waiting: bool,
+    ) {
+        if let Some(upstream) = self.upstream(incarnation) {
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
-            if waited {
+            if is_waiting {
                 upstream.note_wait_ended();
             }
         }
     }
 
-    /// An answer said how loaded its upstream is.
-    pub(in crate::traffic) fn report(&mut self, at: &Incarnation, reported: LoadReport, now: Now) {
-        if let Some(upstream) = self.upstream(at) {
+    /// Records the load stated in a response.
+    pub(in crate::traffic) fn note_load(
+        &mut self,
+        incarnation: &Incarnation,
+        reported: LoadReport,
+        now: Now,
+    ) {
+        if let Some(upstream) = self.upstream(incarnation) {
             upstream.note_report(reported, now);
         }
     }
 
-    /// Stores the request rate limit stated in an answer and logs a change. Returns whether it has changed.
+    /// Stores the request rate limit stated in a response and logs a change. Returns whether it has changed.
     pub(in crate::traffic) fn note_limit(
         &mut self,
-        at: &Incarnation,
+        incarnation: &Incarnation,
         limit_per_s: Option<f64>,
     ) -> bool {
-        let Some(upstream) = self.upstream(at) else {
+        let Some(upstream) = self.upstream(incarnation) else {
             return false;
         };
         let changed = upstream.limit_per_s != limit_per_s;
         if changed {
             upstream.limit_per_s = limit_per_s;
             emit(&Event::UpstreamLimit {
-                upstream: at.id.clone(),
-                service: at.service.clone(),
+                upstream: incarnation.id.clone(),
+                service: incarnation.service.clone(),
                 limit_per_s,
             });
         }
         changed
     }
 
-    /// An answer came whole after `took`.
+    /// Records that a complete response arrived after `took`.
     pub(in crate::traffic) fn note_answer(
         &mut self,
-        at: &Incarnation,
+        incarnation: &Incarnation,
         placement: &Placement,
         took: Duration,
         now: Now,
     ) {
-        let Some(group) = self.groups.get_mut(&at.service) else {
+        let Some(group) = self.groups.get_mut(&incarnation.service) else {
             return;
         };
-        let Some(upstream) = group.upstreams.iter_mut().find(|upstream| at.is(upstream)) else {
+        let Some(upstream) = group
+            .upstreams
+            .iter_mut()
+            .find(|upstream| incarnation.matches(upstream))
+        else {
             return;
         };
-        let way = self.here.round_trip(&upstream.region);
-        let work = took.saturating_sub(way);
-        if upstream.health.note_answer(work) {
+        let round_trip = self.location.round_trip(&upstream.region);
+        let service_time = took.saturating_sub(round_trip);
+        if upstream.health.note_answer(service_time) {
             emit(&Event::UpstreamBack {
-                upstream: at.id.clone(),
-                service: at.service.clone(),
+                upstream: incarnation.id.clone(),
+                service: incarnation.service.clone(),
             });
         }
         if let Some(key) = placement.key {
             upstream.warm_keys.note(key, now);
         }
         if placement.idle && !upstream.is_cold(now) {
-            let known = group.work.entry(placement.route.clone()).or_default();
-            known.note(placement.warm, work);
+            let service_times = group
+                .service_times
+                .entry(placement.route.clone())
+                .or_default();
+            service_times.note(placement.warm, service_time);
         }
     }
 
-    /// A request failed at an upstream; `hard` means that the upstream isn't there.
-    pub(in crate::traffic) fn note_failure(&mut self, at: &Incarnation, hard: bool, now: Now) {
-        let upstream = self.upstream(at);
-        let away = upstream.and_then(|upstream| upstream.health.note_failure(hard, now));
-        log_passed_over(at, away, hard);
+    /// Records that a request failed at an upstream; `unreachable` means that no connection could be opened.
+    pub(in crate::traffic) fn note_failure(
+        &mut self,
+        incarnation: &Incarnation,
+        unreachable: bool,
+        now: Now,
+    ) {
+        let upstream = self.upstream(incarnation);
+        let ejection = upstream.and_then(|upstream| upstream.health.note_failure(unreachable, now));
+        log_ejected(incarnation, ejection, unreachable);
     }
 
-    /// No process listens at an upstream's address: that incarnation has ended.
+    /// Records that no process listens at an upstream's address, so this incarnation has exited.
     ///
-    /// What goes wrong if it is tried again as one that merely fails: it starts anew under its name, cold, and before its
-    /// row says so each entry takes the first answer for the return of the one that it was; all of them together
-    /// send more than a cold one bears. So it gets nothing until its row names a later start, or until one that was not
-    /// heard of is cold no more.
-    pub(in crate::traffic) fn note_ended(&mut self, at: &Incarnation, now: Now) {
-        let away = START_HEARD + self.start_of(&at.service).lasts;
-        let upstream = self.upstream(at);
-        let away = upstream.and_then(|upstream| upstream.health.note_exit(away, now));
-        log_passed_over(at, away, true);
+    /// The upstream gets no requests until its row states a later start, or until a restart that this entry has not
+    /// learnt of would no longer be cold. If it were probed again like one that merely fails, it could restart cold under
+    /// the same name, and until its row says so each entry would take the first response for the recovery of the old
+    /// incarnation. All entries together would then send more than a cold upstream can handle.
+    pub(in crate::traffic) fn note_exit(&mut self, incarnation: &Incarnation, now: Now) {
+        let ejection = RESTART_KNOWN_WITHIN + self.cold_start(&incarnation.service).duration;
+        let upstream = self.upstream(incarnation);
+        let ejection = upstream.and_then(|upstream| upstream.health.note_exit(ejection, now));
+        log_ejected(incarnation, ejection, true);
     }
 
-    /// An upstream is gone: another one has its address.
-    pub(in crate::traffic) fn close(&mut self, at: &Incarnation, why: &str) {
-        let Some(upstream) = self.upstream(at) else {
+    /// Closes an incarnation that has ended, and logs it once.
+    pub(in crate::traffic) fn close(&mut self, incarnation: &Incarnation, why: &str) {
+        let Some(upstream) = self.upstream(incarnation) else {
             return;
         };
         if !std::mem::replace(&mut upstream.gone, true) {
             emit(&Event::UpstreamClosed {
-                upstream: at.id.clone(),
-                service: at.service.clone(),
+                upstream: incarnation.id.clone(),
+                service: incarnation.service.clone(),
                 why: why.to_owned(),
             });
         }
     }
 }
 
-/// Says that an upstream is passed over for `away`, if that begins now.
-fn log_passed_over(at: &Incarnation, away: Option<Duration>, not_there: bool) {
-    if let Some(away) = away {
+/// Logs that an upstream gets no requests for `ejection`, if that period begins now.
+fn log_ejected(incarnation: &Incarnation, ejection: Option<Duration>, not_there: bool) {
+    if let Some(ejection) = ejection {
         emit(&Event::UpstreamPassedOver {
-            upstream: at.id.clone(),
-            service: at.service.clone(),
-            away_ms: millis(away),
+            upstream: incarnation.id.clone(),
+            service: incarnation.service.clone(),
+            away_ms: millis(ejection),
             not_there,
         });
     }
--- a/crates/entry/src/traffic/fleet/told.rs
+++ b/crates/entry/src/traffic/fleet/peer_reports.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other of upstreams.
+//! Reports about upstreams exchanged with other entries.
 
 use crate::{
     loads::Loads,
@@ -15,7 +15,7 @@
 use overlay::Load;
 
 impl Fleet {
-    /// Requests in flight at each upstream that has any.
+    /// Returns the number of this entry's requests in flight at each upstream that has any.
     pub(in crate::traffic) fn loads(&self) -> Vec<Load> {
         let upstreams = self.groups.values().flat_map(|group| &group.upstreams);
         upstreams
@@ -24,13 +24,13 @@
             .collect()
     }
 
-    /// Keys that upstreams were warmed for since the last call.
-    pub(in crate::traffic) fn take_warmed(&mut self) -> Vec<WarmKey> {
-        std::mem::take(&mut self.warmed)
+    /// Takes the keys that upstreams were warmed for since the last call.
+    pub(in crate::traffic) fn take_unreported_warm_keys(&mut self) -> Vec<WarmKey> {
+        std::mem::take(&mut self.unreported_warm_keys)
     }
 
-    /// All keys that upstreams are known to be warm for.
-    pub(in crate::traffic) fn all_warm(&self) -> Vec<WarmKey> {
+    /// Returns all keys that upstreams are known to be warm for.
+    pub(in crate::traffic) fn all_warm_keys(&self) -> Vec<WarmKey> {
         let upstreams = self.groups.values().flat_map(|group| &group.upstreams);
         let keys = upstreams.flat_map(|upstream| {
             let keys = upstream.warm_keys.keys();
@@ -39,12 +39,12 @@
         keys.collect()
     }
 
-    fn take_over_warmed(&mut self, heard: Vec<WarmKey>, now: Now) {
-        if heard.is_empty() {
+    fn merge_warm_keys(&mut self, keys: Vec<WarmKey>, now: Now) {
+        if keys.is_empty() {
             return;
         }
         let mut by_upstream: FastMap<u64, Vec<u64>> = FastMap::default();
-        for WarmKey(upstream, key) in heard {
+        for WarmKey(upstream, key) in keys {
             by_upstream.entry(upstream).or_default().push(key);
         }
         let groups = self.groups.values_mut();
@@ -55,16 +55,19 @@
         }
     }
 
-    /// Takes over what the other entries told: keys that upstreams are warm for, and requests in flight.
-    pub(in crate::traffic) fn follow_loads(&mut self, loads: &Loads, now: Now) {
-        self.take_over_warmed(loads.heard.take(), now);
+    /// Applies the warm keys and the requests in flight reported by other entries.
+    pub(in crate::traffic) fn update_peer_loads(&mut self, loads: &Loads, now: Now) {
+        self.merge_warm_keys(loads.heard.take(), now);
         let Some(sums) = loads.others_since(&mut self.loads_seen) else {
             return;
         };
         let groups = self.groups.values_mut();
         for upstream in groups.flat_map(|group| &mut group.upstreams) {
-            let told = |sums: &FastMap<_, _>| sums.get(&load_key(upstream.hash)).copied();
-            upstream.peers_in_flight = sums.as_ref().as_ref().map(|sums| told(sums).unwrap_or(0));
+            let of_upstream = |sums: &FastMap<_, _>| sums.get(&load_key(upstream.hash)).copied();
+            upstream.peers_in_flight = sums
+                .as_ref()
+                .as_ref()
+                .map(|sums| of_upstream(sums).unwrap_or(0));
         }
     }
 }
--- a/crates/entry/src/traffic/group.rs
+++ b/crates/entry/src/traffic/group.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service, as this thread sees them.
+//! State of the upstreams of one service.
 
 use crate::{
     settings::Bounds,
@@ -6,57 +6,60 @@
 };
 use balance::{
     RetryBudget,
-    ServiceTimes, //
-    Upstream,
+    ServiceTimes,
+    Upstream, //
 };
 use base::FastMap;
 use bytestring::ByteString;
 use std::net::SocketAddr;
 
 /// Upstreams of one service.
-pub(super) struct Group {
-    /// In order of their names.
+pub(super) struct UpstreamGroup {
+    /// Sorted by id.
     pub(super) upstreams: Vec<Upstream>,
+    /// Addresses, in the order of `upstreams`.
     pub(super) addrs: Vec<SocketAddr>,
     pub(super) budget: RetryBudget,
-    /// Second in which it was last said that the budget is spent.
-    pub(super) spent_told: Option<u64>,
-    /// Times of the work of each route: routes of one service may differ by far.
-    pub(super) work: FastMap<ByteString, ServiceTimes>,
+    /// Second in which the exhausted budget was last logged.
+    pub(super) exhaustion_logged_s: Option<u64>,
+    /// Service times by route id, as those of the routes of one service may differ widely.
+    pub(super) service_times: FastMap<ByteString, ServiceTimes>,
 }
 
-impl Group {
-    /// One without upstreams.
+impl UpstreamGroup {
+    /// Creates a group without upstreams.
     pub(super) fn new(bounds: &Bounds) -> Self {
         Self {
             upstreams: Vec::new(),
             addrs: Vec::new(),
             budget: RetryBudget::new(bounds.retry_ratio, bounds.retry_window),
-            spent_told: None,
-            work: FastMap::default(),
+            exhaustion_logged_s: None,
+            service_times: FastMap::default(),
         }
     }
 
-    /// Times of the work of a route; those of any other say nothing of it.
-    pub(super) fn work(&self, route: &str) -> ServiceTimes {
-        self.work.get(route).copied().unwrap_or_default()
+    /// Returns the service times of a route, or the default if none are known; other routes' times don't apply to it.
+    pub(super) fn service_times(&self, route: &str) -> ServiceTimes {
+        self.service_times.get(route).copied().unwrap_or_default()
     }
 
-    /// Place of an upstream.
-    pub(super) fn place(&self, id: &str) -> Option<usize> {
-        let place = self.upstreams.binary_search_by(|one| (*one.id).cmp(id));
-        place.ok()
+    /// Returns the index of an upstream.
+    pub(super) fn index_of(&self, id: &str) -> Option<usize> {
+        let index = self
+            .upstreams
+            .binary_search_by(|upstream| (*upstream.id).cmp(id));
+        index.ok()
     }
 
-    /// Takes over what control knows; what this thread saw of an incarnation stays.
-    pub(super) fn follow(&mut self, views: &mut [&UpstreamView]) {
+    /// Applies the upstreams of a snapshot. The state that this thread has gathered about an incarnation is kept.
+    pub(super) fn update(&mut self, views: &mut [&UpstreamView]) {
         views.sort_by(|a, b| a.id.cmp(&b.id));
-        let mut before = std::mem::take(&mut self.upstreams).into_iter().peekable();
+        let mut previous = std::mem::take(&mut self.upstreams).into_iter().peekable();
         self.addrs.clear();
         for view in views {
-            while before.next_if(|one| one.id < view.id).is_some() {}
-            let same = |one: &Upstream| one.id == view.id && one.started_ms == view.started_ms;
-            let mut upstream = before.next_if(same).unwrap_or_else(|| {
+            while previous.next_if(|upstream| upstream.id < view.id).is_some() {}
+            let same = |old: &Upstream| old.id == view.id && old.started_ms == view.started_ms;
+            let mut upstream = previous.next_if(same).unwrap_or_else(|| {
                 Upstream::new(
                     view.id.clone(),
                     view.region.clone(),
--- a/crates/entry/src/traffic/lookup.rs
+++ b/crates/entry/src/traffic/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which entries a caller is to use. And readiness, and metrics.
+//! Serves look-ups of the entries that a caller should use, readiness checks and metrics.
 
 use crate::{
     metric,
@@ -29,12 +29,12 @@
     time::Duration, //
 };
 
-/// How long an answer holds: short, so that an entry that stops is out of use well before it ends;
-/// some callers keep an answer three times as long.
-const TTL: Duration = Duration::from_secs(2);
-/// Most addresses in an answer.
+/// Time for which a look-up's response is valid. Short, so that callers stop using an entry well before it exits; some
+/// callers keep a response for three times as long.
+const LOOKUP_TTL: Duration = Duration::from_secs(2);
+/// Maximum number of addresses in a response.
 const ADDRESSES_MAX: usize = 64;
-/// Limits of callers of these ports, whose requests are a line and a few headers.
+/// Limits for requests to these ports, which consist of a request line and a few headers.
 const LIMITS: CallerLimits = CallerLimits {
     max_header_bytes: 8 << 10,
     max_body_bytes: 0,
@@ -42,10 +42,10 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// Answers on the ports beside the callers' one.
-pub(super) struct Pages(pub(super) Rc<Traffic>);
+/// Handles requests to the look-up, readiness and metrics ports.
+pub(super) struct AuxiliaryHandler(pub(super) Rc<Traffic>);
 
-impl Handler for Pages {
+impl Handler for AuxiliaryHandler {
     fn limits(&self) -> CallerLimits {
         LIMITS
     }
@@ -83,7 +83,7 @@
     }
 }
 
-impl Pages {
+impl AuxiliaryHandler {
     fn lookup(&self, snapshot: &Snapshot, query: &str) -> CallerResponse {
         let field = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -99,20 +99,20 @@
         }
         metrics::counter!(metric::LOOKUPS).increment(1);
         let shared = &self.0.shared;
-        let ttl = TTL.min(snapshot.bounds.lookup_ttl_max);
+        let ttl = LOOKUP_TTL.min(snapshot.bounds.lookup_ttl_max);
         let addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
         let body = serde_json::json!({
             shared.dialect.addresses_field: addresses,
             shared.dialect.ttl_s_field: ttl.as_secs_f64(),
         });
-        let mut answer = CallerResponse::text(StatusCode::OK, body.to_string());
+        let mut response = CallerResponse::text(StatusCode::OK, body.to_string());
         let json = HeaderValue::from_static("application/json");
-        answer.headers.insert(CONTENT_TYPE, json);
-        answer
+        response.headers.insert(CONTENT_TYPE, json);
+        response
     }
 }
 
-/// Entries for a caller: those of its region, or else those of the nearest one.
+/// Returns the entries for a caller: those of its region, or those of the nearest region if it has none.
 fn entries_for(snapshot: &Snapshot, region: &str) -> Vec<SocketAddr> {
     let addrs = |entries: Vec<&EntryView>| {
         let entries = entries.into_iter().take(ADDRESSES_MAX);
@@ -124,9 +124,9 @@
             .filter(|entry| entry.region == region)
             .collect::<Vec<_>>()
     };
-    let here = of_region(region);
-    if !here.is_empty() {
-        return addrs(here);
+    let local = of_region(region);
+    if !local.is_empty() {
+        return addrs(local);
     }
     let nearest = snapshot
         .entries
--- a/crates/entry/src/traffic/mod.rs
+++ b/crates/entry/src/traffic/mod.rs
@@ -1,24 +1,26 @@
-//! Traffic: callers' requests, look-ups, readiness and metrics, on one thread.
+//! The traffic thread, which serves callers' requests, look-ups, readiness checks and metrics.
 //!
-//! - `request` takes one request from its head to its final answer; `plan` finds out what it needs.
-//! - `job` sends it until there is an answer, `attempt` sends it once and says what is known of the
-//!   run, `reply` makes the final answer, `stream` passes a long one on, `log` writes what became of it.
-//! - `fleet` holds what this thread knows of upstreams, in a `group` for each service, and decides where a
-//!   request goes (`placement`).
-//! - `lookup` answers which entries to use.
-//! - `ports` opens the ports.
+//! - `request` handles one request from its head to its final response; `plan` resolves its route, service, deadline
+//!   and affinity key.
+//! - `dispatch` sends the request to upstreams, with retries; `attempt` makes one send and reports whether the request
+//!   may have run; `response` builds the final response; `stream` forwards a long response body; `request_log` writes
+//!   log lines.
+//! - `fleet` holds this thread's state of the upstreams, in one `group` per service, and selects the upstream of a
+//!   request; `placement` has the types for this.
+//! - `lookup` serves entry look-ups, readiness checks and metrics.
+//! - `ports` accepts connections.
 
 mod attempt;
+mod dispatch;
 mod fleet;
 mod group;
-mod job;
-mod log;
 mod lookup;
 mod placement;
 mod plan;
 mod ports;
-mod reply;
 mod request;
+mod request_log;
+mod response;
 mod stream;
 
 pub(crate) use ports::{
@@ -52,7 +54,7 @@
     },
 };
 
-/// What both threads hold.
+/// State shared by the control and traffic threads.
 pub(crate) struct Shared {
     pub(crate) settings: Arc<Settings>,
     pub(crate) dialect: Dialect,
@@ -60,9 +62,9 @@
     pub(crate) channels: Channels,
     pub(crate) metrics: PrometheusHandle,
     pub(crate) clock: Clock,
-    /// Requests without a final answer.
+    /// Number of requests without a final response.
     pub(crate) under_way: AtomicUsize,
-    /// The end is near: no request is begun any more.
+    /// Set shortly before the process exits; new requests are then rejected.
     pub(crate) closing: AtomicBool,
 }
 
@@ -71,10 +73,10 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) pool: Pool,
     pub(crate) fleet: RefCell<Fleet>,
-    /// Connections of callers.
-    pub(crate) callers: Cell<usize>,
-    /// Bound on log lines of requests.
-    pub(crate) log: log::Limit,
+    /// Number of open connections from callers.
+    pub(crate) caller_connections: Cell<usize>,
+    /// Rate limit for log lines about requests.
+    pub(crate) log_limiter: request_log::LogLimiter,
 }
 
 impl Traffic {
@@ -84,29 +86,30 @@
             shared,
             pool: Pool::default(),
             fleet: RefCell::new(fleet),
-            callers: Cell::new(0),
-            log: log::Limit::default(),
+            caller_connections: Cell::new(0),
+            log_limiter: request_log::LogLimiter::default(),
         }
     }
 
-    /// The newest snapshot, which the fleet then follows, with what the other entries told.
-    pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
-        let snapshot = self.follow_control();
-        // What is said of an upstream counts for those that the snapshot has.
+    /// Applies the newest snapshot and the loads and warm keys reported by other entries to the fleet. Returns the
+    /// snapshot.
+    pub(crate) fn refresh(&self) -> Arc<Snapshot> {
+        let snapshot = self.refresh_snapshot();
+        // Reports are applied after the snapshot, as they only affect upstreams that the fleet has.
         let mut fleet = self.fleet.borrow_mut();
-        fleet.follow_loads(&self.shared.channels.loads, self.now());
+        fleet.update_peer_loads(&self.shared.channels.loads, self.now());
         snapshot
     }
 
-    /// The newest snapshot, which the fleet then follows.
-    pub(crate) fn follow_control(&self) -> Arc<Snapshot> {
+    /// Applies the newest snapshot and the shared rate limits to the fleet. Returns the snapshot.
+    pub(crate) fn refresh_snapshot(&self) -> Arc<Snapshot> {
         let snapshot = self.shared.published.load_full();
         let mut fleet = self.fleet.borrow_mut();
-        let is_newer = fleet.follow(&snapshot);
+        let is_newer = fleet.update(&snapshot);
         if is_newer {
-            self.pool.sweep(|id| fleet.knows(id));
+            self.pool.sweep(|id| fleet.is_usable(id));
         }
-        fleet.follow_limits(&self.shared.channels.limits, is_newer);
+        fleet.update_limits(&self.shared.channels.limits, is_newer);
         snapshot
     }
 
--- a/crates/entry/src/traffic/placement.rs
+++ b/crates/entry/src/traffic/placement.rs
@@ -1,6 +1,6 @@
-//! What a request needs, and what became of the search for its upstream.
+//! Input and result of selecting an upstream for a request.
 
-use crate::traffic::log::millis;
+use crate::traffic::request_log::millis;
 use balance::{
     Expectation,
     Upstream, //
@@ -14,86 +14,85 @@
 use bytestring::ByteString;
 use event::{
     Expected,
-    Reason, //
-    UpstreamCounts,
+    Reason,
+    UpstreamCounts, //
 };
 use relay::Target;
 use route::Route;
 use std::time::Duration;
 
-/// What a request needs, of what the fleet doesn't know itself.
-pub(super) struct Need<'a> {
+/// Properties of a request that determine its placement.
+pub(super) struct PlacementRequest<'a> {
     pub(super) service: &'a ServiceId,
     pub(super) route: &'a Route,
     pub(super) key: u64,
-    pub(super) keyed: bool,
-    /// A number that is another one for each request.
+    pub(super) has_affinity_key: bool,
+    /// A value that differs between requests.
     pub(super) nonce: u64,
     pub(super) target_left: Duration,
     pub(super) deadline_left: Duration,
     pub(super) tried: &'a [UpstreamId],
 }
 
-/// One life of an upstream: what comes of a request says nothing of a later one.
+/// One incarnation of an upstream. The result of a request applies only to the incarnation that it was sent to.
 #[derive(Clone, Debug)]
 pub(super) struct Incarnation {
     pub(super) service: ServiceId,
     pub(super) id: UpstreamId,
-    /// When it started, in Unix milliseconds.
+    /// Start time, in Unix milliseconds.
     pub(super) started_ms: u64,
 }
 
 impl Incarnation {
-    /// Whether `upstream` is it.
-    pub(super) fn is(&self, upstream: &Upstream) -> bool {
+    /// Returns whether `upstream` is this incarnation.
+    pub(super) fn matches(&self, upstream: &Upstream) -> bool {
         self.id == upstream.id && self.started_ms == upstream.started_ms
     }
 }
 
-/// How a request stands at its upstream.
+/// The upstream chosen for a request, and its state at that time.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
-    /// Where it is.
-    pub(super) at: Incarnation,
-    /// Its route.
+    /// Incarnation of the upstream.
+    pub(super) incarnation: Incarnation,
+    /// Route of the request.
     pub(super) route: ByteString,
-    /// Its affinity key, if it has one that makes a difference.
+    /// Hash of the affinity key, if the request has one and its route is sticky.
     pub(super) key: Option<u64>,
-    /// The upstream had that key lately.
+    /// Whether the upstream is warm for that key.
     pub(super) warm: bool,
-    /// It should find a free slot.
+    /// Whether the upstream is expected to have a free slot.
     pub(super) idle: bool,
-    /// Whether the upstream is cold or states a limit; the request then counts as waiting there until it is sent.
+    /// Whether the upstream is cold or states a rate limit; the request then counts as waiting there until it is sent.
     pub(super) restricted: bool,
-    /// Requests that the upstream had, as far as known.
+    /// Estimated number of requests at the upstream.
     pub(super) load: f64,
-    /// Requests that it works on at a time.
+    /// Number of requests that the upstream runs concurrently.
     pub(super) slots: u32,
-    /// Age of what it last said of its load.
+    /// Age of its last load report.
     pub(super) report_age: Option<Duration>,
-    /// Its region.
+    /// Region of the upstream.
     pub(super) region: RegionId,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub(super) failure_domain: DomainId,
-    /// What was expected of it.
+    /// Expected wait and response time.
     pub(super) expected: Expected,
 }
 
-/// Why a request is refused, and what that was decided from.
+/// Why a request is rejected, with the data behind the decision.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Refused {
-    /// Reason.
+pub(super) struct Rejection {
     pub(super) reason: Reason,
-    /// When to come back.
+    /// Time after which the caller should retry.
     pub(super) retry_after: Duration,
-    /// What was expected of the upstream that would have answered first.
+    /// Expected wait and response time of the upstream that would have responded first.
     pub(super) expected: Expected,
-    /// How the service's upstreams stood.
-    pub(super) census: UpstreamCounts,
+    /// Counts of the service's upstreams by state.
+    pub(super) upstream_counts: UpstreamCounts,
 }
 
-impl Refused {
-    /// A refusal that no look at upstreams decided.
+impl Rejection {
+    /// Creates a rejection that doesn't depend on the state of the upstreams.
     pub(super) fn new(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
@@ -103,18 +102,17 @@
     }
 }
 
-/// What to do with a request.
-pub(super) enum Placed {
+/// Result of selecting an upstream.
+pub(super) enum PlacementDecision {
     Send {
         target: Target,
-        /// How it stands there.
         placement: Box<Placement>,
     },
-    Refuse(Refused),
+    Reject(Rejection),
 }
 
-/// An expectation as the log has it.
-pub(super) fn logged(expected: Expectation) -> Expected {
+/// Converts an expectation to its form in log lines.
+pub(super) fn logged_expectation(expected: Expectation) -> Expected {
     Expected {
         wait_ms: millis(expected.wait),
         answer_ms: millis(expected.response_time),
--- a/crates/entry/src/traffic/plan.rs
+++ b/crates/entry/src/traffic/plan.rs
@@ -1,16 +1,16 @@
-//! What a request needs, or why it can't be served.
+//! Resolves the route, service, deadline and affinity key of a request.
 
 use crate::{
     dialect::Dialect,
     snapshot::Snapshot,
     traffic::{
-        job::{
-            Job,
-            Resend, //
+        dispatch::{
+            BodySource,
+            Dispatch, //
         },
-        reply::{
-            come_back,
-            Final, //
+        response::{
+            retry_later,
+            FinalResponse, //
         },
         Traffic, //
     },
@@ -46,26 +46,25 @@
     time::Duration, //
 };
 
-/// When to come back to an entry that knows no routes yet: reading them takes a few milliseconds
-/// once the store answers.
-const NO_ROUTES_RETRY: Duration = Duration::from_millis(300);
-/// When to come back, to another entry, after one that is about to end.
-const CLOSING_RETRY: Duration = Duration::from_millis(20);
+/// `Retry-After` of an entry that has no routes yet. Reading them takes a few milliseconds once the store responds.
+const NO_ROUTES_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// `Retry-After` of an entry that is about to exit; the caller should use another entry.
+const CLOSING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Finds out what a request needs, or why it can't be served.
+/// Prepares a request for dispatch, or returns the final response if it can't be served.
 pub(super) fn plan(
     traffic: &Rc<Traffic>,
     snapshot: &Snapshot,
     request: Request,
-) -> Result<Job, Final> {
+) -> Result<Dispatch, FinalResponse> {
     if traffic.shared.closing.load(Ordering::Relaxed) {
-        let (mut answer, outcome) = come_back(CLOSING_RETRY, Outcome::Closing);
-        answer.close = true;
-        return Err((answer, outcome));
+        let (mut response, outcome) = retry_later(CLOSING_RETRY_AFTER, Outcome::Closing);
+        response.close = true;
+        return Err((response, outcome));
     }
     let dialect = &traffic.shared.dialect;
     let Some(table) = &snapshot.table else {
-        return Err(come_back(NO_ROUTES_RETRY, Outcome::NoRoutes));
+        return Err(retry_later(NO_ROUTES_RETRY_AFTER, Outcome::NoRoutes));
     };
     let host = text(&request.headers, &HOST);
     let path = request.uri.path();
@@ -81,21 +80,21 @@
             Outcome::NoRequestId,
         ));
     };
-    let asked_ms = text(&request.headers, &dialect.deadline_ms)
+    let requested_ms = text(&request.headers, &dialect.deadline_ms)
         .and_then(|value| value.trim().parse::<f64>().ok())
         .filter(|ms| ms.is_finite() && *ms >= 0.0);
-    // Whatever a caller states: more than any time is longer than the route's.
-    let asked =
-        asked_ms.map(|ms| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::MAX));
-    let wait = asked.map_or(route.timeout, |asked| asked.min(route.timeout));
+    // A value too large for a `Duration` is capped by the route's timeout below.
+    let requested =
+        requested_ms.map(|ms| Duration::try_from_secs_f64(ms / 1000.0).unwrap_or(Duration::MAX));
+    let timeout = requested.map_or(route.timeout, |requested| requested.min(route.timeout));
     let mut fleet = traffic.fleet.borrow_mut();
-    let Some(service) = fleet.service(route) else {
-        return Err(come_back(NO_ROUTES_RETRY, Outcome::NoService));
+    let Some(service) = fleet.next_service(route) else {
+        return Err(retry_later(NO_ROUTES_RETRY_AFTER, Outcome::NoService));
     };
-    fleet.offer(&service, traffic.now());
+    fleet.note_request(&service, traffic.now());
     drop(fleet);
     let key = affinity_key(dialect, &request.headers).filter(|_| route.sticky);
-    let keyed = key.is_some();
+    let has_affinity_key = key.is_some();
     let key = key.unwrap_or_else(|| balance::affinity_hash(id.as_bytes()));
     let path_and_query = request.uri.path_and_query();
     let path = path_and_query.map_or("/", |path| path.as_str()).to_owned();
@@ -103,10 +102,10 @@
     headers.remove(EXPECT);
     let fingerprint = request_fingerprint(&request.method, &path, &headers, &request.body);
     let body = match request.body {
-        RequestBody::Whole(bytes) => Resend::Whole(bytes),
-        body @ RequestBody::Stream { .. } => Resend::Once(Some(body)),
+        RequestBody::Whole(bytes) => BodySource::Buffered(bytes),
+        body @ RequestBody::Stream { .. } => BodySource::Streamed(Some(body)),
     };
-    Ok(Job {
+    Ok(Dispatch {
         traffic: traffic.clone(),
         route: route.clone(),
         service,
@@ -117,10 +116,10 @@
         body,
         fingerprint,
         key,
-        keyed,
+        has_affinity_key,
         received: request.received,
-        deadline: request.received + wait,
-        ended: Cell::new(false),
+        deadline: request.received + timeout,
+        has_final_response: Cell::new(false),
         last_placed: RefCell::default(),
     })
 }
@@ -150,7 +149,7 @@
     ])
 }
 
-/// Hash of the affinity cookie's value.
+/// Returns the hash of the affinity cookie's value.
 fn affinity_key(dialect: &Dialect, headers: &HeaderMap) -> Option<u64> {
     let cookies = headers.get_all(COOKIE).filter_map(|v| v.to_str().ok());
     let mut pairs = cookies.flat_map(|cookies| cookies.split(';'));
--- a/crates/entry/src/traffic/ports.rs
+++ b/crates/entry/src/traffic/ports.rs
@@ -1,7 +1,7 @@
-//! The ports of the traffic thread.
+//! Accepts connections on the ports of the traffic thread.
 
 use crate::traffic::{
-    lookup::Pages,
+    lookup::AuxiliaryHandler,
     Shared,
     Traffic, //
 };
@@ -25,54 +25,58 @@
 };
 use tokio::net::TcpListener as Listener;
 
-/// Pause after a failed accept, such as one for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time between two tellings of the requests in flight to control.
+/// Interval at which requests in flight are published to the control thread.
 const LOADS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bound ports, to be served.
+/// Bound listeners.
 pub(crate) struct Ports {
     pub(crate) callers: TcpListener,
-    /// Look-ups, readiness and metrics.
+    /// Listeners for look-ups, readiness checks and metrics.
     pub(crate) pages: Vec<TcpListener>,
 }
 
-/// Serves the ports for as long as the process; to be called on the traffic thread.
+/// Spawns the tasks that serve the ports until the process exits. Must be called on the traffic thread.
 pub(crate) fn open(ports: Ports, shared: Arc<Shared>) -> io::Result<()> {
     let traffic = Rc::new(Traffic::new(shared));
     for listener in ports.pages {
-        let pages = Rc::new(Pages(traffic.clone()));
-        actix_rt::spawn(accept(listener_of(listener)?, pages, traffic.clone()));
+        let handler = Rc::new(AuxiliaryHandler(traffic.clone()));
+        actix_rt::spawn(accept(
+            to_tokio_listener(listener)?,
+            handler,
+            traffic.clone(),
+        ));
     }
-    actix_rt::spawn(send_loads(traffic.clone()));
-    let callers = listener_of(ports.callers)?;
+    actix_rt::spawn(publish_loads(traffic.clone()));
+    let callers = to_tokio_listener(ports.callers)?;
     actix_rt::spawn(accept(callers, traffic.clone(), traffic));
     Ok(())
 }
 
-fn listener_of(listener: TcpListener) -> io::Result<Listener> {
+fn to_tokio_listener(listener: TcpListener) -> io::Result<Listener> {
     listener.set_nonblocking(true)?;
     Listener::from_std(listener)
 }
 
-/// Tells control the requests in flight, more often than control passes them on.
-async fn send_loads(traffic: Rc<Traffic>) {
+/// Publishes requests in flight and warm keys to the control thread, more often than it forwards them.
+async fn publish_loads(traffic: Rc<Traffic>) {
     loop {
         tokio::time::sleep(LOADS_INTERVAL).await;
         let own = traffic.fleet.borrow().loads();
         let shared = &traffic.shared.channels.loads;
         shared.own.store(Arc::new(own));
         let mut fleet = traffic.fleet.borrow_mut();
-        shared.warmed.put(fleet.take_warmed());
+        shared.warmed.put(fleet.take_unreported_warm_keys());
         if shared.all_wanted.swap(false, Ordering::Relaxed) {
-            shared.all_warm.put(fleet.all_warm());
+            shared.all_warm.put(fleet.all_warm_keys());
         }
     }
 }
 
 async fn accept<H: Handler>(listener: Listener, handler: Rc<H>, traffic: Rc<Traffic>) {
-    let most = traffic.shared.settings.max_callers();
+    let max_connections = traffic.shared.settings.max_callers();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -80,22 +84,28 @@
                 emit(&Event::AcceptFailed {
                     error: error.to_string(),
                 });
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if traffic.callers.get() >= most {
-            if traffic.log.take(true, traffic.now()) {
-                emit(&Event::CallerTurnedAway { most });
+        if traffic.caller_connections.get() >= max_connections {
+            if traffic.log_limiter.try_take(true, traffic.now()) {
+                emit(&Event::CallerTurnedAway {
+                    most: max_connections,
+                });
             }
             continue;
         }
         let handler = handler.clone();
         let traffic = traffic.clone();
-        traffic.callers.set(traffic.callers.get() + 1);
+        traffic
+            .caller_connections
+            .set(traffic.caller_connections.get() + 1);
         actix_rt::spawn(async move {
             serve(stream, handler).await;
-            traffic.callers.set(traffic.callers.get() - 1);
+            traffic
+                .caller_connections
+                .set(traffic.caller_connections.get() - 1);
         });
     }
 }
--- a/crates/entry/src/traffic/request.rs
+++ b/crates/entry/src/traffic/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its final answer.
+//! Handles one request from its head to its final response.
 
 use crate::{
     metric,
@@ -50,30 +50,30 @@
     }
 
     async fn handle(self: Rc<Self>, request: Request) -> CallerResponse {
-        let _counted = Counted::new(&self);
+        let _active = ActiveRequest::new(&self);
         let received = request.received;
         let id = request
             .headers
             .get(&self.shared.dialect.request_id)
             .cloned();
-        let snapshot = self.snapshot();
-        let (mut answer, outcome) = match plan(&self, &snapshot, request) {
-            Ok(job) => job.run().await,
-            Err((answer, outcome)) => {
-                self.log_turned_away(id.as_ref(), &answer, outcome, received);
-                (answer, outcome)
+        let snapshot = self.refresh();
+        let (mut response, outcome) = match plan(&self, &snapshot, request) {
+            Ok(dispatch) => dispatch.run().await,
+            Err((response, outcome)) => {
+                self.log_rejected(id.as_ref(), &response, outcome, received);
+                (response, outcome)
             }
         };
         if let Some(id) = id {
             let name = &self.shared.dialect.request_id;
-            if !answer.headers.contains_key(name) {
-                answer.headers.insert(name.clone(), id);
+            if !response.headers.contains_key(name) {
+                response.headers.insert(name.clone(), id);
             }
         }
         metrics::counter!(metric::REQUESTS, "outcome" => outcome.as_str()).increment(1);
         metrics::histogram!(metric::REQUEST_SECONDS, "outcome" => outcome.as_str())
             .record(received.elapsed().as_secs_f64());
-        answer
+        response
     }
 
     fn refuse(&self, refusal: Refusal) -> CallerResponse {
@@ -85,7 +85,7 @@
             Refusal::Internal => StatusCode::BAD_GATEWAY,
         };
         metrics::counter!(metric::REQUESTS, "outcome" => "unreadable").increment(1);
-        if self.log.take(true, self.now()) {
+        if self.log_limiter.try_take(true, self.now()) {
             emit(&Event::RequestNotRead {
                 why: format!("{refusal:?}"),
                 status: status.as_u16(),
@@ -95,17 +95,17 @@
     }
 }
 
-/// A request under way, until it is dropped.
-struct Counted(Rc<Traffic>);
+/// Guard that counts a request as active until it is dropped.
+struct ActiveRequest(Rc<Traffic>);
 
-impl Counted {
+impl ActiveRequest {
     fn new(traffic: &Rc<Traffic>) -> Self {
         traffic.shared.under_way.fetch_add(1, Ordering::Relaxed);
         Self(traffic.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.shared.under_way.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/entry/src/traffic/log.rs
+++ b/crates/entry/src/traffic/request_log.rs
@@ -1,20 +1,19 @@
-//! Log lines of requests, bounded a second.
+//! Rate-limited log lines about requests.
 //!
-//! Each request gets one line when it ends, and one for each send that came to nothing; with the
-//! request's id, what decided it and how old that was. Failures come first: a line of a request that
-//! was answered in time is left out sooner than one that tells of a failure. What is left out is
-//! counted, and said in a line of its own.
+//! Each request gets one line when it ends and one for each failed send, with the request's id, the data that the
+//! decision was based on and its age. Answered requests (status below 500) have a lower limit than failures, so their
+//! lines are dropped sooner. Dropped lines are counted, and the count is logged.
 
 use crate::{
     metric,
     traffic::{
-        job::{
-            Job,
+        dispatch::{
+            Dispatch,
             Progress, //
         },
         placement::{
             Placement,
-            Refused, //
+            Rejection, //
         },
         Traffic, //
     },
@@ -48,70 +47,70 @@
     },
 };
 
-/// Lines a second of requests that were answered: above the usual load of an entry, some 90 a second.
-const ANSWERED_PER_S: u32 = 150;
-/// Lines a second of everything else about requests: enough for an entry that refuses all of a burst.
-const FAILED_PER_S: u32 = 400;
+/// Lines per second about answered requests. The usual load of an entry is about 90 requests per second.
+const ANSWERED_LINES_PER_S: u32 = 150;
+/// Lines per second about all other results. Enough for an entry that rejects every request of a burst.
+const FAILED_LINES_PER_S: u32 = 400;
 
-/// How many lines were written in this second.
+/// Rate limiter for log lines, with counts for the current second.
 #[derive(Debug, Default)]
-pub(crate) struct Limit {
+pub(crate) struct LogLimiter {
     second: Cell<u64>,
     answered: Cell<u32>,
     failed: Cell<u32>,
-    left_out: Cell<u32>,
+    dropped: Cell<u32>,
 }
 
-impl Limit {
-    /// Whether one more line may be written.
-    pub(super) fn take(&self, failure: bool, now: Now) -> bool {
+impl LogLimiter {
+    /// Counts one more line. Returns whether it may be written.
+    pub(super) fn try_take(&self, failure: bool, now: Now) -> bool {
         let second = now.as_secs();
         if self.second.replace(second) != second {
             self.answered.set(0);
             self.failed.set(0);
-            let left_out = self.left_out.replace(0);
-            if left_out > 0 {
-                let lines = u64::from(left_out);
+            let dropped = self.dropped.replace(0);
+            if dropped > 0 {
+                let lines = u64::from(dropped);
                 metrics::counter!(metric::LOG_LINES_LEFT_OUT, "reason" => "bound of a second")
                     .increment(lines);
                 emit(&Event::LinesLeftOut { lines });
             }
         }
-        let (lines, most) = if failure {
-            (&self.failed, FAILED_PER_S)
+        let (lines, max) = if failure {
+            (&self.failed, FAILED_LINES_PER_S)
         } else {
-            (&self.answered, ANSWERED_PER_S)
+            (&self.answered, ANSWERED_LINES_PER_S)
         };
-        let fits = lines.get() < most;
-        let counter = if fits { lines } else { &self.left_out };
+        let fits = lines.get() < max;
+        let counter = if fits { lines } else { &self.dropped };
         counter.set(counter.get() + 1);
         fits
     }
 }
 
 impl Traffic {
-    /// A request that was answered before it was known what it needs.
-    pub(super) fn log_turned_away(
+    /// Logs a request that was rejected before dispatch.
+    pub(super) fn log_rejected(
         &self,
         id: Option<&HeaderValue>,
-        answer: &CallerResponse,
+        response: &CallerResponse,
         outcome: Outcome,
         received: Instant,
     ) {
-        if !self.log.take(true, self.now()) {
+        if !self.log_limiter.try_take(true, self.now()) {
             return;
         }
-        let retry_after = answer.headers.get(RETRY_AFTER);
+        let retry_after = response.headers.get(RETRY_AFTER);
         let retry_after_s: Option<f64> = retry_after.and_then(|value| text(value).parse().ok());
         emit(&Event::Request(Box::new(RequestEnded {
-            status: Some(answer.status.as_u16()),
+            status: Some(response.status.as_u16()),
             retry_after_ms: retry_after_s.map(|after_s| millis(Duration::from_secs_f64(after_s))),
-            ..self.ended(id.map_or_else(String::new, text), outcome, received)
+            ..self.end_event(id.map_or_else(String::new, text), outcome, received)
         })));
     }
 
-    /// What is known of the end of any request.
-    fn ended(&self, id: String, outcome: Outcome, received: Instant) -> RequestEnded {
+    /// Returns a `RequestEnded` with the fields that are known for any request.
+    fn end_event(&self, id: String, outcome: Outcome, received: Instant) -> RequestEnded {
         let snapshot = self.shared.published.load();
         RequestEnded {
             id,
@@ -139,16 +138,16 @@
     }
 }
 
-impl Job {
-    /// A send that gave no answer for the caller.
-    pub(super) fn log_send(
+impl Dispatch {
+    /// Logs a send without a response for the caller.
+    pub(super) fn log_failed_send(
         &self,
         target: &Target,
         placement: &Placement,
         not_run: bool,
         why: String,
     ) {
-        if !self.traffic.log.take(true, self.traffic.now()) {
+        if !self.traffic.log_limiter.try_take(true, self.traffic.now()) {
             return;
         }
         emit(&Event::SendFailed(Box::new(SendFailed {
@@ -162,70 +161,78 @@
         })));
     }
 
-    /// The end of a request.
-    pub(super) fn log_end(&self, end: &End<'_>) {
-        self.ended.set(true);
+    /// Logs the end of a request.
+    pub(super) fn log_end(&self, end: &EndSummary<'_>) {
+        self.has_final_response.set(true);
         let failure = end.status >= 500;
-        if !self.traffic.log.take(failure, self.traffic.now()) {
+        if !self
+            .traffic
+            .log_limiter
+            .try_take(failure, self.traffic.now())
+        {
             return;
         }
         let progress = end.progress;
-        let refused = end.refused;
-        let unsent = refused.filter(|_| progress.placement.is_none());
-        let comes_back = refused.filter(|_| end.outcome == Outcome::Refused);
+        let rejection = end.rejection;
+        let unplaced = rejection.filter(|_| progress.placement.is_none());
+        let retryable = rejection.filter(|_| end.outcome == Outcome::Refused);
         emit(&Event::Request(Box::new(RequestEnded {
             status: Some(end.status),
-            reason: refused.map(|refused| refused.reason),
+            reason: rejection.map(|rejection| rejection.reason),
             sends: progress.sends,
             may_have_run: progress.may_have_run,
             fingerprint: failure.then(|| hex(self.fingerprint)),
-            sent: self.sent_last(progress),
-            census: unsent.map(|refused| refused.census),
-            expected: unsent.map(|refused| refused.expected),
-            retry_after_ms: comes_back.map(|refused| millis(refused.retry_after)),
-            ..self.ended(end.outcome)
+            sent: self.last_sent(progress),
+            census: unplaced.map(|rejection| rejection.upstream_counts),
+            expected: unplaced.map(|rejection| rejection.expected),
+            retry_after_ms: retryable.map(|rejection| millis(rejection.retry_after)),
+            ..self.end_event(end.outcome)
         })));
     }
 
-    fn sent_last(&self, progress: &Progress) -> Option<Sent> {
+    fn last_sent(&self, progress: &Progress) -> Option<Sent> {
         let placement = progress.placement.as_ref()?;
         Some(sent(progress.upstream()?, placement))
     }
 
-    /// What is known of the end of any request whose route is known.
-    fn ended(&self, outcome: Outcome) -> RequestEnded {
+    /// Returns a `RequestEnded` with the fields that are known for any request with a route.
+    fn end_event(&self, outcome: Outcome) -> RequestEnded {
         RequestEnded {
             route: Some(self.route.id.clone()),
             service: Some(self.service.clone()),
             target_ms: Some(millis(self.route.latency_target)),
             deadline_ms: Some(millis(self.deadline - self.received)),
-            ..self.traffic.ended(text(&self.id), outcome, self.received)
+            ..self
+                .traffic
+                .end_event(text(&self.id), outcome, self.received)
         }
     }
 }
 
-impl Drop for Job {
-    /// A request that is dropped without a final answer belongs to a caller who has gone.
+impl Drop for Dispatch {
+    /// Logs a request that is dropped without a final response, because the caller has disconnected.
     fn drop(&mut self) {
-        if self.ended.get() || !self.traffic.log.take(true, self.traffic.now()) {
+        if self.has_final_response.get()
+            || !self.traffic.log_limiter.try_take(true, self.traffic.now())
+        {
             return;
         }
         let last = self.last_placed.borrow();
         emit(&Event::Request(Box::new(RequestEnded {
             may_have_run: last.is_some(),
             sent: last.as_ref().map(|(id, placement)| sent(id, placement)),
-            ..self.ended(Outcome::Cancelled)
+            ..self.end_event(Outcome::Cancelled)
         })));
     }
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy)]
-pub(super) struct End<'a> {
+pub(super) struct EndSummary<'a> {
     pub(super) status: u16,
     pub(super) outcome: Outcome,
-    /// What decided it, where that was this entry.
-    pub(super) refused: Option<&'a Refused>,
+    /// The rejection, if this entry produced the final response.
+    pub(super) rejection: Option<&'a Rejection>,
     pub(super) progress: &'a Progress,
 }
 
--- /dev/null
+++ b/crates/entry/src/traffic/response.rs
@@ -0,0 +1,128 @@
+//! Builds final responses: an upstream's response, or one made by the entry.
+
+use crate::traffic::{
+    attempt::{
+        ReceivedBody,
+        ReceivedResponse, //
+    },
+    dispatch::{
+        Dispatch,
+        Progress, //
+    },
+    placement::Rejection,
+    request_log::EndSummary,
+    stream::ResponseStream,
+};
+use actix_http::{
+    header::{
+        HeaderValue,
+        RETRY_AFTER, //
+    },
+    Method,
+    StatusCode, //
+};
+use event::Outcome;
+use relay::{
+    end_to_end_headers,
+    CallerResponse,
+    ResponseBody, //
+};
+use std::time::Duration;
+
+/// Final response and the outcome for metrics.
+pub(super) type FinalResponse = (CallerResponse, Outcome);
+
+/// Result of the last send that reached an upstream.
+pub(super) enum LastSend {
+    Answered(Box<ReceivedResponse>),
+    NotRun,
+    Failed { timeout: bool },
+}
+
+/// Builds a response which states that the request did not run and when to retry.
+pub(super) fn retry_later(after: Duration, outcome: Outcome) -> FinalResponse {
+    let mut response = CallerResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
+    let seconds = format!("{:.3}", after.as_secs_f64());
+    let value = HeaderValue::from_str(&seconds).expect("a decimal number is a valid header value");
+    response.headers.insert(RETRY_AFTER, value);
+    (response, outcome)
+}
+
+impl Dispatch {
+    /// Builds the final response from an upstream's response.
+    pub(super) fn forward_response(
+        &self,
+        progress: &Progress,
+        upstream_response: ReceivedResponse,
+    ) -> FinalResponse {
+        let outcome = if upstream_response.status.is_server_error() {
+            Outcome::UpstreamError
+        } else {
+            Outcome::Answered
+        };
+        self.log_end(&EndSummary {
+            status: upstream_response.status.as_u16(),
+            outcome,
+            rejection: None,
+            progress,
+        });
+        let headers = end_to_end_headers(&upstream_response.headers);
+        let body = match upstream_response.body {
+            ReceivedBody::Complete(_) if self.method == Method::HEAD => ResponseBody::Omitted {
+                length_bytes: upstream_response.length_bytes,
+            },
+            ReceivedBody::Complete(bytes) => ResponseBody::Whole(bytes),
+            ReceivedBody::Partial {
+                prefix,
+                rest,
+                in_flight,
+            } => {
+                let stream = ResponseStream {
+                    id: self.id.clone(),
+                    received: self.received,
+                    deadline: self.deadline,
+                    in_flight,
+                };
+                let parts = stream.forward(prefix, rest);
+                ResponseBody::Stream {
+                    length_bytes: upstream_response.length_bytes,
+                    parts,
+                }
+            }
+        };
+        let response = CallerResponse {
+            status: upstream_response.status,
+            headers,
+            body,
+            close: false,
+        };
+        (response, outcome)
+    }
+
+    /// Builds the final response when no further send is possible.
+    pub(super) fn give_up(&self, mut progress: Progress, rejection: &Rejection) -> FinalResponse {
+        let last = progress.last.take();
+        if let Some(LastSend::Answered(upstream_response)) = last {
+            // An upstream's own error response is preferred to one made by the entry.
+            return self.forward_response(&progress, *upstream_response);
+        }
+        let (response, outcome) = match last {
+            Some(LastSend::Failed { timeout: true }) => (
+                CallerResponse::empty(StatusCode::GATEWAY_TIMEOUT),
+                Outcome::TimedOut,
+            ),
+            _ if progress.may_have_run => (
+                CallerResponse::empty(StatusCode::BAD_GATEWAY),
+                Outcome::Failed,
+            ),
+            _ => retry_later(rejection.retry_after, Outcome::Refused),
+        };
+        self.log_end(&EndSummary {
+            status: response.status.as_u16(),
+            outcome,
+            rejection: Some(rejection),
+            progress: &progress,
+        });
+        (response, outcome)
+    }
+}
--- a/crates/entry/src/traffic/stream.rs
+++ b/crates/entry/src/traffic/stream.rs
@@ -1,8 +1,8 @@
-//! Long answers, passed on as they come.
+//! Streams long response bodies to the caller.
 
 use crate::traffic::{
     attempt::InFlight,
-    log::{
+    request_log::{
         millis,
         text, //
     },
@@ -20,24 +20,25 @@
 use std::time::Instant;
 use tokio::sync::mpsc;
 
-/// Pieces of a long answer between upstream and caller.
-const ANSWER_PARTS: usize = 8;
+/// Capacity of the channel between the upstream's body and the caller's connection, in parts.
+const BODY_CHANNEL_PARTS: usize = 8;
 
-/// A long answer on its way to the caller.
-pub(super) struct Stream {
+/// A response body being streamed to the caller.
+pub(super) struct ResponseStream {
     pub(super) id: HeaderValue,
     pub(super) received: Instant,
     pub(super) deadline: Instant,
-    /// The upstream stays in use until the answer has ended.
+    /// Keeps the request counted as in flight until the body ends.
     pub(super) in_flight: Box<InFlight>,
 }
 
-impl Stream {
-    /// Passes on what has come, then the rest; gives the end that the caller's connection reads.
-    pub(super) fn pass_on(self, begun: Bytes, rest: Box<BodyReader>) -> mpsc::Receiver<BodyPart> {
-        let (sender, parts) = mpsc::channel(ANSWER_PARTS);
+impl ResponseStream {
+    /// Spawns a task that forwards the data read so far and then the rest. Returns the receiver for the caller's
+    /// connection.
+    pub(super) fn forward(self, prefix: Bytes, rest: Box<BodyReader>) -> mpsc::Receiver<BodyPart> {
+        let (sender, parts) = mpsc::channel(BODY_CHANNEL_PARTS);
         actix_rt::spawn(async move {
-            let (sent_bytes, ended) = self.run(begun, rest, sender).await;
+            let (sent_bytes, ended) = self.run(prefix, rest, sender).await;
             if let Err(why) = ended {
                 self.log_cut(sent_bytes, why);
             }
@@ -45,20 +46,20 @@
         parts
     }
 
-    /// How much went to the caller, and why the answer ended early if it did.
+    /// Forwards the body. Returns the number of bytes sent and, if it ended early, why.
     async fn run(
         &self,
-        begun: Bytes,
+        prefix: Bytes,
         mut rest: Box<BodyReader>,
         sender: mpsc::Sender<BodyPart>,
     ) -> (u64, Result<(), String>) {
         let mut sent_bytes = 0;
-        let mut next = Some(begun);
+        let mut next = Some(prefix);
         loop {
             let length = next.as_ref().map_or(0, Bytes::len) as u64;
             let part = next.take().map_or(BodyPart::End, BodyPart::Data);
             let ended = part == BodyPart::End;
-            // A caller who has gone takes no more; leaving drops the connection, which cancels the rest.
+            // The caller has disconnected. Returning drops the upstream connection, which cancels the request there.
             if sender.send(part).await.is_err() {
                 return (sent_bytes, Err("the caller has gone".to_owned()));
             }
@@ -68,7 +69,7 @@
             sent_bytes += length;
             let read = tokio::select! {
                 read = rest.next(self.deadline) => read,
-                // An upstream that has stopped sending would be waited for, for a caller who has gone.
+                // Otherwise the task would wait for a stalled upstream after the caller has disconnected.
                 () = sender.closed() => return (sent_bytes, Err("the caller has gone".to_owned())),
             };
             match read {
@@ -80,7 +81,7 @@
 
     fn log_cut(&self, sent_bytes: u64, why: String) {
         let traffic = self.in_flight.traffic();
-        if !traffic.log.take(true, traffic.now()) {
+        if !traffic.log_limiter.try_take(true, traffic.now()) {
             return;
         }
         emit(&Event::AnswerCut {
