--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -19,7 +19,7 @@
 mod version;
 
 pub use request::{
-    answer::Answer,
+    answer::ErrorResponse,
     forward::ForwardKey,
     input, //
 };
--- a/crates/daemon/src/process/burn.rs
+++ b/crates/daemon/src/process/burn.rs
@@ -29,7 +29,7 @@
 };
 
 /// Duration of one bucket.
-pub(crate) const BUCKET: Duration = Duration::from_secs(10);
+pub(crate) const BUCKET_DURATION: Duration = Duration::from_secs(10);
 /// Buckets in the ring buffer: one hour.
 const BUCKETS: usize = 360;
 
@@ -57,10 +57,10 @@
     }
 
     /// Counts one request; `whole` is true if the complete response of an upstream was passed on.
-    pub(crate) fn note(&self, whole: bool, latency: Duration) {
+    pub(crate) fn record(&self, whole: bool, latency: Duration) {
         let latency_us = micros(latency);
         let is_good = whole && latency_us <= self.target_us.load(Ordering::Relaxed);
-        let index = self.started.elapsed().as_secs() / BUCKET.as_secs();
+        let index = self.started.elapsed().as_secs() / BUCKET_DURATION.as_secs();
         let slot = usize::try_from(index).unwrap_or(0) % BUCKETS;
         self.ring[slot].count(index, is_good);
         if whole {
@@ -70,7 +70,7 @@
 
     /// Non-empty buckets of the last hour, oldest first.
     pub(crate) fn buckets(&self) -> Vec<op::Bucket> {
-        let now = self.started.elapsed().as_secs() / BUCKET.as_secs();
+        let now = self.started.elapsed().as_secs() / BUCKET_DURATION.as_secs();
         let is_recent = |bucket: &op::Bucket| {
             let oldest = (now + 1).saturating_sub(BUCKETS as u64);
             bucket.good + bucket.bad > 0 && bucket.index >= oldest
--- a/crates/daemon/src/process/control/claims.rs
+++ b/crates/daemon/src/process/control/claims.rs
@@ -9,8 +9,8 @@
     control::Control,
     shared::{
         ClaimReply,
-        ClaimWanted,
-        Note, //
+        ClaimRequest,
+        ControlMessage, //
     },
 };
 use actix::{
@@ -78,7 +78,7 @@
 
 impl Control {
     /// Starts claiming a key.
-    pub(super) fn claim(&mut self, request: ClaimWanted, ctx: &mut Context<Self>) {
+    pub(super) fn claim(&mut self, request: ClaimRequest, ctx: &mut Context<Self>) {
         let (claimer, step) = Claimer::start(request.claimant, Guards::default());
         let caller = self.claims.next_caller;
         self.claims.next_caller += 1;
@@ -132,7 +132,7 @@
                 }
                 if let Some(pending) = self.claims.pending.remove(&caller) {
                     // The caller may be gone.
-                    let _ = pending.reply.send(ClaimReply::Over(answer));
+                    let _ = pending.reply.send(ClaimReply::Concluded(answer));
                 }
             }
         }
@@ -220,13 +220,13 @@
 }
 
 /// Asks control to release a claim; called from traffic threads.
-pub(crate) fn release_later(
-    notes: &tokio::sync::mpsc::UnboundedSender<Note>,
+pub(crate) fn request_release(
+    notes: &tokio::sync::mpsc::UnboundedSender<ControlMessage>,
     answer: &ClaimResult,
 ) {
     if let ClaimResult::NotRun(Some(releaser)) = answer {
         // A closed channel means that the process is exiting; its claims lapse with its lease.
-        let _ = notes.send(Note::Release(releaser.clone()));
+        let _ = notes.send(ControlMessage::Release(releaser.clone()));
     }
 }
 
--- a/crates/daemon/src/process/control/gauges.rs
+++ b/crates/daemon/src/process/control/gauges.rs
@@ -19,7 +19,7 @@
 
     fn export_pools(&self) {
         for (service, pool) in &self.pools {
-            let (usable, used) = pool.use_now(self.now());
+            let (usable, used) = pool.slot_usage(self.now());
             let label = service.to_string();
             metrics::gauge!(metric::SLOTS_USABLE, "service" => label.clone()).set(usable);
             metrics::gauge!(metric::SLOTS_USED, "service" => label).set(used);
@@ -29,7 +29,7 @@
     fn export_links(&self) {
         for (to, link) in &self.links {
             metrics::counter!(metric::LINK_BYTES, "to" => to.to_string())
-                .absolute(link.passed_bytes());
+                .absolute(link.transferred_bytes());
         }
     }
 }
@@ -39,10 +39,10 @@
     let counters = mesh.counters();
     metrics::counter!(metric::PEER_BYTES).absolute(counters.sent_bytes.get());
     // Taken from the counters, because events are dropped during a flood.
-    metrics::counter!(metric::STRANGERS).absolute(counters.strangers.get());
+    metrics::counter!(metric::STRANGERS).absolute(counters.refused_connections.get());
     let frames = [
         ("unknown", &counters.unknown_frames),
-        ("malformed", &counters.bad_frames),
+        ("malformed", &counters.invalid_frames),
     ];
     for (reason, count) in frames {
         metrics::counter!(metric::REFUSED_FRAMES, "reason" => reason).absolute(count.get());
--- a/crates/daemon/src/process/control/handover.rs
+++ b/crates/daemon/src/process/control/handover.rs
@@ -29,7 +29,7 @@
 
     /// Stops accepting new filings.
     pub(super) fn stop_filings(&mut self) {
-        self.shared.move_filings(|filings| filings.stop());
+        self.shared.advance_filings(|filings| filings.stop());
     }
 
     /// Offers the filings to a successor, if there is one.
@@ -38,7 +38,7 @@
         if let Some((successor, incarnation)) = self.successor() {
             spdlog::info!("handing filings over", kv: { successor = successor.to_string() });
             self.shared
-                .move_filings(|filings| filings.offer(&successor, incarnation, now));
+                .advance_filings(|filings| filings.offer(&successor, incarnation, now));
             self.send_offer();
         }
     }
@@ -88,7 +88,9 @@
         if offer.from != *from || offer.from_incarnation != incarnation {
             return;
         }
-        let accepted = self.shared.with_filings(|filings| filings.adopt(&offer));
+        let accepted = self
+            .shared
+            .with_filings(|filings| filings.accept_offer(&offer));
         let accepted = accepted.flatten();
         let payload = accepted.as_ref().map(peer::to_payload);
         let ack = HandOverAck {
@@ -106,7 +108,7 @@
         let accepted = peer::from_payload::<Accepted>(&ack.payload);
         if let (true, Ok(accepted)) = (ack.accepted, accepted) {
             self.shared
-                .move_filings(|filings| filings.acknowledged(&accepted));
+                .advance_filings(|filings| filings.acknowledged(&accepted));
         }
     }
 }
--- a/crates/daemon/src/process/control/heartbeats/mod.rs
+++ b/crates/daemon/src/process/control/heartbeats/mod.rs
@@ -99,7 +99,7 @@
             .instances()
             .filter(|(_, facts)| facts.state != LeaseState::Left)
             .filter_map(|(_, facts)| {
-                let addr = settings.dial(&facts.identity.peers_addr);
+                let addr = settings.dial_addr(&facts.identity.peers_addr);
                 Some((location_of(&facts.identity), addr.parse().ok()?))
             })
             .collect();
@@ -137,7 +137,7 @@
             } => self.on_frame(&from, incarnation, frame, ctx),
             Event::Down { .. } => self.publish(),
             // The mesh counts these.
-            Event::Stranger { .. } => {}
+            Event::Refused { .. } => {}
         }
     }
 
--- a/crates/daemon/src/process/control/lease.rs
+++ b/crates/daemon/src/process/control/lease.rs
@@ -207,7 +207,7 @@
                     holder,
                     pending_renewal: None,
                 }));
-                self.shared.claimed(incarnation);
+                self.shared.set_incarnation(incarnation);
                 spdlog::info!("lease taken", kv: { incarnation });
                 self.start(ctx);
                 let now = self.now();
--- a/crates/daemon/src/process/control/mod.rs
+++ b/crates/daemon/src/process/control/mod.rs
@@ -35,7 +35,7 @@
 mod stopping;
 
 pub(crate) use self::{
-    claims::release_later,
+    claims::request_release,
     config::{
         Accept,
         Edit,
@@ -71,7 +71,7 @@
     metric,
     pool::Pool,
     shared::{
-        Note,
+        ControlMessage,
         Shared, //
     },
     stop::Stage, //
@@ -126,7 +126,7 @@
 
 /// Why control ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum ExitReason {
     /// A planned stop completed.
     Planned,
     /// Another incarnation took the lease.
@@ -137,7 +137,7 @@
     ControlLost,
 }
 
-impl End {
+impl ExitReason {
     /// Converts the reason into the result of the process.
     pub(crate) fn into_result(self) -> eyre::Result<()> {
         match self {
@@ -172,7 +172,7 @@
     /// The long-term lease of this incarnation expired.
     lapsed: bool,
     /// Receives the reason when control ends.
-    end_sender: Option<oneshot::Sender<End>>,
+    end_sender: Option<oneshot::Sender<ExitReason>>,
 
     peers_listener: Option<TcpListener>,
     mesh: Option<Mesh>,
@@ -207,7 +207,7 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         peers_listener: TcpListener,
-        end_sender: oneshot::Sender<End>,
+        end_sender: oneshot::Sender<ExitReason>,
     ) -> Self {
         let settings = &shared.settings;
         let terms = &settings.terms;
@@ -340,11 +340,11 @@
 
     fn stopped(&mut self, _ctx: &mut Self::Context) {
         let end = if self.superseded {
-            End::Superseded
+            ExitReason::Superseded
         } else if self.lapsed {
-            End::Lapsed
+            ExitReason::Lapsed
         } else {
-            End::Planned
+            ExitReason::Planned
         };
         if let Some(end_sender) = self.end_sender.take() {
             // Without a receiver the process is already exiting.
@@ -353,20 +353,20 @@
     }
 }
 
-impl StreamHandler<Note> for Control {
-    fn handle(&mut self, note: Note, ctx: &mut Self::Context) {
+impl StreamHandler<ControlMessage> for Control {
+    fn handle(&mut self, note: ControlMessage, ctx: &mut Self::Context) {
         match note {
-            Note::Leaving(upstream) => {
+            ControlMessage::UpstreamLeaving(upstream) => {
                 spdlog::info!("upstream is leaving", kv: { upstream = upstream.to_string() });
                 let now = self.now();
                 self.membership_view
                     .mark_upstream_leaving(&upstream, Duration::ZERO, now);
                 self.request_heartbeats();
             }
-            Note::Claim(wanted) => self.claim(wanted, ctx),
-            Note::Ended(insert) => self.write_outcome(insert, ctx),
-            Note::Release(releaser) => self.release(releaser, ctx),
-            Note::Outcome(nonce, reply) => self.read_outcome(nonce, reply, ctx),
+            ControlMessage::Claim(wanted) => self.claim(wanted, ctx),
+            ControlMessage::WriteOutcome(insert) => self.write_outcome(insert, ctx),
+            ControlMessage::Release(releaser) => self.release(releaser, ctx),
+            ControlMessage::ReadOutcome(nonce, reply) => self.read_outcome(nonce, reply, ctx),
         }
     }
 
--- a/crates/daemon/src/process/control/outcomes.rs
+++ b/crates/daemon/src/process/control/outcomes.rs
@@ -108,7 +108,8 @@
 
     fn on_outcomes_written(&mut self, written: &[Nonce], removed: usize) {
         let now = self.now();
-        self.shared.with_filings(|filings| filings.written(written));
+        self.shared
+            .with_filings(|filings| filings.mark_written(written));
         self.outcomes.written.drain(..removed);
         let fresh = written.iter().map(|nonce| (now, *nonce));
         self.outcomes.written.extend(fresh);
--- a/crates/daemon/src/process/control/publish.rs
+++ b/crates/daemon/src/process/control/publish.rs
@@ -11,8 +11,8 @@
     request::{
         acquire::QUEUE_MAX,
         place::{
-            admission_of,
-            target_of, //
+            admission_target,
+            class_target, //
         },
     },
     version::{
@@ -77,7 +77,7 @@
         self.shared.published.store(Arc::new(Snapshot {
             version,
             stage: self.stage,
-            own,
+            own_index: own,
             regions,
             classes,
             blocks: Arc::clone(&self.blocks),
@@ -97,7 +97,7 @@
                 let classes = config.classes.iter();
                 classes.filter(|other| other.service == *service)
             };
-            let targets: Vec<ClassTarget> = of_service().map(admission_of).collect();
+            let targets: Vec<ClassTarget> = of_service().map(admission_target).collect();
             let place = of_service().position(|other| other.id == class.id);
             let place = place.expect("the class is one of its service's classes");
             let admit = AdmissionControl::new(targets, QUEUE_MAX);
@@ -105,11 +105,11 @@
             let view = ClassView {
                 class: class.clone(),
                 pool: Arc::clone(pool),
-                target: target_of(class),
-                place,
+                target: class_target(class),
+                class_index: place,
                 rank: (0..of_service().count()).filter(before).count(),
                 is_probe: !of_service().any(|other| other.idempotent),
-                admit: Arc::new(admit),
+                admission: Arc::new(admit),
             };
             let burn = self.shared.burn.class(&class.id);
             burn.set_target(class.latency_target);
@@ -150,7 +150,7 @@
                 instance: identity.instance,
                 incarnation,
                 failure_domain: identity.failure_domain,
-                dial_addr: settings.dial(&identity.callers_addr),
+                dial_addr: settings.dial_addr(&identity.callers_addr),
                 callers_addr: identity.callers_addr,
             })
             .collect();
--- a/crates/daemon/src/process/control/status.rs
+++ b/crates/daemon/src/process/control/status.rs
@@ -1,7 +1,7 @@
 //! State of this daemon as reported to operators.
 
 use crate::process::{
-    burn::BUCKET,
+    burn::BUCKET_DURATION,
     control::{
         lease::Lease,
         shares::PoolMembership,
@@ -164,7 +164,7 @@
             failure_domain: settings.failure_domain.clone(),
             version: self.version(),
             age_ms: millis(self.shared.burn.age()),
-            bucket_ms: millis(BUCKET),
+            bucket_ms: millis(BUCKET_DURATION),
             classes,
         })
     }
@@ -179,12 +179,15 @@
     }
 
     fn pool_status(&self, pool: &Arc<Pool>) -> PoolStatus {
-        let (usable, used) = pool.use_now(self.now());
+        let (usable, used) = pool.slot_usage(self.now());
         let upstreams = pool.upstreams();
         PoolStatus {
             service: pool.service.clone(),
             upstreams: upstreams.len(),
-            open: upstreams.iter().filter(|upstream| upstream.open()).count(),
+            open: upstreams
+                .iter()
+                .filter(|upstream| upstream.accepts_work())
+                .count(),
             slots: Bounds { usable, used },
             waiting: pool.waiting(),
         }
--- a/crates/daemon/src/process/control/steering/flows.rs
+++ b/crates/daemon/src/process/control/steering/flows.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     process::pool::{
-        CountTotals,
         Pool, //
+        PoolTotals,
     },
     version::Flow,
 };
@@ -44,7 +44,7 @@
 /// Demand of one service at this entry.
 #[derive(Debug)]
 pub(super) struct Flows {
-    totals: CountTotals,
+    totals: PoolTotals,
     ticked_at: Now,
     service_time: Duration,
     /// Expected latency of the next request at an upstream of this region.
@@ -108,7 +108,7 @@
 impl Flows {
     pub(super) fn new(now: Now) -> Self {
         Self {
-            totals: CountTotals::default(),
+            totals: PoolTotals::default(),
             ticked_at: now,
             service_time: Duration::ZERO,
             expected: Duration::ZERO,
@@ -140,14 +140,14 @@
             let completion_gap = elapsed.checked_div(completed).unwrap_or(elapsed);
             smooth_latency(self.completion_gap, completion_gap)
         };
-        pool.set_pace(self.service_time, self.completion_gap);
+        pool.set_service_times(self.service_time, self.completion_gap);
         self.arriving
             .tick(now, saturating_u32(counts.arrived), self.service_time);
         self.carrying
             .tick(now, saturating_u32(counts.carried), self.service_time);
         let service_ms = u64::try_from(self.service_time.as_millis()).unwrap_or(u64::MAX);
         self.backlog_milli_slots = u64::from(pool.waiting()).saturating_mul(service_ms);
-        pool.set_usual(self.carrying.milli_slots());
+        pool.set_smoothed_demand(self.carrying.milli_slots());
         for outflow in self.outflows.values_mut() {
             let total = outflow.flow.total();
             let sent = saturating_u32(total - outflow.total);
@@ -181,7 +181,7 @@
     /// count against the whole region.
     pub(super) fn set_expected(&mut self, pool: &Pool, typical: Option<Duration>) {
         self.expected = typical.unwrap_or(self.service_time);
-        pool.set_expected(self.expected);
+        pool.set_expected_latency(self.expected);
     }
 
     /// Expected latency of the next request at an upstream of this region.
@@ -191,7 +191,7 @@
 
     /// Counts the open slots, after the limits are set.
     pub(super) fn count_open(&mut self, pool: &Pool, now: Now) {
-        let right = pool.lease.right(now);
+        let right = pool.lease.entitlement(now);
         let upstreams = pool.upstreams();
         let views = upstreams.iter().map(|upstream| upstream.view(right, now));
         let views: Vec<steer::UpstreamView> = views.collect();
--- a/crates/daemon/src/process/control/steering/loads.rs
+++ b/crates/daemon/src/process/control/steering/loads.rs
@@ -106,10 +106,10 @@
     let wall_ms = shared.clock.wall_ms(now);
     let age = Duration::from_millis(wall_ms.saturating_sub(load.as_of_ms));
     upstream
-        .report
+        .last_report
         .set(now, age, load.slots, load.in_flight, load.queued);
-    upstream.report.set_cold(load.state == "cold");
+    upstream.last_report.set_cold(load.state == "cold");
     if load.state == "leaving" {
-        shared.note_leaving(upstream);
+        shared.report_leaving(upstream);
     }
 }
--- a/crates/daemon/src/process/control/steering/mod.rs
+++ b/crates/daemon/src/process/control/steering/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! At each tick control computes what traffic threads counted since the last one, feeds the state
 //! machines of crate `steer`, and publishes their results: those for upstreams in the atomics of
-//! the pools, those for regions as an [`Outlook`](crate::version::Outlook).
+//! the pools, those for regions as an [`Outlook`](crate::version::PlacementInputs).
 //!
 //! - `loads`: load reports of upstreams.
 //! - `upstreams`: slow start and failure detection of each upstream.
--- a/crates/daemon/src/process/control/steering/regions.rs
+++ b/crates/daemon/src/process/control/steering/regions.rs
@@ -10,13 +10,13 @@
         TICK, //
     },
     version::{
-        ClassOutlook,
+        ClassPlacementInputs,
         Flow,
-        Handed,
-        Outlook,
+        HandoverCounter,
+        PlacementInputs,
         Sibling,
         Spill,
-        LINK_UNKNOWN, //
+        DEFAULT_ROUND_TRIP, //
     },
 };
 use base::{
@@ -58,7 +58,7 @@
     other_regions: BTreeMap<(ServiceId, RegionId), Report>,
     round_trips: BTreeMap<RegionId, Duration>,
     /// Requests handed to other daemons of this region.
-    handed: BTreeMap<(ServiceId, InstanceId), Arc<Handed>>,
+    handed: BTreeMap<(ServiceId, InstanceId), Arc<HandoverCounter>>,
 }
 
 /// A received summary, and the time at which it was valid.
@@ -243,7 +243,7 @@
         }
         self.shared
             .outlook
-            .store(Arc::new(Outlook { version, classes }));
+            .store(Arc::new(PlacementInputs { version, classes }));
     }
 
     /// Updates round trips to other regions from the sessions' measurements.
@@ -268,7 +268,7 @@
         service: &ServiceId,
         admitting: &[bool],
         now: Now,
-    ) -> ClassOutlook {
+    ) -> ClassPlacementInputs {
         let own = self.shared.settings.region.clone();
         let estimates: Vec<RegionEstimate> = config
             .regions
@@ -291,9 +291,9 @@
             None => Vec::new(),
         };
         debug_assert!(config.regions.iter().any(|region| region.id == own) || spill.is_empty());
-        ClassOutlook {
+        ClassPlacementInputs {
             estimates,
-            headroom_away_pct,
+            remote_headroom_pct: headroom_away_pct,
             spill,
             flows,
             siblings: self.siblings(service, now),
@@ -309,9 +309,9 @@
         });
         let siblings = fresh.map(|(key, report)| Sibling {
             instance: key.1.clone(),
-            told_milli_slots: report.sum.arriving.milli_slots(),
-            open: report.sum.open,
-            handed: Arc::clone(handed.entry(key.clone()).or_default()),
+            reported_milli_slots: report.sum.arriving.milli_slots(),
+            open_slots: report.sum.open,
+            handovers: Arc::clone(handed.entry(key.clone()).or_default()),
         });
         siblings.collect()
     }
@@ -333,7 +333,7 @@
                     .round_trips
                     .get(region)
                     .copied()
-                    .unwrap_or(LINK_UNKNOWN)
+                    .unwrap_or(DEFAULT_ROUND_TRIP)
             },
             headroom_left_pct: 100,
             admitting: true,
--- a/crates/daemon/src/process/control/steering/upstreams.rs
+++ b/crates/daemon/src/process/control/steering/upstreams.rs
@@ -2,8 +2,8 @@
 //! one service.
 
 use crate::process::pool::{
+    ObservationTotals,
     Pool,
-    Totals,
     Upstream, //
 };
 use base::{
@@ -50,7 +50,7 @@
     upstream: Arc<Upstream>,
     slow_start: SlowStart,
     failure_detector: FailureDetector,
-    totals: Totals,
+    totals: ObservationTotals,
     was_open: bool,
     reported_cold: bool,
     /// Time of its last response or load report.
@@ -67,8 +67,8 @@
             upstream: Arc::clone(upstream),
             slow_start: SlowStart::warm(SlowStartSettings::default()),
             failure_detector: FailureDetector::trusted(FailureDetectorSettings::default()),
-            totals: upstream.seen.totals(),
-            was_open: upstream.open(),
+            totals: upstream.observations.totals(),
+            was_open: upstream.accepts_work(),
             reported_cold: false,
             last_heard_at: now,
             probe_offered: false,
@@ -80,14 +80,17 @@
     fn is_warm(&self) -> bool {
         let warm = self.slow_start.phase() == SlowStartPhase::Warm
             && !self.failure_detector.is_suspected();
-        warm && self.upstream.open() && self.was_open
+        warm && self.upstream.accepts_work() && self.was_open
     }
 
     /// Returns why it must go through slow start from now on, if it must.
     fn restart_cause(&mut self, now: Now) -> Option<SlowStartCause> {
-        let returned = rising_edge(&mut self.was_open, self.upstream.open());
-        let turned_cold = rising_edge(&mut self.reported_cold, self.upstream.report.says_cold());
-        let heard_at = self.upstream.report.heard_at().unwrap_or_default();
+        let returned = rising_edge(&mut self.was_open, self.upstream.accepts_work());
+        let turned_cold = rising_edge(
+            &mut self.reported_cold,
+            self.upstream.last_report.reports_cold(),
+        );
+        let heard_at = self.upstream.last_report.received_at().unwrap_or_default();
         let silent = heard_at > self.last_heard_at + LONG_SILENCE;
         self.last_heard_at = self.last_heard_at.max(heard_at).min(now);
         if returned {
@@ -102,7 +105,7 @@
     /// Processes the observations of traffic threads since the last tick.
     fn observe(&mut self, now: Now, usable: u32, others: &Others) {
         self.record_probe_taken(now);
-        let totals = self.upstream.seen.totals();
+        let totals = self.upstream.observations.totals();
         let mut seen = totals.since(&self.totals);
         self.totals = totals;
         if seen.responses > 0 {
@@ -146,9 +149,9 @@
     /// an upstream that looks slow receives little work, so its average hardly changes. A recovered
     /// upstream would receive about a request a second for many seconds.
     fn reset_slow_average(&self, probe: &steer::WindowStats) {
-        let average = self.upstream.seen.latency();
+        let average = self.upstream.observations.latency();
         match probe.mean_latency() {
-            Some(latency) if latency < average => self.upstream.seen.reset_latency(latency),
+            Some(latency) if latency < average => self.upstream.observations.reset_latency(latency),
             _ => {}
         }
     }
@@ -176,12 +179,12 @@
         let silent = !self.freshness(now).allows_growth();
         let due =
             self.slow_start.probe_due(now) && !suspect || self.failure_detector.probe_due(now);
-        upstream.limit.store(limit, Ordering::Relaxed);
+        upstream.slow_start_limit.store(limit, Ordering::Relaxed);
         upstream.cold.store(cold, Ordering::Relaxed);
         upstream.suspect.store(suspect, Ordering::Relaxed);
-        upstream.seen.judged();
+        upstream.observations.reset_failure_streak();
         upstream.silent.store(silent, Ordering::Relaxed);
-        self.probe_offered = due && upstream.open();
+        self.probe_offered = due && upstream.accepts_work();
         upstream.set_probe_due(self.probe_offered);
     }
 
@@ -243,7 +246,7 @@
     /// Median latency of the upstreams that serve at full speed.
     pub(super) fn median_latency(&self) -> Option<Duration> {
         let warm = self.by_id.values().filter(|monitor| monitor.is_warm());
-        let latencies = warm.map(|monitor| monitor.upstream.seen.latency());
+        let latencies = warm.map(|monitor| monitor.upstream.observations.latency());
         FailureDetector::median_latency(&mut latencies.collect::<Vec<_>>())
     }
 
@@ -280,7 +283,7 @@
         let latencies: Vec<Duration> = self
             .by_id
             .values()
-            .map(|monitor| monitor.upstream.seen.latency())
+            .map(|monitor| monitor.upstream.observations.latency())
             .collect();
         (0..warm.len())
             .map(|index| {
--- a/crates/daemon/src/process/filings.rs
+++ b/crates/daemon/src/process/filings.rs
@@ -69,7 +69,7 @@
     }
 
     /// Marks these outcomes as written to the table.
-    pub(crate) fn written(&mut self, nonces: &[Nonce]) {
+    pub(crate) fn mark_written(&mut self, nonces: &[Nonce]) {
         dispatch!(self, ledger => ledger.mark_written(nonces));
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes over what a stopping entry offers; `None` if this ledger can't.
-    pub(crate) fn adopt(&mut self, offer: &Offer) -> Option<Accepted> {
+    pub(crate) fn accept_offer(&mut self, offer: &Offer) -> Option<Accepted> {
         match self {
             Self::Open(ledger) => ledger.accept_offer(offer).ok(),
             _ => None,
--- a/crates/daemon/src/process/link.rs
+++ b/crates/daemon/src/process/link.rs
@@ -141,14 +141,14 @@
     }
 
     /// Bytes transferred since the process started.
-    pub(crate) fn passed_bytes(&self) -> u64 {
+    pub(crate) fn transferred_bytes(&self) -> u64 {
         self.transferred_bytes.load(Ordering::Relaxed)
     }
 
     /// Whether one more request would be admitted at `now`.
-    pub(crate) fn is_open(&self, now: Now, freshness: Freshness) -> bool {
+    pub(crate) fn has_capacity(&self, now: Now, freshness: Freshness) -> bool {
         let requests = self.requests.get();
-        if requests.in_flight >= requests.usable(self.lease.right(now)) {
+        if requests.in_flight >= requests.usable(self.lease.entitlement(now)) {
             return false;
         }
         let usable = self.usable_cap(now);
@@ -210,7 +210,10 @@
     ) -> Result<(), ShiftRefusal> {
         // The token is acquired first, by one compare-and-exchange: if control lowers the allotment
         // concurrently, it either sees this request in flight or prevents it from starting.
-        if !self.requests.try_acquire(self.lease.right(now), u32::MAX) {
+        if !self
+            .requests
+            .try_acquire(self.lease.entitlement(now), u32::MAX)
+        {
             return Err(ShiftRefusal::InFlight);
         }
         let usable = self.usable_cap(now);
@@ -227,7 +230,7 @@
     /// Part of the cap that this entry may use at `now`.
     fn usable_cap(&self, now: Now) -> ShiftCap {
         let cap = self.cap.get();
-        let entitlement = self.lease.right(now);
+        let entitlement = self.lease.entitlement(now);
         let in_flight = u32::from(self.requests.get().usable(entitlement));
         // All entries of the region together stay within the cap. Growth is rounded up, as a small
         // part would otherwise round to zero and never grow.
@@ -267,7 +270,7 @@
 
 impl ShiftGuard {
     /// Counts `bytes` as transferred; returns the delay for those not booked at admission.
-    pub(crate) fn pass(&self, bytes: usize) -> Duration {
+    pub(crate) fn record_bytes(&self, bytes: usize) -> Duration {
         let bytes = bytes as u64;
         self.link
             .transferred_bytes
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -21,7 +21,7 @@
     process::{
         control::{
             Control,
-            End,
+            ExitReason,
             Stop, //
         },
         settings::{
@@ -103,7 +103,7 @@
         actix_rt::spawn(operator);
         actix_rt::spawn(stop_on_signal(control)?);
         spdlog::info!("started", kv: { instance = shared.settings.instance.to_string() });
-        let end = end_rx.await.unwrap_or(End::ControlLost);
+        let end = end_rx.await.unwrap_or(ExitReason::ControlLost);
         for server in servers {
             // Only idle connections are left to close; no request is in flight any more.
             server.stop(true).await;
--- a/crates/daemon/src/process/pool/mod.rs
+++ b/crates/daemon/src/process/pool/mod.rs
@@ -16,7 +16,7 @@
 mod upstream;
 
 pub(crate) use self::{
-    observations::Totals,
+    observations::ObservationTotals,
     permit::Permit,
     queue::LAST_RANK,
     upstream::Upstream, //
@@ -53,7 +53,7 @@
 
 /// Counters of one service since the process started, written by traffic threads.
 #[derive(Debug, Default)]
-pub(crate) struct Counts {
+pub(crate) struct PoolCounts {
     arrived: AtomicU64,
     carried: AtomicU64,
     unserved: AtomicU64,
@@ -61,19 +61,19 @@
     held_us: AtomicU64,
 }
 
-impl Counts {
+impl PoolCounts {
     /// Counts a request from a caller of this region.
-    pub(crate) fn note_arrived(&self) {
+    pub(crate) fn record_arrived(&self) {
         self.arrived.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a request that this entry is to send to one of its upstreams.
-    pub(crate) fn note_carried(&self) {
+    pub(crate) fn record_carried(&self) {
         self.carried.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a request that had to wait for a slot or was refused one.
-    pub(crate) fn note_unserved(&self) {
+    pub(crate) fn record_unserved(&self) {
         self.unserved.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -84,8 +84,8 @@
     }
 
     /// Current totals. Control uses the difference between two of them.
-    pub(crate) fn totals(&self) -> CountTotals {
-        CountTotals {
+    pub(crate) fn totals(&self) -> PoolTotals {
+        PoolTotals {
             arrived: self.arrived.load(Ordering::Relaxed),
             carried: self.carried.load(Ordering::Relaxed),
             unserved: self.unserved.load(Ordering::Relaxed),
@@ -97,7 +97,7 @@
 
 /// Totals of the counters of a service at one moment, or their increase between two.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct CountTotals {
+pub(crate) struct PoolTotals {
     pub(crate) arrived: u64,
     pub(crate) carried: u64,
     pub(crate) unserved: u64,
@@ -105,7 +105,7 @@
     pub(crate) held_us: u64,
 }
 
-impl CountTotals {
+impl PoolTotals {
     /// Increase since `before`.
     pub(crate) fn since(&self, before: &Self) -> Self {
         Self {
@@ -124,7 +124,7 @@
     pub(crate) service: ServiceId,
     /// Lease on this entry's part of the slots.
     pub(crate) lease: LeaseClock,
-    pub(crate) counts: Counts,
+    pub(crate) counts: PoolCounts,
     upstreams: ArcSwap<Vec<Arc<Upstream>>>,
     queue: Queue,
     service_time_us: AtomicU64,
@@ -140,7 +140,7 @@
         Self {
             service,
             lease: LeaseClock::default(),
-            counts: Counts::default(),
+            counts: PoolCounts::default(),
             upstreams: ArcSwap::default(),
             queue: Queue::default(),
             service_time_us: AtomicU64::new(0),
@@ -162,13 +162,16 @@
     }
 
     /// Whether any upstream accepts new work.
-    pub(crate) fn takes_work(&self) -> bool {
-        self.upstreams.load().iter().any(|upstream| upstream.open())
+    pub(crate) fn accepts_work(&self) -> bool {
+        self.upstreams
+            .load()
+            .iter()
+            .any(|upstream| upstream.accepts_work())
     }
 
     /// Slots usable and in use at `now`, summed over all upstreams.
-    pub(crate) fn use_now(&self, now: Now) -> (u32, u32) {
-        let entitlement = self.lease.right(now);
+    pub(crate) fn slot_usage(&self, now: Now) -> (u32, u32) {
+        let entitlement = self.lease.entitlement(now);
         self.upstreams()
             .iter()
             .map(|upstream| upstream.slots.get())
@@ -191,7 +194,7 @@
     }
 
     /// Sets the times that control computes from the counts.
-    pub(crate) fn set_pace(&self, service_time: Duration, completion_gap: Duration) {
+    pub(crate) fn set_service_times(&self, service_time: Duration, completion_gap: Duration) {
         self.service_time_us
             .store(to_us(service_time), Ordering::Relaxed);
         self.completion_gap_us
@@ -199,12 +202,12 @@
     }
 
     /// Expected upstream latency of the next request; zero before the first response.
-    pub(crate) fn expected(&self) -> Duration {
+    pub(crate) fn expected_latency(&self) -> Duration {
         Duration::from_micros(self.expected_latency_us.load(Ordering::Relaxed))
     }
 
     /// Sets the expected upstream latency of the next request.
-    pub(crate) fn set_expected(&self, latency: Duration) {
+    pub(crate) fn set_expected_latency(&self, latency: Duration) {
         self.expected_latency_us
             .store(to_us(latency), Ordering::Relaxed);
     }
@@ -235,7 +238,7 @@
     }
 
     /// Sets the smoothed demand, in thousandths of a slot.
-    pub(crate) fn set_usual(&self, milli_slots: u64) {
+    pub(crate) fn set_smoothed_demand(&self, milli_slots: u64) {
         // Models the requests in flight as a Poisson distribution; two standard deviations above
         // the mean cover all but a few percent of the time.
         let mean = milli_slots as f64 / 1000.0;
@@ -260,7 +263,7 @@
     }
 
     /// Queues a request of a class of this rank until the guard is dropped.
-    pub(crate) fn wait(self: &Arc<Self>, rank: usize) -> WaitGuard {
+    pub(crate) fn enqueue(self: &Arc<Self>, rank: usize) -> WaitGuard {
         WaitGuard {
             waiter: self.queue.push(rank),
             pool: Arc::clone(self),
@@ -268,10 +271,14 @@
     }
 
     /// Acquires a slot of `upstream`, if the lease and the limits allow one more.
-    pub(crate) fn take(self: &Arc<Self>, upstream: &Arc<Upstream>, now: Now) -> Option<Permit> {
-        let entitlement = self.lease.right(now);
+    pub(crate) fn try_acquire(
+        self: &Arc<Self>,
+        upstream: &Arc<Upstream>,
+        now: Now,
+    ) -> Option<Permit> {
+        let entitlement = self.lease.entitlement(now);
         let limit = upstream.view(entitlement, now).limit();
-        let acquired = upstream.open() && upstream.slots.try_acquire(entitlement, limit);
+        let acquired = upstream.accepts_work() && upstream.slots.try_acquire(entitlement, limit);
         acquired.then(|| Permit::new(SlotGuard::new(self, upstream)))
     }
 
@@ -279,8 +286,11 @@
     ///
     /// For the baseline policies of measurements, which as published own no slots and let the
     /// upstream queue.
-    pub(crate) fn take_unbound(self: &Arc<Self>, upstream: &Arc<Upstream>) -> Option<Permit> {
-        let acquired = upstream.open() && upstream.slots.try_acquire_unbounded();
+    pub(crate) fn try_acquire_unbounded(
+        self: &Arc<Self>,
+        upstream: &Arc<Upstream>,
+    ) -> Option<Permit> {
+        let acquired = upstream.accepts_work() && upstream.slots.try_acquire_unbounded();
         acquired.then(|| Permit::new(SlotGuard::new(self, upstream)))
     }
 }
@@ -299,7 +309,7 @@
     }
 
     /// Number of requests ahead of it.
-    pub(crate) fn ahead(&self) -> u32 {
+    pub(crate) fn requests_ahead(&self) -> u32 {
         self.pool.queue.ahead_of(&self.waiter)
     }
 }
--- a/crates/daemon/src/process/pool/observations.rs
+++ b/crates/daemon/src/process/pool/observations.rs
@@ -38,7 +38,7 @@
 
 impl Observations {
     /// Records a complete response whose first byte took `latency`.
-    pub(crate) fn note_answer(&self, latency: Duration) {
+    pub(crate) fn record_response(&self, latency: Duration) {
         let sample_us = to_us(latency);
         self.failure_streak.store(0, Ordering::Relaxed);
         self.answered.fetch_add(1, Ordering::Relaxed);
@@ -54,25 +54,25 @@
     }
 
     /// Records a request that timed out.
-    pub(crate) fn note_timeout(&self) {
+    pub(crate) fn record_timeout(&self) {
         self.timed_out.fetch_add(1, Ordering::Relaxed);
         self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records a response that was cut off, too short, or for a different request.
-    pub(crate) fn note_broken(&self) {
+    pub(crate) fn record_broken(&self) {
         self.broken.fetch_add(1, Ordering::Relaxed);
         self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records a request that was not sent, as no connection could be opened.
-    pub(crate) fn note_not_sent(&self) {
+    pub(crate) fn record_not_sent(&self) {
         self.not_sent.fetch_add(1, Ordering::Relaxed);
         self.failure_streak.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records a request that the upstream shed.
-    pub(crate) fn note_shed(&self) {
+    pub(crate) fn record_shed(&self) {
         self.shed.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Resets the failure streak after control has evaluated the upstream.
-    pub(crate) fn judged(&self) {
+    pub(crate) fn reset_failure_streak(&self) {
         self.failure_streak.store(0, Ordering::Relaxed);
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Current totals. Control uses the difference between two of them.
-    pub(crate) fn totals(&self) -> Totals {
-        Totals {
+    pub(crate) fn totals(&self) -> ObservationTotals {
+        ObservationTotals {
             answered: self.answered.load(Ordering::Relaxed),
             latency_sum_us: self.latency_sum_us.load(Ordering::Relaxed),
             timed_out: self.timed_out.load(Ordering::Relaxed),
@@ -115,7 +115,7 @@
 
 /// Totals of [`Observations`] at one moment.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) struct Totals {
+pub(crate) struct ObservationTotals {
     answered: u64,
     latency_sum_us: u64,
     timed_out: u64,
@@ -124,7 +124,7 @@
     shed: u64,
 }
 
-impl Totals {
+impl ObservationTotals {
     /// Results recorded between `before` and these totals.
     pub(crate) fn since(&self, before: &Self) -> steer::WindowStats {
         let count = |now: u64, then: u64| u32::try_from(now - then).unwrap_or(u32::MAX);
--- a/crates/daemon/src/process/pool/permit.rs
+++ b/crates/daemon/src/process/pool/permit.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that the request is being sent, on a connection that `closing` tracks.
-    pub(crate) fn sent(&self, closing: &Closing, deadline: Instant) {
+    pub(crate) fn mark_sent(&self, closing: &Closing, deadline: Instant) {
         self.state.replace(RequestState::Sent(Cancellation {
             closing: closing.clone(),
             deadline,
@@ -111,13 +111,13 @@
     }
 
     /// Records that the upstream has finished the request or never received it.
-    pub(crate) fn ended(&self) {
+    pub(crate) fn mark_ended(&self) {
         self.state.replace(RequestState::Ended);
     }
 
     /// Records that the upstream's response is complete.
-    pub(crate) fn completed(&self) {
-        self.ended();
+    pub(crate) fn mark_completed(&self) {
+        self.mark_ended();
         if let (Some(slot), false) = (&self.slot, self.probe.get()) {
             slot.pool.counts.record_completed(self.taken_at.elapsed());
         }
--- a/crates/daemon/src/process/pool/upstream.rs
+++ b/crates/daemon/src/process/pool/upstream.rs
@@ -40,10 +40,10 @@
     /// Slots stated in the platform's list.
     pub(crate) listed_slots: u32,
     pub(crate) slots: Slots,
-    pub(crate) seen: Observations,
-    pub(crate) report: LastReport,
+    pub(crate) observations: Observations,
+    pub(crate) last_report: LastReport,
     /// Limit on requests in flight under slow start, set by control.
-    pub(crate) limit: AtomicU32,
+    pub(crate) slow_start_limit: AtomicU32,
     leaving: AtomicBool,
     /// Drained by an operator, which, unlike leaving, can be undone.
     pub(crate) drained: AtomicBool,
@@ -71,9 +71,9 @@
             failure_domain,
             listed_slots,
             slots: Slots::default(),
-            seen: Observations::default(),
-            report: LastReport::default(),
-            limit: AtomicU32::new(NO_LIMIT),
+            observations: Observations::default(),
+            last_report: LastReport::default(),
+            slow_start_limit: AtomicU32::new(NO_LIMIT),
             leaving: AtomicBool::new(false),
             drained: AtomicBool::new(false),
             suspect: AtomicBool::new(false),
@@ -99,7 +99,7 @@
     }
 
     /// Whether the upstream accepts new work.
-    pub(crate) fn open(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.is_leaving() && !self.drained.load(Ordering::Acquire)
     }
 
@@ -108,14 +108,14 @@
         let slots = self.slots.get();
         UpstreamView {
             usable: u32::from(slots.usable(entitlement)),
-            slow_start_limit: self.limit.load(Ordering::Relaxed),
+            slow_start_limit: self.slow_start_limit.load(Ordering::Relaxed),
             in_flight: u32::from(slots.in_flight),
-            latency: self.seen.latency(),
+            latency: self.observations.latency(),
             errors: 0,
-            reported: self.report.get(now),
-            suspect: self.suspect.load(Ordering::Relaxed) || self.seen.is_failing(),
+            reported: self.last_report.get(now),
+            suspect: self.suspect.load(Ordering::Relaxed) || self.observations.is_failing(),
             cold: self.cold.load(Ordering::Relaxed),
-            leaving: !self.open(),
+            leaving: !self.accepts_work(),
             fresh: !self.silent.load(Ordering::Relaxed),
             probe_due: false,
         }
@@ -129,9 +129,9 @@
     /// Whether a probe is due and may be sent now.
     ///
     /// A suspect gets one probe at a time; for a cold upstream, the slow start limit applies.
-    pub(crate) fn takes_probe(&self) -> bool {
+    pub(crate) fn accepts_probe(&self) -> bool {
         let is_cold = self.cold.load(Ordering::Relaxed);
-        self.probe_due() && self.open() && (is_cold || self.slots.get().in_flight == 0)
+        self.probe_due() && self.accepts_work() && (is_cold || self.slots.get().in_flight == 0)
     }
 
     /// Sets whether a probe is due; returns the previous value.
@@ -173,18 +173,18 @@
     }
 
     /// Whether the upstream last reported that it is cold.
-    pub(crate) fn says_cold(&self) -> bool {
+    pub(crate) fn reports_cold(&self) -> bool {
         self.cold.load(Ordering::Relaxed)
     }
 
     /// Time at which the last report was received.
-    pub(crate) fn heard_at(&self) -> Option<Now> {
+    pub(crate) fn received_at(&self) -> Option<Now> {
         let received_us = self.received_at_us.load(Ordering::Acquire);
         (received_us > 0).then(|| Duration::from_micros(received_us))
     }
 
     fn get(&self, now: Now) -> Option<LoadReport> {
-        let received_at = self.heard_at()?;
+        let received_at = self.received_at()?;
         if now.saturating_sub(received_at) > REPORT_TTL {
             return None;
         }
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -170,7 +170,7 @@
     }
 
     /// Address to dial for a listed address.
-    pub(crate) fn dial(&self, listed: &ByteString) -> ByteString {
+    pub(crate) fn dial_addr(&self, listed: &ByteString) -> ByteString {
         self.dial
             .iter()
             .find(|entry| entry.listed == *listed)
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -10,8 +10,8 @@
     },
     request::forward::ForwardKey,
     version::{
-        Outlook,
-        Published,
+        PlacementInputs,
+        PublishedSnapshot,
         Snapshot, //
     },
 };
@@ -68,22 +68,22 @@
 
 /// Messages from traffic threads to control.
 #[derive(Debug)]
-pub(crate) enum Note {
+pub(crate) enum ControlMessage {
     /// An upstream has announced that it is leaving.
-    Leaving(UpstreamId),
+    UpstreamLeaving(UpstreamId),
     /// Claim a caller's key in the table.
-    Claim(ClaimWanted),
+    Claim(ClaimRequest),
     /// Write the outcome of a claimed filing into its claim.
-    Ended(ConditionalWrite),
+    WriteOutcome(ConditionalWrite),
     /// Release a claim whose filing was not sent.
     Release(Releaser),
     /// Read the outcome of a ticket from the table.
-    Outcome(Nonce, oneshot::Sender<Option<Record>>),
+    ReadOutcome(Nonce, oneshot::Sender<Option<Record>>),
 }
 
 /// Request to claim a key; the reply goes to the traffic thread that waits for it.
 #[derive(Debug)]
-pub(crate) struct ClaimWanted {
+pub(crate) struct ClaimRequest {
     pub(crate) claimant: Claimant,
     pub(crate) reply: oneshot::Sender<ClaimReply>,
 }
@@ -94,19 +94,19 @@
     /// The claim is held; the final check is due immediately before sending.
     Ready(Claimer),
     /// The request ends here and must not be sent.
-    Over(ClaimResult),
+    Concluded(ClaimResult),
 }
 
 /// State of the process that all threads can access.
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    pub(crate) published: Published,
+    pub(crate) published: PublishedSnapshot,
     /// Expected state of the regions, updated at each tick of control.
-    pub(crate) outlook: ArcSwap<Outlook>,
+    pub(crate) outlook: ArcSwap<PlacementInputs>,
     pub(crate) active: ActiveRequests,
     pub(crate) burn: Arc<Burn>,
     pub(crate) metrics: PrometheusHandle,
-    pub(crate) notes: UnboundedSender<Note>,
+    pub(crate) control_tx: UnboundedSender<ControlMessage>,
     pub(crate) ticket_key: Key,
     pub(crate) forward_key: ForwardKey,
     pub(crate) clock: WallClock,
@@ -116,7 +116,7 @@
     /// `None` only during a change of stage, under the lock.
     filings: OnceLock<Mutex<Option<Filings>>>,
     /// Notified when a filing ends, for duplicates that wait for its outcome.
-    pub(crate) filed: Notify,
+    pub(crate) filing_ended: Notify,
     /// Expiry of the lease, for the check immediately before a claimed filing is sent.
     lease_until_us: AtomicU64,
 }
@@ -126,7 +126,7 @@
     pub(crate) fn new(
         settings: Settings,
         metrics: PrometheusHandle,
-        control_tx: UnboundedSender<Note>,
+        control_tx: UnboundedSender<ControlMessage>,
         start_wall_ms: u64,
     ) -> Self {
         let started = Instant::now();
@@ -144,11 +144,11 @@
             },
             incarnation: AtomicU64::new(0),
             filings: OnceLock::new(),
-            filed: Notify::new(),
+            filing_ended: Notify::new(),
             lease_until_us: AtomicU64::new(0),
             settings,
             metrics,
-            notes: control_tx,
+            control_tx,
             started,
         }
     }
@@ -164,7 +164,7 @@
     }
 
     /// Sets the claimed incarnation and opens its ledger of filings.
-    pub(crate) fn claimed(&self, incarnation: Incarnation) {
+    pub(crate) fn set_incarnation(&self, incarnation: Incarnation) {
         let ledger = Ledger::new(
             self.settings.instance.clone(),
             incarnation,
@@ -195,7 +195,7 @@
     }
 
     /// Replaces the ledger of filings by its next stage.
-    pub(crate) fn move_filings(&self, step: impl FnOnce(Filings) -> Filings) {
+    pub(crate) fn advance_filings(&self, step: impl FnOnce(Filings) -> Filings) {
         if let Some(mut filings) = self.lock_filings() {
             *filings = filings.take().map(step);
         }
@@ -218,10 +218,12 @@
     }
 
     /// Marks an upstream as leaving; the first call notifies control.
-    pub(crate) fn note_leaving(&self, upstream: &Upstream) {
+    pub(crate) fn report_leaving(&self, upstream: &Upstream) {
         if upstream.mark_leaving() {
             // The channel is closed only when the process is stopping.
-            let _ = self.notes.send(Note::Leaving(upstream.id.clone()));
+            let _ = self
+                .control_tx
+                .send(ControlMessage::UpstreamLeaving(upstream.id.clone()));
         }
     }
 }
--- a/crates/daemon/src/process/slots.rs
+++ b/crates/daemon/src/process/slots.rs
@@ -51,7 +51,7 @@
     /// Must be checked immediately before each send: a process that resumes after a pause longer
     /// than its lease must not use slots that others hold by now. The clock continues during a
     /// pause.
-    pub(crate) fn right(&self, now: Now) -> Entitlement {
+    pub(crate) fn entitlement(&self, now: Now) -> Entitlement {
         let now_us = to_us(now);
         if now_us < self.full_until_us.load(Ordering::Acquire) {
             Entitlement::Full
--- a/crates/daemon/src/request/acquire.rs
+++ b/crates/daemon/src/request/acquire.rs
@@ -10,11 +10,11 @@
     },
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         dispatch::Job,
-        place::admission_of, //
+        place::admission_target, //
     },
     version::ClassView,
 };
@@ -62,12 +62,12 @@
 
     /// Upstreams of the pool; already tried ones are excluded unless there are no others.
     fn new(pool: &Pool, tried: &[UpstreamId], now: Now) -> Self {
-        let right = pool.lease.right(now);
+        let right = pool.lease.entitlement(now);
         let upstreams = pool.upstreams();
         let is_tried = |upstream: &Arc<Upstream>| tried.contains(&upstream.id);
         let others = upstreams
             .iter()
-            .any(|upstream| upstream.open() && !is_tried(upstream));
+            .any(|upstream| upstream.accepts_work() && !is_tried(upstream));
         let views = upstreams.iter().map(|upstream| {
             let view = upstream.view(right, now);
             UpstreamView {
@@ -92,7 +92,7 @@
         &candidates,
         class.pool.waiting_before(class.rank + 1),
     );
-    class.admit.expected_wait(class.place, &load)
+    class.admission.expected_wait(class.class_index, &load)
 }
 
 /// Load of the class's service, as seen by a request with `queued_ahead` others before it.
@@ -115,7 +115,7 @@
     /// # Errors
     ///
     /// No slot is expected to be free in time.
-    pub(super) async fn acquire(&self, tried: &[UpstreamId]) -> Result<Permit, Answer> {
+    pub(super) async fn acquire(&self, tried: &[UpstreamId]) -> Result<Permit, ErrorResponse> {
         if self.traffic.is_baseline() {
             return self.take_for_baseline(tried);
         }
@@ -143,8 +143,8 @@
                 return self.refuse_or_probe(waiting, retry_after);
             }
             let Some(guard) = &waiting else {
-                pool.counts.note_unserved();
-                waiting = Some(pool.wait(self.rank()));
+                pool.counts.record_unserved();
+                waiting = Some(pool.enqueue(self.rank()));
                 // A slot freed between the check and the queueing woke nobody: check again.
                 continue;
             };
@@ -168,7 +168,7 @@
         let now = Instant::now();
         let is_queued = waiting.is_some();
         let ahead = match waiting {
-            Some(guard) => guard.ahead(),
+            Some(guard) => guard.requests_ahead(),
             None => self.class.pool.waiting_before(self.rank() + 1),
         };
         let load = load(self.class, candidates, ahead);
@@ -186,13 +186,13 @@
         let time_left = self.deadline.remaining(now);
         let seed = self.traffic.seed();
         self.class
-            .admit
-            .admit(self.class.place, &load, waited, time_left, seed)
+            .admission
+            .admit(self.class.class_index, &load, waited, time_left, seed)
     }
 
     /// Time that the request may still wait in the queue.
     fn queue_time_left(&self) -> Duration {
-        let target = admission_of(&self.class.class).latency_target;
+        let target = admission_target(&self.class.class).latency_target;
         let limit = target.saturating_sub(self.class.pool.service_time());
         let queue_deadline = self.deadline.within(self.started, limit);
         queue_deadline.remaining(Instant::now())
@@ -203,10 +203,10 @@
         &self,
         waiting: Option<WaitGuard>,
         retry_after: Duration,
-    ) -> Result<Permit, Answer> {
+    ) -> Result<Permit, ErrorResponse> {
         let pool = &self.class.pool;
         if waiting.is_none() {
-            pool.counts.note_unserved();
+            pool.counts.record_unserved();
         }
         drop(waiting);
         if let Some(permit) = self.take_due_probe() {
@@ -217,7 +217,7 @@
         } else {
             Reason::NoCapacity
         };
-        let error = Answer::not_run(reason, "no slot is expected to be free in time");
+        let error = ErrorResponse::not_run(reason, "no slot is expected to be free in time");
         Err(error.retry_after(retry_after))
     }
 
@@ -227,7 +227,7 @@
         // Another thread may take the last slot first; that upstream is then marked as full here.
         for _ in 0..candidates.upstreams.len() {
             let chosen = self.choose(candidates)?;
-            if let Some(permit) = pool.take(&candidates.upstreams[chosen], candidates.now) {
+            if let Some(permit) = pool.try_acquire(&candidates.upstreams[chosen], candidates.now) {
                 return Some(permit);
             }
             candidates.views[chosen].usable = 0;
@@ -236,14 +236,15 @@
     }
 
     /// Takes a slot that a baseline policy chooses, without an allotment.
-    fn take_for_baseline(&self, tried: &[UpstreamId]) -> Result<Permit, Answer> {
+    fn take_for_baseline(&self, tried: &[UpstreamId]) -> Result<Permit, ErrorResponse> {
         let pool = &self.class.pool;
         let candidates = Candidates::new(pool, tried, self.traffic.shared.now());
         let chosen = self.choose(&candidates);
         chosen
-            .and_then(|chosen| pool.take_unbound(&candidates.upstreams[chosen]))
+            .and_then(|chosen| pool.try_acquire_unbounded(&candidates.upstreams[chosen]))
             .ok_or_else(|| {
-                let error = Answer::not_run(Reason::NoCapacity, "no upstream takes new work");
+                let error =
+                    ErrorResponse::not_run(Reason::NoCapacity, "no upstream takes new work");
                 error.retry_after(pool.service_time())
             })
     }
@@ -272,12 +273,12 @@
     pub(super) fn take_due_probe(&self) -> Option<Permit> {
         let pool = &self.class.pool;
         let upstreams = pool.upstreams();
-        let upstream = upstreams.iter().find(|upstream| upstream.takes_probe())?;
+        let upstream = upstreams.iter().find(|upstream| upstream.accepts_probe())?;
         // Only one request may be the probe.
         if !upstream.set_probe_due(false) {
             return None;
         }
-        let permit = pool.take(upstream, self.traffic.shared.now());
+        let permit = pool.try_acquire(upstream, self.traffic.shared.now());
         match &permit {
             Some(permit) => permit.probe.set(true),
             None => {
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -90,7 +90,7 @@
 
 /// An error response that the daemon generates itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct ErrorResponse {
     pub(crate) reason: Reason,
     pub(crate) outcome: RunOutcome,
     pub(crate) detail: ByteString,
@@ -107,7 +107,7 @@
     detail: &'a str,
 }
 
-impl Answer {
+impl ErrorResponse {
     /// Response to a request that certainly did not run.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<ByteString>) -> Self {
         Self {
--- a/crates/daemon/src/request/body.rs
+++ b/crates/daemon/src/request/body.rs
@@ -104,7 +104,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, StreamError>>> {
         let wait = match self.state.as_ref().map(|state| &state.guard) {
-            Some(ResponseGuard::Shift(guard)) => guard.pass(chunk.len()),
+            Some(ResponseGuard::Shift(guard)) => guard.record_bytes(chunk.len()),
             _ => Duration::ZERO,
         };
         if wait.is_zero() {
@@ -133,8 +133,10 @@
         if let Some(state) = self.state.take() {
             self.rest = None;
             match (&state.guard, whole) {
-                (ResponseGuard::Slot(permit), true) => permit.completed(),
-                (ResponseGuard::Slot(permit), false) => permit.upstream.seen.note_broken(),
+                (ResponseGuard::Slot(permit), true) => permit.mark_completed(),
+                (ResponseGuard::Slot(permit), false) => {
+                    permit.upstream.observations.record_broken()
+                }
                 (ResponseGuard::Shift(_) | ResponseGuard::Sibling(_), _) => {}
             }
             state
--- a/crates/daemon/src/request/counters.rs
+++ b/crates/daemon/src/request/counters.rs
@@ -92,7 +92,7 @@
 
     fn record_burn(&self, whole: bool, latency: Duration) {
         if let Some(burn) = &self.burn {
-            burn.note(whole, latency);
+            burn.record(whole, latency);
         }
     }
 
--- a/crates/daemon/src/request/dispatch.rs
+++ b/crates/daemon/src/request/dispatch.rs
@@ -12,7 +12,7 @@
     },
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         attempt::{
@@ -108,18 +108,18 @@
 
 impl Job<'_> {
     /// Sends the request to an upstream of this region, with retries.
-    pub(crate) async fn run(&self, body: Body) -> Result<Dispatched, Answer> {
+    pub(crate) async fn run(&self, body: Body) -> Result<Dispatched, ErrorResponse> {
         let mut body = ResendBody::new(body);
         let mut tried = Vec::new();
         let mut may_have_run = false;
-        self.class.pool.counts.note_carried();
+        self.class.pool.counts.record_carried();
         loop {
             let permit = match self.acquire(&tried).await {
                 Ok(permit) => permit,
                 Err(error) => return Err(with_prior_attempts(error, may_have_run)),
             };
             let Some(next) = body.next() else {
-                let error = Answer::not_run(
+                let error = ErrorResponse::not_run(
                     Reason::UpstreamFailed,
                     "the request's body can be sent once only",
                 );
@@ -168,17 +168,17 @@
         };
         let id = self.traffic.request_id();
         let started = Instant::now();
-        permit.sent(&channel.closing, self.deadline.at());
+        permit.mark_sent(&channel.closing, self.deadline.at());
         let client = &channel.client;
         let sent = attempt::send(client, &upstream.addr, self.out, body, &id, self.deadline).await;
         match &sent {
             Ok((head, body)) => {
-                upstream.seen.note_answer(started.elapsed());
+                upstream.observations.record_response(started.elapsed());
                 if matches!(body, ResponseBody::Whole(_)) {
-                    permit.completed();
+                    permit.mark_completed();
                 }
                 if head.leaving {
-                    self.traffic.shared.note_leaving(upstream);
+                    self.traffic.shared.report_leaving(upstream);
                 }
             }
             Err(failure) => record_failure(self.traffic, permit, failure, started.elapsed()),
@@ -187,16 +187,17 @@
     }
 
     /// Error response after the last attempt failed.
-    fn error_response(&self, failure: Failure) -> Answer {
+    fn error_response(&self, failure: Failure) -> ErrorResponse {
         match failure {
             Failure::NotSent(detail) => {
-                Answer::not_run(Reason::UpstreamFailed, detail).retry_after(RETRY_AFTER)
+                ErrorResponse::not_run(Reason::UpstreamFailed, detail).retry_after(RETRY_AFTER)
             }
             Failure::Refused { .. } => {
-                Answer::not_run(Reason::NoCapacity, "the upstream refused").retry_after(RETRY_AFTER)
+                ErrorResponse::not_run(Reason::NoCapacity, "the upstream refused")
+                    .retry_after(RETRY_AFTER)
             }
-            Failure::Broken(detail) => Answer::unknown(Reason::UpstreamFailed, detail),
-            Failure::Timeout => Answer::unknown(
+            Failure::Broken(detail) => ErrorResponse::unknown(Reason::UpstreamFailed, detail),
+            Failure::Timeout => ErrorResponse::unknown(
                 Reason::UpstreamTimeout,
                 "no whole answer before the deadline",
             ),
@@ -208,9 +209,9 @@
 ///
 /// Otherwise the caller of an idempotent request whose first attempt broke off, and which found no
 /// slot for the second, would be told that it did not run.
-pub(super) fn with_prior_attempts(error: Answer, may_have_run: bool) -> Answer {
+pub(super) fn with_prior_attempts(error: ErrorResponse, may_have_run: bool) -> ErrorResponse {
     if may_have_run {
-        Answer::unknown(error.reason, error.detail)
+        ErrorResponse::unknown(error.reason, error.detail)
     } else {
         error
     }
@@ -226,22 +227,24 @@
     let upstream = &permit.upstream;
     match failure {
         Failure::NotSent(_) => {
-            permit.ended();
-            upstream.seen.note_not_sent();
+            permit.mark_ended();
+            upstream.observations.record_not_sent();
         }
         Failure::Refused { leaving } => {
-            permit.ended();
-            upstream.seen.note_shed();
+            permit.mark_ended();
+            upstream.observations.record_shed();
             if *leaving {
-                traffic.shared.note_leaving(upstream);
+                traffic.shared.report_leaving(upstream);
             }
         }
-        Failure::Broken(_) => upstream.seen.note_broken(),
+        Failure::Broken(_) => upstream.observations.record_broken(),
         Failure::Timeout => {
             // Otherwise one caller with deadlines that no upstream can meet would make every
             // upstream suspect, and all callers would be refused.
-            if permit.probe.get() || elapsed >= upstream.seen.latency() * TIMEOUT_LATENCY_FACTOR {
-                upstream.seen.note_timeout();
+            if permit.probe.get()
+                || elapsed >= upstream.observations.latency() * TIMEOUT_LATENCY_FACTOR
+            {
+                upstream.observations.record_timeout();
             }
             traffic.clients.retire(&upstream.addr);
         }
--- a/crates/daemon/src/request/filing/claim.rs
+++ b/crates/daemon/src/request/filing/claim.rs
@@ -2,17 +2,17 @@
 
 use crate::{
     process::{
-        control::release_later,
+        control::request_release,
         shared::{
             ClaimReply,
-            ClaimWanted,
-            Note,
+            ClaimRequest,
+            ControlMessage,
             Shared, //
         },
     },
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         attempt::{
@@ -73,17 +73,17 @@
     let out = outgoing(request, key);
     match claim(&work, claimant).await? {
         ClaimReply::Ready(claimer) => run_claim(work, out, body, claimer).await,
-        ClaimReply::Over(result) => respond_to(&work, result),
+        ClaimReply::Concluded(result) => respond_to(&work, result),
     }
 }
 
 /// Sends the claim to control and waits for the reply until the deadline.
-async fn claim(work: &Work, claimant: Claimant) -> Result<ClaimReply, Answer> {
+async fn claim(work: &Work, claimant: Claimant) -> Result<ClaimReply, ErrorResponse> {
     let (reply, replied) = oneshot::channel();
-    let note = Note::Claim(ClaimWanted { claimant, reply });
-    let sent = work.traffic.shared.notes.send(note);
+    let note = ControlMessage::Claim(ClaimRequest { claimant, reply });
+    let sent = work.traffic.shared.control_tx.send(note);
     let not_run = |detail: &'static str| {
-        let error = Answer::not_run(Reason::ClaimImpossible, detail);
+        let error = ErrorResponse::not_run(Reason::ClaimImpossible, detail);
         error.retry_after(TABLE_UNAVAILABLE_RETRY)
     };
     if sent.is_err() {
@@ -99,7 +99,7 @@
             replied.close();
             if let Ok(ClaimReply::Ready(mut claimer)) = replied.try_recv() {
                 if let ClaimStep::Respond(result) = claimer.release() {
-                    release_later(&work.traffic.shared.notes, &result);
+                    request_release(&work.traffic.shared.control_tx, &result);
                 }
             }
         }
@@ -116,7 +116,7 @@
         if step != ClaimStep::Send {
             let response = match step {
                 ClaimStep::Respond(result) => {
-                    release_later(&shared.notes, &result);
+                    request_release(&shared.control_tx, &result);
                     respond_to(&work, result)
                 }
                 _ => Err(outcome_lost()),
@@ -135,13 +135,13 @@
 fn record_outcome(shared: &Shared, claimer: &mut Claimer, record: Record) {
     if record.outcome == RunOutcome::NotRun {
         if let ClaimStep::Respond(result) = claimer.release() {
-            release_later(&shared.notes, &result);
+            request_release(&shared.control_tx, &result);
         }
         return;
     }
     if let Some(insert) = claimer.outcome_write(NO_CALLER, record) {
         // A closed channel means that the process is ending; repeats get the outcome `unknown`.
-        let _ = shared.notes.send(Note::Ended(insert));
+        let _ = shared.control_tx.send(ControlMessage::WriteOutcome(insert));
     }
 }
 
@@ -149,16 +149,16 @@
 fn respond_to(work: &Work, result: ClaimResult) -> FilingResult {
     match result {
         ClaimResult::NotRun(_) => {
-            let error = Answer::not_run(Reason::ClaimImpossible, "the key was not claimed");
+            let error = ErrorResponse::not_run(Reason::ClaimImpossible, "the key was not claimed");
             Err(error.retry_after(TABLE_UNAVAILABLE_RETRY))
         }
         ClaimResult::Replay(record) => replay(work, record),
         ClaimResult::InProgress { holder, .. } => Err(in_progress(work.entry_addr(&holder))),
-        ClaimResult::KeyReused => Err(Answer::not_run(
+        ClaimResult::KeyReused => Err(ErrorResponse::not_run(
             Reason::BadRequest,
             "the Idempotency-Key was used for another request",
         )),
-        ClaimResult::Unreadable => Err(Answer::unknown(
+        ClaimResult::Unreadable => Err(ErrorResponse::unknown(
             Reason::InProgress,
             "the key's claim can't be read",
         )),
--- a/crates/daemon/src/request/filing/mod.rs
+++ b/crates/daemon/src/request/filing/mod.rs
@@ -18,7 +18,7 @@
 };
 use crate::request::{
     answer::{
-        Answer,
+        ErrorResponse,
         Reason, //
     },
     attempt::{
@@ -28,7 +28,7 @@
     },
     dispatch::Dispatched,
     header,
-    input::Way,
+    input::FilingToken,
     work::Work, //
 };
 use ::filing::Record;
@@ -58,19 +58,19 @@
 const NOT_RUN_STATUS: u16 = 503;
 
 /// Response to a filing.
-type FilingResult = Result<HttpResponse, Answer>;
+type FilingResult = Result<HttpResponse, ErrorResponse>;
 
 /// Runs a filing, or replays the outcome of an earlier copy.
 ///
 /// `checked` is the result of the header checks; a ticket that is refused for it can't be reused.
 pub(crate) async fn file(
     work: Work,
-    checked: Result<(), Answer>,
+    checked: Result<(), ErrorResponse>,
     request: &HttpRequest,
     payload: web::Payload,
 ) -> FilingResult {
-    match Way::of(request.headers(), &work.traffic.shared.ticket_key)? {
-        Way::Ticket(ticket) => {
+    match FilingToken::from_headers(request.headers(), &work.traffic.shared.ticket_key)? {
+        FilingToken::Ticket(ticket) => {
             let body = match checked {
                 Ok(()) => read_body_for_ticket(&work, &ticket, request, payload).await,
                 Err(error) => Err(error),
@@ -80,8 +80,8 @@
                 Err(error) => refuse(&work, &ticket, error).await,
             }
         }
-        Way::Key(_) if work.is_refusing() => Err(work.stopping()),
-        Way::Key(key) => {
+        FilingToken::Key(_) if work.is_refusing() => Err(work.stopping()),
+        FilingToken::Key(key) => {
             checked?;
             run_by_key(work, request, payload, &key).await
         }
@@ -124,13 +124,13 @@
 }
 
 /// Response to a repeated filing, from the record of an earlier copy.
-fn replay(work: &Work, record: Record) -> Result<HttpResponse, Answer> {
+fn replay(work: &Work, record: Record) -> Result<HttpResponse, ErrorResponse> {
     match record.outcome {
-        RunOutcome::NotRun => Err(Answer::not_run(
+        RunOutcome::NotRun => Err(ErrorResponse::not_run(
             Reason::TicketRefused,
             "an earlier copy was answered not-run; take a new ticket",
         )),
-        RunOutcome::Unknown => Err(Answer::unknown(
+        RunOutcome::Unknown => Err(ErrorResponse::unknown(
             Reason::UpstreamFailed,
             "the outcome of an earlier copy is not known",
         )),
@@ -148,15 +148,15 @@
 }
 
 /// Error response while an earlier copy is still running.
-fn in_progress(entry: Option<ByteString>) -> Answer {
-    Answer::unknown(Reason::InProgress, "an earlier copy has not ended")
+fn in_progress(entry: Option<ByteString>) -> ErrorResponse {
+    ErrorResponse::unknown(Reason::InProgress, "an earlier copy has not ended")
         .retry_after(IN_PROGRESS_RETRY)
         .use_entry(entry)
 }
 
 /// Error response when the task that ran the filing ended without a result.
-fn outcome_lost() -> Answer {
-    Answer::unknown(Reason::UpstreamFailed, "the filing's outcome was lost")
+fn outcome_lost() -> ErrorResponse {
+    ErrorResponse::unknown(Reason::UpstreamFailed, "the filing's outcome was lost")
 }
 
 /// Builds the request to send on, with the id of the filing.
--- a/crates/daemon/src/request/filing/ticket.rs
+++ b/crates/daemon/src/request/filing/ticket.rs
@@ -1,10 +1,10 @@
 //! Filings with a ticket, about which only this entry's ledger decides.
 
 use crate::{
-    process::shared::Note,
+    process::shared::ControlMessage,
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         attempt::{
@@ -45,10 +45,10 @@
     ticket: &Ticket,
     request: &HttpRequest,
     payload: web::Payload,
-) -> Result<Body, Answer> {
+) -> Result<Body, ErrorResponse> {
     if ticket.class != work.class.class.id {
         let detail = "the ticket is for another class";
-        return Err(Answer::not_run(Reason::TicketRefused, detail));
+        return Err(ErrorResponse::not_run(Reason::TicketRefused, detail));
     }
     work.read_body(request.headers(), payload).await
 }
@@ -57,7 +57,7 @@
 ///
 /// A copy of it may be running or may arrive later. `not-run` is true only once the ledger ensures
 /// that no copy ran or will run; otherwise the response gives the known outcome of the copy.
-pub(super) async fn refuse(work: &Work, ticket: &Ticket, error: Answer) -> FilingResult {
+pub(super) async fn refuse(work: &Work, ticket: &Ticket, error: ErrorResponse) -> FilingResult {
     let shared = &work.traffic.shared;
     let decision = shared.with_filings(|filings| filings.refuse(ticket, shared.now()));
     match decision {
@@ -65,7 +65,10 @@
         Some(TicketDecision::Replay(record)) => replay(work, record),
         Some(TicketDecision::Refuse(reason)) => respond_to_refusal(work, ticket, &reason).await,
         Some(TicketDecision::Wait | TicketDecision::Run) => Err(in_progress(None)),
-        None => Err(Answer::unknown(Reason::NotReady, "no incarnation yet")),
+        None => Err(ErrorResponse::unknown(
+            Reason::NotReady,
+            "no incarnation yet",
+        )),
     }
 }
 
@@ -78,12 +81,17 @@
 ) -> FilingResult {
     let shared = Arc::clone(&work.traffic.shared);
     loop {
-        let filed = shared.filed.notified();
+        let filed = shared.filing_ended.notified();
         tokio::pin!(filed);
         filed.as_mut().enable();
         let decision = shared.with_filings(|filings| filings.begin(&ticket, shared.now()));
         match decision {
-            None => return Err(Answer::unknown(Reason::NotReady, "no incarnation yet")),
+            None => {
+                return Err(ErrorResponse::unknown(
+                    Reason::NotReady,
+                    "no incarnation yet",
+                ))
+            }
             Some(TicketDecision::Run) => {
                 let out = outgoing(request, &format!("{:032x}", ticket.nonce));
                 return run_ticket(work, out, body, ticket).await;
@@ -109,7 +117,7 @@
         let shared = Arc::clone(&work.traffic.shared);
         let (record, response) = run(work, out, body).await;
         shared.with_filings(|filings| filings.finish(ticket.nonce, record));
-        shared.filed.notify_waiters();
+        shared.filing_ended.notify_waiters();
         // A caller that has disconnected can repeat the filing with the same ticket.
         let _ = reply.send(response);
     });
@@ -127,7 +135,7 @@
             RefuseReason::Stopping => Reason::Stopping,
             _ => Reason::TicketRefused,
         };
-        return Err(Answer::not_run(error_reason, detail).retry_after(IN_PROGRESS_RETRY));
+        return Err(ErrorResponse::not_run(error_reason, detail).retry_after(IN_PROGRESS_RETRY));
     }
     if let Some(record) = table_outcome(work, ticket).await {
         return replay(work, record);
@@ -139,14 +147,14 @@
         _ => None,
     };
     let entry = holder.and_then(|instance| work.entry_addr(instance));
-    Err(Answer::unknown(Reason::TicketRefused, detail).use_entry(entry))
+    Err(ErrorResponse::unknown(Reason::TicketRefused, detail).use_entry(entry))
 }
 
 /// Outcome that the ticket's entry wrote to the table, if any.
 async fn table_outcome(work: &Work, ticket: &Ticket) -> Option<Record> {
     let (reply, replied) = oneshot::channel();
-    let note = Note::Outcome(ticket.nonce, reply);
-    work.traffic.shared.notes.send(note).ok()?;
+    let note = ControlMessage::ReadOutcome(ticket.nonce, reply);
+    work.traffic.shared.control_tx.send(note).ok()?;
     let replied = tokio::time::timeout_at(work.deadline.at(), replied).await;
     replied.ok()?.ok()?
 }
--- a/crates/daemon/src/request/input.rs
+++ b/crates/daemon/src/request/input.rs
@@ -1,11 +1,11 @@
 //! Parsing of callers' requests: the headers of work and the parameters of lookups.
 //!
 //! Everything that callers send and the HTTP library doesn't parse is parsed here. Any input gives
-//! either a value or one [`Answer`] whose outcome is `not-run`.
+//! either a value or one [`ErrorResponse`] whose outcome is `not-run`.
 
 use crate::request::{
     answer::{
-        Answer,
+        ErrorResponse,
         Reason, //
     },
     forward::ForwardKey,
@@ -29,7 +29,7 @@
 };
 
 /// Longest idempotency key, in bytes.
-pub const KEY_MAX_BYTES: usize = 200;
+pub const IDEMPOTENCY_KEY_MAX_BYTES: usize = 200;
 
 /// Refuses a request to upgrade to a WebSocket; other upgrade offers are ignored.
 ///
@@ -39,11 +39,11 @@
 /// # Errors
 ///
 /// The request asks for a WebSocket.
-pub fn protocol(headers: &HeaderMap) -> Result<(), Answer> {
+pub fn check_upgrade(headers: &HeaderMap) -> Result<(), ErrorResponse> {
     let upgrade = headers.get(UPGRADE).map(|value| value.as_bytes());
     if upgrade.is_some_and(|upgrade| upgrade.eq_ignore_ascii_case(b"websocket")) {
         let detail = "upgrade: no web sockets are served here";
-        return Err(Answer::not_run(Reason::BadRequest, detail));
+        return Err(ErrorResponse::not_run(Reason::BadRequest, detail));
     }
     Ok(())
 }
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// The header is not a positive integer number of milliseconds.
-pub fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Answer> {
+pub fn parse_deadline(headers: &HeaderMap) -> Result<Option<Duration>, ErrorResponse> {
     let Some(value) = headers.get(header::DEADLINE_MS) else {
         return Ok(None);
     };
@@ -64,13 +64,13 @@
         .filter(|&left_ms| left_ms > 0);
     let Some(left_ms) = left_ms else {
         let detail = format!("{}: no whole number of milliseconds", header::DEADLINE_MS);
-        return Err(Answer::not_run(Reason::BadRequest, detail));
+        return Err(ErrorResponse::not_run(Reason::BadRequest, detail));
     };
     Ok(Some(Duration::from_millis(left_ms)))
 }
 
 /// Entry that forwarded the request, if the header proves it.
-pub fn forwarder(
+pub fn verified_forwarder(
     headers: &HeaderMap,
     key: &ForwardKey,
     instance: &str,
@@ -83,22 +83,22 @@
 
 /// Token by which a filing runs at most once.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum FilingToken {
     /// An authentic ticket, which may have expired.
     Ticket(Ticket),
     /// The caller's idempotency key.
     Key(ByteString),
 }
 
-impl Way {
+impl FilingToken {
     /// Parses the headers.
     ///
     /// # Errors
     ///
     /// Neither or both are given, the ticket isn't authentic, or the key is empty, too long or
     /// contains characters that are not visible.
-    pub fn of(headers: &HeaderMap, ticket_key: &Key) -> Result<Self, Answer> {
-        let refuse = |reason, detail: String| Answer::not_run(reason, detail);
+    pub fn from_headers(headers: &HeaderMap, ticket_key: &Key) -> Result<Self, ErrorResponse> {
+        let refuse = |reason, detail: String| ErrorResponse::not_run(reason, detail);
         let ticket = headers.get(header::TICKET);
         let key = headers.get(header::IDEMPOTENCY_KEY);
         match (ticket, key) {
@@ -110,9 +110,10 @@
             }
             (None, Some(key)) => {
                 let text = key.to_str().unwrap_or_default();
-                if text.is_empty() || text.len() > KEY_MAX_BYTES {
-                    let detail =
-                        format!("Idempotency-Key: 1 to {KEY_MAX_BYTES} visible characters");
+                if text.is_empty() || text.len() > IDEMPOTENCY_KEY_MAX_BYTES {
+                    let detail = format!(
+                        "Idempotency-Key: 1 to {IDEMPOTENCY_KEY_MAX_BYTES} visible characters"
+                    );
                     return Err(refuse(Reason::BadRequest, detail));
                 }
                 Ok(Self::Key(text.into()))
@@ -131,21 +132,21 @@
 
 /// Parameters of a lookup.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Query {
+pub struct LookupQuery {
     /// Class, which may not exist.
     pub class: String,
     /// An address in the caller's address block.
     pub block: Option<IpAddr>,
 }
 
-impl Query {
+impl LookupQuery {
     /// Parses the query string; an error lists everything that is wrong with it.
     ///
     /// # Errors
     ///
     /// Parameters are unknown, given twice or missing, or the block is not an IP address.
-    pub fn parse(text: &str) -> Result<Self, Answer> {
-        let refuse = |detail: String| Answer::not_run(Reason::BadRequest, detail);
+    pub fn parse(text: &str) -> Result<Self, ErrorResponse> {
+        let refuse = |detail: String| ErrorResponse::not_run(Reason::BadRequest, detail);
         let pairs = web::Query::<Vec<(String, String)>>::from_query(text)
             .map_err(|err| refuse(format!("query: {err}")))?
             .into_inner();
--- a/crates/daemon/src/request/lookup.rs
+++ b/crates/daemon/src/request/lookup.rs
@@ -4,16 +4,16 @@
     process::stop::Stage,
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
-        input::Query,
+        input::LookupQuery,
         traffic,
         work::refuse,
         TrafficThread, //
     },
     version::{
-        ClassOutlook,
+        ClassPlacementInputs,
         Entry,
         RegionView,
         Snapshot, //
@@ -76,15 +76,15 @@
     traffic: &TrafficThread,
     snapshot: &Snapshot,
     query: &str,
-) -> Result<HttpResponse, Answer> {
+) -> Result<HttpResponse, ErrorResponse> {
     if snapshot.stage == Stage::Starting {
-        let error = Answer::not_run(Reason::NotReady, "no configuration yet");
+        let error = ErrorResponse::not_run(Reason::NotReady, "no configuration yet");
         return Err(error.retry_after(NOT_READY_RETRY));
     }
-    let query = Query::parse(query)?;
+    let query = LookupQuery::parse(query)?;
     let Some(class) = snapshot.classes.get(query.class.as_str()) else {
         let detail = format!("no class named {:?}", query.class);
-        return Err(Answer::not_run(Reason::UnknownClass, detail));
+        return Err(ErrorResponse::not_run(Reason::UnknownClass, detail));
     };
     let mut regions = snapshot.preference(query.block);
     regions.retain(|region| !region.entries.is_empty());
@@ -103,7 +103,7 @@
     }
     let chosen = choose_entries(&regions, traffic.seed());
     let Some(&(_, first)) = chosen.first() else {
-        let error = Answer::not_run(Reason::NoCapacity, "no entry is known to take work");
+        let error = ErrorResponse::not_run(Reason::NoCapacity, "no entry is known to take work");
         return Err(error.retry_after(NOT_READY_RETRY));
     };
     let ticket = (!class.class.idempotent).then(|| traffic.mint_ticket(&class.class.id, first));
@@ -136,7 +136,7 @@
 fn spread_displaced(
     regions: &mut [&RegionView],
     snapshot: &Snapshot,
-    inputs: &ClassOutlook,
+    inputs: &ClassPlacementInputs,
     headroom_pct: u32,
     block: Option<IpAddr>,
     seed: u64,
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -38,7 +38,7 @@
     process::shared::Shared,
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         counters::Counters, //
@@ -237,6 +237,6 @@
 }
 
 fn bad_request(request: &HttpRequest, detail: &'static str) -> HttpResponse {
-    let error = Answer::not_run(Reason::BadRequest, detail);
+    let error = ErrorResponse::not_run(Reason::BadRequest, detail);
     work::refuse(&traffic(request), request, &error)
 }
--- a/crates/daemon/src/request/place.rs
+++ b/crates/daemon/src/request/place.rs
@@ -6,10 +6,10 @@
         work::Work, //
     },
     version::{
-        ClassOutlook,
+        ClassPlacementInputs,
         Entry,
         HandoverGuard,
-        Outlook, //
+        PlacementInputs, //
     },
 };
 use base::Now;
@@ -85,13 +85,13 @@
         };
         find_entry(&self.traffic.shared.settings.instance)?;
         let entry = find_entry(&chosen.instance)?;
-        Some((entry, chosen.handed.guard()))
+        Some((entry, chosen.handovers.guard()))
     }
 
     /// Occupancy of this entry.
     fn occupancy(&self) -> Occupancy {
         let pool = &self.class.pool;
-        let (open, in_flight) = pool.use_now(self.traffic.shared.now());
+        let (open, in_flight) = pool.slot_usage(self.traffic.shared.now());
         Occupancy::local(in_flight, pool.waiting(), open)
     }
 
@@ -106,18 +106,21 @@
         }
     }
 
-    fn class_inputs<'a>(&self, inputs: &'a Outlook) -> Option<&'a Arc<ClassOutlook>> {
+    fn class_inputs<'a>(
+        &self,
+        inputs: &'a PlacementInputs,
+    ) -> Option<&'a Arc<ClassPlacementInputs>> {
         inputs.for_class(&self.class.class.id, &self.snapshot)
     }
 
     /// Asks `steer` for the region; `only` restricts shifts to one region.
     fn query_placement(
         &self,
-        class: &ClassOutlook,
+        class: &ClassPlacementInputs,
         only: Option<usize>,
         exceeds_headroom: bool,
     ) -> Placement {
-        let own = self.snapshot.own;
+        let own = self.snapshot.own_index;
         let now = self.traffic.shared.now();
         let estimates: Vec<RegionEstimate> = class
             .estimates
@@ -140,7 +143,9 @@
             preference: &preference,
             estimates: &estimates,
             target: &ClassTarget {
-                headroom_pct: class.headroom_away_pct.min(self.class.target.headroom_pct),
+                headroom_pct: class
+                    .remote_headroom_pct
+                    .min(self.class.target.headroom_pct),
                 ..self.class.target
             },
             previous: self.traffic.previous_shift(&self.class.class.id),
@@ -155,7 +160,7 @@
             // The request has already reached this entry, whether or not lookups list it.
             admitting: true,
             wait: expected_wait(&self.class, self.traffic.shared.now()),
-            service_time: self.class.pool.expected(),
+            service_time: self.class.pool.expected_latency(),
             ..*estimate
         }
     }
@@ -163,7 +168,7 @@
     fn is_link_open(&self, region: usize, now: Now) -> bool {
         let id = &self.snapshot.regions[region].id;
         let link = self.snapshot.links.get(id);
-        link.is_some_and(|link| link.is_open(now, Freshness::Fresh))
+        link.is_some_and(|link| link.has_capacity(now, Freshness::Fresh))
     }
 
     /// Placement without estimates: this region, or any other that is open if it is drained.
@@ -173,7 +178,7 @@
         }
         let mut others = self.snapshot.regions.iter().enumerate();
         let other = others.find(|(index, region)| {
-            *index != self.snapshot.own && !region.drained && !region.entries.is_empty()
+            *index != self.snapshot.own_index && !region.drained && !region.entries.is_empty()
         });
         match other {
             Some((index, _)) => Placement::Shift(index),
@@ -189,8 +194,8 @@
 /// A request that misses its latency target is still useful to its caller until the deadline.
 /// Refusing it at the target during a burst only makes the caller retry, so that most of the load
 /// is retries. It may wait for half the class's deadline, within its own remaining time.
-pub(crate) fn admission_of(class: &spec::Class) -> ClassTarget {
-    let target = target_of(class);
+pub(crate) fn admission_target(class: &spec::Class) -> ClassTarget {
+    let target = class_target(class);
     ClassTarget {
         latency_target: target.latency_target.max(class.deadline / 2),
         ..target
@@ -198,7 +203,7 @@
 }
 
 /// Target of a class, from its configuration.
-pub(crate) fn target_of(class: &spec::Class) -> ClassTarget {
+pub(crate) fn class_target(class: &spec::Class) -> ClassTarget {
     ClassTarget {
         latency_target: class.latency_target,
         headroom_pct: u32::from(class.headroom_pct),
--- a/crates/daemon/src/request/probe.rs
+++ b/crates/daemon/src/request/probe.rs
@@ -73,14 +73,14 @@
     let id = traffic.request_id();
     let channel = traffic.clients.unpooled();
     let started = Instant::now();
-    permit.sent(&channel.closing, deadline.at());
+    permit.mark_sent(&channel.closing, deadline.at());
     let body = Body::Whole(body);
     let client = &channel.client;
     match attempt::send(client, &upstream.addr, &out, body, &id, deadline).await {
         Ok((_, response_body)) => {
-            upstream.seen.note_answer(started.elapsed());
+            upstream.observations.record_response(started.elapsed());
             if matches!(response_body, ResponseBody::Whole(_)) {
-                permit.completed();
+                permit.mark_completed();
             }
         }
         Err(failure) => record_failure(&traffic, &permit, &failure, started.elapsed()),
--- a/crates/daemon/src/request/shift.rs
+++ b/crates/daemon/src/request/shift.rs
@@ -9,7 +9,7 @@
     process::link::ShiftGuard,
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         attempt::{
@@ -54,7 +54,7 @@
         out: &Outgoing,
         body: Bytes,
         regions: &[usize],
-    ) -> Result<Dispatched, Answer> {
+    ) -> Result<Dispatched, ErrorResponse> {
         for &index in regions {
             let region = &self.snapshot.regions[index];
             let Some(guard) = self.admit_shift(region) else {
@@ -65,7 +65,8 @@
                 return result;
             }
         }
-        let error = Answer::not_run(Reason::NoCapacity, "no region has room for the request");
+        let error =
+            ErrorResponse::not_run(Reason::NoCapacity, "no region has room for the request");
         Err(error.retry_after(RETRY_AFTER))
     }
 
@@ -87,7 +88,7 @@
             Err(ShiftError::Failed(failure)) => HandoverResult::Unknown(unknown_outcome(failure)),
             Err(ShiftError::Unknown) => {
                 let detail = "the other entry does not know the outcome";
-                HandoverResult::Unknown(Answer::unknown(Reason::UpstreamFailed, detail))
+                HandoverResult::Unknown(ErrorResponse::unknown(Reason::UpstreamFailed, detail))
             }
         }
     }
@@ -106,7 +107,7 @@
         out: &Outgoing,
         body: &Bytes,
         guard: ShiftGuard,
-    ) -> Option<Result<Dispatched, Answer>> {
+    ) -> Option<Result<Dispatched, ErrorResponse>> {
         let count = region.entries.len();
         if count == 0 {
             return None;
@@ -115,12 +116,12 @@
         let mut guard = guard;
         for offset in 0..count.min(ENTRIES_TRIED) {
             let entry = &region.entries[(first + offset) % count];
-            self.wait_for(guard.pass(body.len())).await;
+            self.wait_for(guard.record_bytes(body.len())).await;
             match self.shift_once(entry, out, body.clone()).await {
                 Ok((head, response_body)) => {
                     self.counters.shifted.increment(1);
                     if let ResponseBody::Whole(bytes) = &response_body {
-                        self.wait_for(guard.pass(bytes.len())).await;
+                        self.wait_for(guard.record_bytes(bytes.len())).await;
                     }
                     return Some(Ok(Dispatched {
                         head,
@@ -133,7 +134,7 @@
                 Err(ShiftError::Failed(failure)) => return Some(Err(unknown_outcome(failure))),
                 Err(ShiftError::Unknown) => {
                     let detail = "the other region does not know the outcome";
-                    return Some(Err(Answer::unknown(Reason::UpstreamFailed, detail)));
+                    return Some(Err(ErrorResponse::unknown(Reason::UpstreamFailed, detail)));
                 }
             }
             // Each attempt counts as a request in flight of its own.
@@ -210,7 +211,7 @@
     /// Nothing ran, or there is no entry to hand the request to.
     NotRun,
     /// The request may have run.
-    Unknown(Answer),
+    Unknown(ErrorResponse),
 }
 
 /// Failure of one attempt at another entry, without a response to forward.
@@ -233,15 +234,15 @@
 }
 
 /// Error response after a failure that leaves the outcome unknown.
-fn unknown_outcome(failure: Failure) -> Answer {
+fn unknown_outcome(failure: Failure) -> ErrorResponse {
     match failure {
         Failure::Timeout => {
             let detail = "no whole answer of the other entry before the deadline";
-            Answer::unknown(Reason::UpstreamTimeout, detail)
+            ErrorResponse::unknown(Reason::UpstreamTimeout, detail)
         }
         Failure::Broken(detail) | Failure::NotSent(detail) => {
-            Answer::unknown(Reason::UpstreamFailed, detail)
+            ErrorResponse::unknown(Reason::UpstreamFailed, detail)
         }
-        Failure::Refused { .. } => Answer::unknown(Reason::UpstreamFailed, "refused"),
+        Failure::Refused { .. } => ErrorResponse::unknown(Reason::UpstreamFailed, "refused"),
     }
 }
--- a/crates/daemon/src/request/work.rs
+++ b/crates/daemon/src/request/work.rs
@@ -7,7 +7,7 @@
     },
     request::{
         answer::{
-            Answer,
+            ErrorResponse,
             Reason, //
         },
         attempt::{
@@ -126,7 +126,7 @@
 ) -> Sender {
     let shared = &traffic.shared;
     let (key, instance) = (&shared.forward_key, &shared.settings.instance);
-    let Some(from) = input::forwarder(request.headers(), key, instance, class) else {
+    let Some(from) = input::verified_forwarder(request.headers(), key, instance, class) else {
         return Sender::Caller;
     };
     // An entry that has just left the view counts as another region's, and its requests wait behind
@@ -143,7 +143,7 @@
 pub(crate) fn refuse(
     traffic: &TrafficThread,
     request: &HttpRequest,
-    error: &Answer,
+    error: &ErrorResponse,
 ) -> HttpResponse {
     traffic.counters.record_reason(error.reason);
     let mut response = error.respond();
@@ -160,23 +160,23 @@
     }
 }
 
-fn unknown_class(snapshot: &Snapshot, name: &str) -> Answer {
+fn unknown_class(snapshot: &Snapshot, name: &str) -> ErrorResponse {
     if snapshot.stage == Stage::Starting {
-        return Answer::not_run(Reason::NotReady, "no configuration yet")
+        return ErrorResponse::not_run(Reason::NotReady, "no configuration yet")
             .retry_after(UNAVAILABLE_RETRY);
     }
-    Answer::not_run(Reason::UnknownClass, format!("no class named {name:?}"))
+    ErrorResponse::not_run(Reason::UnknownClass, format!("no class named {name:?}"))
 }
 
 /// Error response of a stopping entry, which names another entry to use.
-fn stopping(traffic: &TrafficThread, snapshot: &Snapshot) -> Answer {
+fn stopping(traffic: &TrafficThread, snapshot: &Snapshot) -> ErrorResponse {
     let own_instance = &traffic.shared.settings.instance;
     let others = snapshot.regions.iter().flat_map(|region| &region.entries);
     let other = others
         .filter(|entry| entry.instance != *own_instance)
         .map(|entry| entry.callers_addr.clone())
         .next();
-    Answer::not_run(Reason::Stopping, "this entry stops")
+    ErrorResponse::not_run(Reason::Stopping, "this entry stops")
         .retry_after(UNAVAILABLE_RETRY)
         .use_entry(other)
 }
@@ -202,7 +202,7 @@
         mut self,
         request: &HttpRequest,
         payload: web::Payload,
-    ) -> Result<HttpResponse, Answer> {
+    ) -> Result<HttpResponse, ErrorResponse> {
         let checked = self.read_headers(request);
         self.traffic.budget.borrow_mut().record_request();
         if !self.class.class.idempotent && !self.is_forwarded() {
@@ -219,27 +219,31 @@
         Ok(self.forward_response(dispatched))
     }
 
-    fn read_headers(&mut self, request: &HttpRequest) -> Result<(), Answer> {
-        input::protocol(request.headers())?;
-        let requested = input::deadline(request.headers())?;
+    fn read_headers(&mut self, request: &HttpRequest) -> Result<(), ErrorResponse> {
+        input::check_upgrade(request.headers())?;
+        let requested = input::parse_deadline(request.headers())?;
         self.deadline = Deadline::from_caller(self.started, requested, self.class.class.deadline);
         Ok(())
     }
 
     /// Sends the request to an upstream of this region, or to an entry of another region.
-    pub(crate) async fn dispatch(&self, out: &Outgoing, body: Body) -> Result<Dispatched, Answer> {
+    pub(crate) async fn dispatch(
+        &self,
+        out: &Outgoing,
+        body: Body,
+    ) -> Result<Dispatched, ErrorResponse> {
         let drained = self.snapshot.own_region().drained;
         if self.is_forwarded() {
             // A forwarded request is never forwarded again: two full entries would pass it back and
             // forth.
             return if drained {
-                let error = Answer::not_run(Reason::NoCapacity, "this region is drained");
+                let error = ErrorResponse::not_run(Reason::NoCapacity, "this region is drained");
                 Err(error.retry_after(UNAVAILABLE_RETRY))
             } else {
                 self.dispatch_here(out, body).await
             };
         }
-        self.class.pool.counts.note_arrived();
+        self.class.pool.counts.record_arrived();
         let Body::Whole(bytes) = body else {
             return self.dispatch_here(out, body).await;
         };
@@ -252,7 +256,7 @@
             Placement::Local => self.dispatch_local_first(out, bytes).await,
             Placement::Shift(region) if drained => {
                 match self.shift_out(out, bytes.clone(), region).await {
-                    Err(error) if is_no_capacity(&error) && self.class.pool.takes_work() => {
+                    Err(error) if is_no_capacity(&error) && self.class.pool.accepts_work() => {
                         self.dispatch_here(out, Body::Whole(bytes)).await
                     }
                     result => result,
@@ -262,13 +266,14 @@
                 Err(error) if is_no_capacity(&error) => self.dispatch_in_region(out, bytes).await,
                 result => result,
             },
-            Placement::Refuse { .. } if self.class.pool.takes_work() => {
+            Placement::Refuse { .. } if self.class.pool.accepts_work() => {
                 // The drain has just begun, and the shifted share grows only as fast as its limit
                 // allows.
                 self.dispatch_here(out, Body::Whole(bytes)).await
             }
             Placement::Refuse { retry_after } => {
-                let error = Answer::not_run(Reason::NoCapacity, "no region takes the request");
+                let error =
+                    ErrorResponse::not_run(Reason::NoCapacity, "no region takes the request");
                 Err(error.retry_after(retry_after))
             }
         }
@@ -279,7 +284,7 @@
         &self,
         out: &Outgoing,
         bytes: Bytes,
-    ) -> Result<Dispatched, Answer> {
+    ) -> Result<Dispatched, ErrorResponse> {
         let refused = match self.dispatch_in_region(out, bytes.clone()).await {
             Err(error) if is_no_capacity(&error) => error,
             result => return result,
@@ -299,11 +304,11 @@
         out: &Outgoing,
         bytes: Bytes,
         region: usize,
-    ) -> Result<Dispatched, Answer> {
+    ) -> Result<Dispatched, ErrorResponse> {
         let regions = self.snapshot.regions.iter().enumerate();
         let others = regions
             .filter(|(index, other)| {
-                *index != region && *index != self.snapshot.own && !other.drained
+                *index != region && *index != self.snapshot.own_index && !other.drained
             })
             .map(|(index, _)| index);
         let order: Vec<usize> = std::iter::once(region).chain(others).collect();
@@ -311,7 +316,11 @@
     }
 
     /// Sends the request to an upstream, or to another entry of this region that has a free slot.
-    async fn dispatch_in_region(&self, out: &Outgoing, bytes: Bytes) -> Result<Dispatched, Answer> {
+    async fn dispatch_in_region(
+        &self,
+        out: &Outgoing,
+        bytes: Bytes,
+    ) -> Result<Dispatched, ErrorResponse> {
         match self.hand_over(out, bytes.clone()).await {
             HandoverResult::Done(dispatched) => Ok(dispatched),
             HandoverResult::NotRun => self.dispatch_here(out, Body::Whole(bytes)).await,
@@ -333,7 +342,7 @@
     }
 
     /// Sends the request to an upstream of this region.
-    async fn dispatch_here(&self, out: &Outgoing, body: Body) -> Result<Dispatched, Answer> {
+    async fn dispatch_here(&self, out: &Outgoing, body: Body) -> Result<Dispatched, ErrorResponse> {
         let job = Job {
             traffic: &self.traffic,
             class: &self.class,
@@ -394,7 +403,7 @@
     }
 
     /// Error response of a stopping entry, which names another entry to use.
-    pub(crate) fn stopping(&self) -> Answer {
+    pub(crate) fn stopping(&self) -> ErrorResponse {
         stopping(&self.traffic, &self.snapshot)
     }
 
@@ -414,7 +423,7 @@
         &self,
         headers: &HeaderMap,
         mut payload: web::Payload,
-    ) -> Result<Body, Answer> {
+    ) -> Result<Body, ErrorResponse> {
         let length = headers.get(CONTENT_LENGTH);
         let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
         let is_chunked = headers.contains_key("transfer-encoding");
@@ -432,9 +441,9 @@
             Ok(Ok(whole)) => Ok(Body::Whole(whole)),
             Ok(Err(err)) => {
                 let detail = format!("the request's body: {err}");
-                Err(Answer::not_run(Reason::BadRequest, detail))
+                Err(ErrorResponse::not_run(Reason::BadRequest, detail))
             }
-            Err(_) => Err(Answer::not_run(
+            Err(_) => Err(ErrorResponse::not_run(
                 Reason::TooLate,
                 "the request's body did not arrive before the deadline",
             )),
@@ -443,7 +452,7 @@
 }
 
 /// Whether the request did not run for lack of capacity, so that another region may accept it.
-fn is_no_capacity(error: &Answer) -> bool {
+fn is_no_capacity(error: &ErrorResponse) -> bool {
     error.reason == Reason::NoCapacity && error.outcome == RunOutcome::NotRun
 }
 
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -10,14 +10,14 @@
 
 pub(crate) use self::{
     placement::{
-        ClassOutlook,
+        ClassPlacementInputs,
         Flow,
-        Handed,
+        HandoverCounter,
         HandoverGuard,
-        Outlook,
+        PlacementInputs,
         Sibling,
         Spill,
-        LINK_UNKNOWN, //
+        DEFAULT_ROUND_TRIP, //
     },
     snapshot::{
         ClassView,
@@ -31,4 +31,4 @@
 use std::sync::Arc;
 
 /// Atomic pointer to the current snapshot.
-pub(crate) type Published = Arc<ArcSwap<Snapshot>>;
+pub(crate) type PublishedSnapshot = Arc<ArcSwap<Snapshot>>;
--- a/crates/daemon/src/version/placement.rs
+++ b/crates/daemon/src/version/placement.rs
@@ -29,19 +29,19 @@
 
 /// Inputs of placement, for all classes; immutable once published.
 #[derive(Debug, Default)]
-pub(crate) struct Outlook {
+pub(crate) struct PlacementInputs {
     /// Version of the snapshot that the region indices refer to.
     pub(crate) version: Version,
-    pub(crate) classes: FastMap<ClassId, Arc<ClassOutlook>>,
+    pub(crate) classes: FastMap<ClassId, Arc<ClassPlacementInputs>>,
 }
 
-impl Outlook {
+impl PlacementInputs {
     /// Inputs of a class, if they were made for the regions of this snapshot.
     pub(crate) fn for_class(
         &self,
         id: &ClassId,
         snapshot: &Snapshot,
-    ) -> Option<&Arc<ClassOutlook>> {
+    ) -> Option<&Arc<ClassPlacementInputs>> {
         let class = self.classes.get(id)?;
         let is_current = self.version == snapshot.version;
         (is_current && class.estimates.len() == snapshot.regions.len()).then_some(class)
@@ -50,11 +50,11 @@
 
 /// Inputs of placement for one class.
 #[derive(Debug)]
-pub(crate) struct ClassOutlook {
+pub(crate) struct ClassPlacementInputs {
     /// One per region; the traffic thread fills in what changes with each request.
     pub(crate) estimates: Vec<RegionEstimate>,
     /// Percentage of their slots that other regions keep free when work is shifted to them.
-    pub(crate) headroom_away_pct: u32,
+    pub(crate) remote_headroom_pct: u32,
     /// Fractions of the arriving work that exceed the local headroom, by target region.
     pub(crate) spill: Vec<Spill>,
     /// One per region: the requests that this entry placed there.
@@ -77,16 +77,16 @@
 pub(crate) struct Sibling {
     pub(crate) instance: InstanceId,
     /// Demand in its last report, in thousandths of a slot.
-    pub(crate) told_milli_slots: u64,
-    pub(crate) open: u32,
-    pub(crate) handed: Arc<Handed>,
+    pub(crate) reported_milli_slots: u64,
+    pub(crate) open_slots: u32,
+    pub(crate) handovers: Arc<HandoverCounter>,
 }
 
 /// Number of requests of one service handed to another entry and not yet answered.
 #[derive(Debug, Default)]
-pub(crate) struct Handed(AtomicU32);
+pub(crate) struct HandoverCounter(AtomicU32);
 
-impl Handed {
+impl HandoverCounter {
     /// Counts one request until the guard is dropped.
     pub(crate) fn guard(self: &Arc<Self>) -> HandoverGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
@@ -96,7 +96,7 @@
 
 /// Guard of one request handed to another entry.
 #[derive(Debug)]
-pub(crate) struct HandoverGuard(Arc<Handed>);
+pub(crate) struct HandoverGuard(Arc<HandoverCounter>);
 
 impl Drop for HandoverGuard {
     fn drop(&mut self) {
@@ -104,13 +104,18 @@
     }
 }
 
-impl ClassOutlook {
+impl ClassPlacementInputs {
     /// The least occupied other entry of this region, if it is less occupied than `local`.
     pub(crate) fn least_occupied_sibling(&self, local: &Occupancy) -> Option<&Sibling> {
         let senders = u32::try_from(self.siblings.len()).unwrap_or(u32::MAX);
         let others = self.siblings.iter().map(|sibling| {
-            let handed = sibling.handed.0.load(Ordering::Relaxed);
-            Occupancy::peer(sibling.told_milli_slots, sibling.open, handed, senders)
+            let handed = sibling.handovers.0.load(Ordering::Relaxed);
+            Occupancy::peer(
+                sibling.reported_milli_slots,
+                sibling.open_slots,
+                handed,
+                senders,
+            )
         });
         let chosen = steer::least_occupied(local, others)?;
         self.siblings.get(chosen)
@@ -133,7 +138,7 @@
     }
 }
 
-impl ClassOutlook {
+impl ClassPlacementInputs {
     /// Region that the request with this `seed` spills to, if it exceeds the headroom.
     pub(crate) fn spill_region(&self, seed: u64) -> Option<usize> {
         // All regions use one seed: each owns a disjoint interval of the thousand.
@@ -148,4 +153,4 @@
 }
 
 /// Round trip assumed for a region without measurements.
-pub(crate) const LINK_UNKNOWN: Duration = Duration::from_millis(100);
+pub(crate) const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/version/snapshot.rs
+++ b/crates/daemon/src/version/snapshot.rs
@@ -56,9 +56,9 @@
     /// The class's target, as placement uses it.
     pub(crate) target: ClassTarget,
     /// Admission control of the classes that share the service.
-    pub(crate) admit: Arc<AdmissionControl>,
+    pub(crate) admission: Arc<AdmissionControl>,
     /// Index of this class in the admission control.
-    pub(crate) place: usize,
+    pub(crate) class_index: usize,
     /// Number of classes of the service that precede this one in the queue.
     pub(crate) rank: usize,
     /// Whether its own requests serve as probes, since no class of the service can be copied.
@@ -70,7 +70,7 @@
     pub(crate) version: Version,
     pub(crate) stage: Stage,
     /// Index of this daemon's region in `regions`.
-    pub(crate) own: usize,
+    pub(crate) own_index: usize,
     pub(crate) regions: Vec<RegionView>,
     pub(crate) classes: FastMap<ClassId, Arc<ClassView>>,
     /// Maps a caller's address block to regions, most preferred first.
@@ -85,7 +85,7 @@
         Self {
             version: 0,
             stage: Stage::Starting,
-            own: 0,
+            own_index: 0,
             regions: vec![RegionView {
                 id: own,
                 entries: Vec::new(),
@@ -104,7 +104,7 @@
 
     /// This daemon's region.
     pub(crate) fn own_region(&self) -> &RegionView {
-        &self.regions[self.own]
+        &self.regions[self.own_index]
     }
 
     /// Whether `region` is the caller's most preferred region, live or not.
@@ -120,7 +120,7 @@
         let listed = block.and_then(|addr| self.blocks.lookup(addr));
         let rank = |region: &RegionView| {
             let listed = listed.and_then(|listed| listed.iter().position(|id| *id == region.id));
-            let is_remote = self.regions[self.own].id != region.id;
+            let is_remote = self.regions[self.own_index].id != region.id;
             (region.drained, listed.unwrap_or(usize::MAX), is_remote)
         };
         let mut regions: Vec<&RegionView> = self.regions.iter().collect();
--- a/crates/daemon/tests/input.rs
+++ b/crates/daemon/tests/input.rs
@@ -14,11 +14,11 @@
 use daemon::{
     input::{
         self,
-        Query,
-        Way,
-        KEY_MAX_BYTES, //
+        FilingToken,
+        LookupQuery,
+        IDEMPOTENCY_KEY_MAX_BYTES, //
     },
-    Answer,
+    ErrorResponse,
     ForwardKey,
     Settings, //
 };
@@ -49,7 +49,7 @@
 }
 
 /// Checks that an answer is a well-formed refusal.
-fn assert_refusal(answer: &Answer) {
+fn assert_refusal(answer: &ErrorResponse) {
     let response = answer.respond();
     let status = response.status();
     assert!(status.is_client_error(), "{status}");
@@ -83,18 +83,18 @@
 
 /// Parses all headers of a work request and checks the results.
 fn check_headers(headers: &HeaderMap) {
-    if let Err(answer) = input::protocol(headers) {
+    if let Err(answer) = input::check_upgrade(headers) {
         assert_refusal(&answer);
     }
-    match input::deadline(headers) {
+    match input::parse_deadline(headers) {
         Ok(None) => assert!(!headers.contains_key(DEADLINE)),
         Ok(Some(left)) => assert!(left >= Duration::from_millis(1)),
         Err(answer) => assert_refusal(&answer),
     }
-    match Way::of(headers, &ticket_key()) {
-        Ok(Way::Ticket(_)) => panic!("accepted a ticket that was not minted"),
-        Ok(Way::Key(key)) => {
-            assert!((1..=KEY_MAX_BYTES).contains(&key.len()));
+    match FilingToken::from_headers(headers, &ticket_key()) {
+        Ok(FilingToken::Ticket(_)) => panic!("accepted a ticket that was not minted"),
+        Ok(FilingToken::Key(key)) => {
+            assert!((1..=IDEMPOTENCY_KEY_MAX_BYTES).contains(&key.len()));
             assert_eq!(
                 headers.get(IDEMPOTENCY_KEY).expect("the header is present"),
                 &*key
@@ -120,7 +120,7 @@
             let headers = headers(&given);
             check_headers(&headers);
             let class = String::from_utf8_lossy(class);
-            let forwarder = input::forwarder(&headers, &forward_key, "a-1", &class);
+            let forwarder = input::verified_forwarder(&headers, &forward_key, "a-1", &class);
             assert_eq!(forwarder, None, "no forwarder was authenticated");
         });
 }
@@ -146,11 +146,12 @@
         .with_iterations(ITERATIONS)
         .with_type::<(u8, u16)>()
         .for_each(|(byte, length)| {
-            let length = usize::from(*length) % (3 * KEY_MAX_BYTES);
+            let length = usize::from(*length) % (3 * IDEMPOTENCY_KEY_MAX_BYTES);
             let headers = headers(&[(IDEMPOTENCY_KEY, &vec![*byte; length])]);
             check_headers(&headers);
-            let is_valid = byte.is_ascii_graphic() && (1..=KEY_MAX_BYTES).contains(&length);
-            assert!(!is_valid || Way::of(&headers, &ticket_key()).is_ok());
+            let is_valid =
+                byte.is_ascii_graphic() && (1..=IDEMPOTENCY_KEY_MAX_BYTES).contains(&length);
+            assert!(!is_valid || FilingToken::from_headers(&headers, &ticket_key()).is_ok());
         });
 }
 
@@ -175,10 +176,10 @@
                 bytes[index] = *value;
             }
             bytes.truncate(minted.len() - cut % 4);
-            match Way::of(&headers(&[(TICKET, &bytes)]), &ticket_key()) {
+            match FilingToken::from_headers(&headers(&[(TICKET, &bytes)]), &ticket_key()) {
                 Ok(way) => {
                     assert_eq!(bytes, minted);
-                    assert_eq!(way, Way::Ticket(ticket.clone()));
+                    assert_eq!(way, FilingToken::Ticket(ticket.clone()));
                 }
                 Err(answer) => {
                     assert_ne!(bytes, minted);
@@ -189,7 +190,7 @@
 }
 
 /// Encodes a query so that it parses to the same value.
-fn encode(query: &Query) -> String {
+fn encode(query: &LookupQuery) -> String {
     let escape = |byte| format!("%{byte:02x}");
     let class: String = query.class.bytes().map(escape).collect();
     match query.block {
@@ -211,8 +212,8 @@
             let pick = |byte: &u8| PIECES[usize::from(*byte) % PIECES.len()];
             let pieces: String = picks.iter().map(pick).collect();
             for text in [pieces.as_str(), &String::from_utf8_lossy(bytes)] {
-                match Query::parse(text) {
-                    Ok(query) => assert_eq!(Query::parse(&encode(&query)), Ok(query)),
+                match LookupQuery::parse(text) {
+                    Ok(query) => assert_eq!(LookupQuery::parse(&encode(&query)), Ok(query)),
                     Err(answer) => assert_refusal(&answer),
                 }
             }
--- a/crates/entry/src/control/loads.rs
+++ b/crates/entry/src/control/loads.rs
@@ -90,7 +90,7 @@
 
     fn send_as_hub(&self, include_other_regions: bool, now: Now) {
         let own = self.channels.loads.own.load();
-        let warmed = self.channels.loads.warmed.take();
+        let warmed = self.channels.loads.own_warm_keys.take();
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         WarmKeyQueues::put(&mut state.warm_key_queues.for_hubs, &warmed);
@@ -136,7 +136,7 @@
         if let Some(primary) = primary {
             state.load_sums.record_reported(&own);
             self.send(&primary, &Message::Loads(PackedLoads::pack(&own)));
-            let warmed = self.channels.loads.warmed.take();
+            let warmed = self.channels.loads.own_warm_keys.take();
             if !warmed.is_empty() {
                 self.send(&primary, &Message::Warmed(warmed));
             }
@@ -167,7 +167,7 @@
     pub(super) fn on_want_warmed(&self, from: &InstanceId) {
         self.channels
             .loads
-            .all_wanted
+            .all_warm_keys_requested
             .store(true, Ordering::Relaxed);
         self.state
             .borrow_mut()
@@ -177,7 +177,7 @@
 
     /// Sends the warm keys to the entries that requested them, once traffic has stored the keys.
     fn send_requested_warm_keys(&self) {
-        let keys = self.channels.loads.all_warm.take();
+        let keys = self.channels.loads.all_warm_keys.take();
         if keys.is_empty() {
             return;
         }
@@ -195,7 +195,7 @@
                 WarmKeyQueues::put(&mut state.warm_key_queues.for_hubs, &keys);
             }
         }
-        self.channels.loads.heard.put(keys);
+        self.channels.loads.received_warm_keys.put(keys);
     }
 
     pub(super) fn on_loads(&self, from: &InstanceId, loads: &PackedLoads, now: Now) {
--- a/crates/entry/src/control/publish.rs
+++ b/crates/entry/src/control/publish.rs
@@ -83,12 +83,12 @@
         };
         Snapshot {
             number: state.snapshot_number,
-            made_at: now,
-            table: state.routes.clone(),
+            created_at: now,
+            routes: state.routes.clone(),
             upstreams: state.upstream_views.clone(),
             entries: self.entries(state),
-            entries_known: state.overlay.sender_count(),
-            here,
+            sender_count: state.overlay.sender_count(),
+            location: here,
             bounds: state.bounds.clone(),
             stopping: state.stopping,
         }
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -203,8 +203,12 @@
                         self.on_payload(&from, &note.payload);
                     }
                 }
-                Event::Down { instance, why, .. } => self.on_session_down(&instance, why),
-                Event::Stranger { addr, why } => {
+                Event::Down {
+                    instance,
+                    reason: why,
+                    ..
+                } => self.on_session_down(&instance, why),
+                Event::Refused { addr, reason: why } => {
                     emit(&LogEvent::StrangerRefused {
                         addr: addr.to_string(),
                         why: format!("{why:?}"),
--- a/crates/entry/src/dialect.rs
+++ b/crates/entry/src/dialect.rs
@@ -36,7 +36,7 @@
 
 impl Dialect {
     /// Returns the default names.
-    pub fn own() -> Self {
+    pub fn default_names() -> Self {
         Self {
             request_id: HeaderName::from_static("jasmine-request"),
             deadline_ms: HeaderName::from_static("jasmine-deadline-ms"),
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -28,13 +28,13 @@
     /// Incremented with each change of `others`.
     others_version: AtomicU64,
     /// Keys that this entry's requests warmed upstreams for; from traffic to control.
-    pub(crate) warmed: WarmKeyQueue,
+    pub(crate) own_warm_keys: WarmKeyQueue,
     /// Warm keys that other entries reported; from control to traffic.
-    pub(crate) heard: WarmKeyQueue,
+    pub(crate) received_warm_keys: WarmKeyQueue,
     /// All known warm keys, stored by traffic when another entry has requested them.
-    pub(crate) all_warm: WarmKeyQueue,
+    pub(crate) all_warm_keys: WarmKeyQueue,
     /// Whether another entry has requested all warm keys.
-    pub(crate) all_wanted: AtomicBool,
+    pub(crate) all_warm_keys_requested: AtomicBool,
 }
 
 impl Loads {
@@ -45,7 +45,7 @@
     }
 
     /// Returns the sums over the other entries if their version differs from `seen`, and updates `seen`.
-    pub(crate) fn others_since(
+    pub(crate) fn others_if_changed(
         &self,
         seen: &mut u64,
     ) -> Option<Arc<Option<FastMap<LoadKey, u32>>>> {
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -12,9 +12,9 @@
     },
     snapshot::Snapshot,
     traffic::{
-        open,
+        spawn_servers,
         Ports,
-        Shared, //
+        SharedState, //
     },
 };
 use actix_rt::{
@@ -93,7 +93,7 @@
     let settings = Arc::new(settings);
     let ports = Ports {
         callers: bind(settings.callers_addr, "callers")?,
-        pages: vec![
+        auxiliary: vec![
             bind(settings.lookup_addr, "look-ups")?,
             bind(settings.ready_addr, "readiness")?,
             bind(settings.metrics_addr, "metrics")?,
@@ -106,14 +106,14 @@
     let published = Arc::new(ArcSwap::from_pointee(initial));
     let channels = Channels::default();
     let clock = Clock::start();
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(SharedState {
         settings: settings.clone(),
         dialect,
         published: published.clone(),
         channels: channels.clone(),
         metrics,
         clock,
-        under_way: AtomicUsize::new(0),
+        active_requests: AtomicUsize::new(0),
         closing: AtomicBool::new(false),
     });
     System::new().block_on(async move {
@@ -125,7 +125,7 @@
         let traffic = Arbiter::new();
         let traffic_shared = shared.clone();
         let spawned = traffic.spawn_fn(move || {
-            if let Err(error) = open(ports, traffic_shared) {
+            if let Err(error) = spawn_servers(ports, traffic_shared) {
                 emit(&Event::PortsNotServed {
                     error: error.to_string(),
                 });
@@ -159,13 +159,13 @@
 
 /// Performs the planned stop: withdraws this entry, accepts requests for a part of the grace period, then refuses new
 /// ones and waits for those in flight.
-async fn stop<S, W>(control: &Rc<Control<S, W>>, shared: &Shared)
+async fn stop<S, W>(control: &Rc<Control<S, W>>, shared: &SharedState)
 where
     S: Feed + Table + 'static,
     W: RowReader,
 {
     let started = Instant::now();
-    let under_way = || shared.under_way.load(Ordering::Relaxed);
+    let under_way = || shared.active_requests.load(Ordering::Relaxed);
     emit(&Event::Stopping {
         under_way: under_way(),
     });
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -87,7 +87,7 @@
 impl Settings {
     /// Returns the maximum number of concurrent connections of callers. The other sockets are left for connections to
     /// upstreams: a request holds one per attempt, one after the other, and idle connections are kept open.
-    pub(crate) fn max_callers(&self) -> usize {
+    pub(crate) fn max_caller_connections(&self) -> usize {
         self.max_sockets.saturating_sub(RESERVED_SOCKETS) * 2 / 3
     }
 
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -48,18 +48,18 @@
     /// Incremented with each snapshot of a process.
     pub(crate) number: u64,
     /// Time at which the snapshot was created.
-    pub(crate) made_at: Now,
+    pub(crate) created_at: Now,
     /// Compiled routes in force; `None` until a first version is known.
-    pub(crate) table: Option<Arc<Table>>,
+    pub(crate) routes: Option<Arc<Table>>,
     /// Upstreams; snapshots share the list until an upstream changes.
     pub(crate) upstreams: Arc<Vec<UpstreamView>>,
     /// Entries that accept new callers, including this one if it does.
     pub(crate) entries: Vec<EntryView>,
     /// Number of entries that may be sending, including this one and those without a session; `None` until the rows of
     /// the other entries have been read.
-    pub(crate) entries_known: Option<usize>,
+    pub(crate) sender_count: Option<usize>,
     /// Location of this entry.
-    pub(crate) here: Location,
+    pub(crate) location: Location,
     /// Bounds guaranteed to users.
     pub(crate) bounds: Bounds,
     /// Whether a planned stop has begun.
@@ -69,6 +69,6 @@
 impl Snapshot {
     /// Returns whether this entry accepts new callers.
     pub(crate) fn ready(&self) -> bool {
-        self.table.is_some() && !self.stopping
+        self.routes.is_some() && !self.stopping
     }
 }
--- a/crates/entry/src/traffic/fleet.rs
+++ b/crates/entry/src/traffic/fleet.rs
@@ -132,14 +132,14 @@
             return false;
         }
         self.snapshot_number = snapshot.number;
-        self.location = snapshot.here.clone();
+        self.location = snapshot.location.clone();
         self.bounds = snapshot.bounds.clone();
-        self.entries_known = snapshot.entries_known;
+        self.entries_known = snapshot.sender_count;
         if !Arc::ptr_eq(&self.views, &snapshot.upstreams) {
             self.views = snapshot.upstreams.clone();
             self.update_upstreams(&snapshot.upstreams);
         }
-        if let Some(table) = &snapshot.table {
+        if let Some(table) = &snapshot.routes {
             self.update_routes(table);
         }
         true
--- a/crates/entry/src/traffic/fleet/peer_reports.rs
+++ b/crates/entry/src/traffic/fleet/peer_reports.rs
@@ -57,8 +57,8 @@
 
     /// Applies the warm keys and the requests in flight reported by other entries.
     pub(in crate::traffic) fn update_peer_loads(&mut self, loads: &Loads, now: Now) {
-        self.merge_warm_keys(loads.heard.take(), now);
-        let Some(sums) = loads.others_since(&mut self.loads_seen) else {
+        self.merge_warm_keys(loads.received_warm_keys.take(), now);
+        let Some(sums) = loads.others_if_changed(&mut self.loads_seen) else {
             return;
         };
         let groups = self.groups.values_mut();
--- a/crates/entry/src/traffic/lookup.rs
+++ b/crates/entry/src/traffic/lookup.rs
@@ -131,6 +131,6 @@
     let nearest = snapshot
         .entries
         .iter()
-        .min_by_key(|entry| snapshot.here.round_trip(&entry.region));
+        .min_by_key(|entry| snapshot.location.round_trip(&entry.region));
     nearest.map_or_else(Vec::new, |entry| addrs(of_region(&entry.region)))
 }
--- a/crates/entry/src/traffic/mod.rs
+++ b/crates/entry/src/traffic/mod.rs
@@ -24,7 +24,7 @@
 mod stream;
 
 pub(crate) use ports::{
-    open,
+    spawn_servers,
     Ports, //
 };
 
@@ -55,7 +55,7 @@
 };
 
 /// State shared by the control and traffic threads.
-pub(crate) struct Shared {
+pub(crate) struct SharedState {
     pub(crate) settings: Arc<Settings>,
     pub(crate) dialect: Dialect,
     pub(crate) published: Arc<ArcSwap<Snapshot>>,
@@ -63,14 +63,14 @@
     pub(crate) metrics: PrometheusHandle,
     pub(crate) clock: Clock,
     /// Number of requests without a final response.
-    pub(crate) under_way: AtomicUsize,
+    pub(crate) active_requests: AtomicUsize,
     /// Set shortly before the process exits; new requests are then rejected.
     pub(crate) closing: AtomicBool,
 }
 
 /// State of the traffic thread.
 pub(crate) struct Traffic {
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
     pub(crate) pool: Pool,
     pub(crate) fleet: RefCell<Fleet>,
     /// Number of open connections from callers.
@@ -80,7 +80,7 @@
 }
 
 impl Traffic {
-    fn new(shared: Arc<Shared>) -> Self {
+    fn new(shared: Arc<SharedState>) -> Self {
         let fleet = Fleet::new(&shared.settings);
         Self {
             shared,
--- a/crates/entry/src/traffic/plan.rs
+++ b/crates/entry/src/traffic/plan.rs
@@ -63,7 +63,7 @@
         return Err((response, outcome));
     }
     let dialect = &traffic.shared.dialect;
-    let Some(table) = &snapshot.table else {
+    let Some(table) = &snapshot.routes else {
         return Err(retry_later(NO_ROUTES_RETRY_AFTER, Outcome::NoRoutes));
     };
     let host = text(&request.headers, &HOST);
--- a/crates/entry/src/traffic/ports.rs
+++ b/crates/entry/src/traffic/ports.rs
@@ -2,7 +2,7 @@
 
 use crate::traffic::{
     lookup::AuxiliaryHandler,
-    Shared,
+    SharedState,
     Traffic, //
 };
 use event::{
@@ -35,13 +35,13 @@
 pub(crate) struct Ports {
     pub(crate) callers: TcpListener,
     /// Listeners for look-ups, readiness checks and metrics.
-    pub(crate) pages: Vec<TcpListener>,
+    pub(crate) auxiliary: Vec<TcpListener>,
 }
 
 /// Spawns the tasks that serve the ports until the process exits. Must be called on the traffic thread.
-pub(crate) fn open(ports: Ports, shared: Arc<Shared>) -> io::Result<()> {
+pub(crate) fn spawn_servers(ports: Ports, shared: Arc<SharedState>) -> io::Result<()> {
     let traffic = Rc::new(Traffic::new(shared));
-    for listener in ports.pages {
+    for listener in ports.auxiliary {
         let handler = Rc::new(AuxiliaryHandler(traffic.clone()));
         actix_rt::spawn(accept(
             to_tokio_listener(listener)?,
@@ -68,15 +68,18 @@
         let shared = &traffic.shared.channels.loads;
         shared.own.store(Arc::new(own));
         let mut fleet = traffic.fleet.borrow_mut();
-        shared.warmed.put(fleet.take_unreported_warm_keys());
-        if shared.all_wanted.swap(false, Ordering::Relaxed) {
-            shared.all_warm.put(fleet.all_warm_keys());
+        shared.own_warm_keys.put(fleet.take_unreported_warm_keys());
+        if shared
+            .all_warm_keys_requested
+            .swap(false, Ordering::Relaxed)
+        {
+            shared.all_warm_keys.put(fleet.all_warm_keys());
         }
     }
 }
 
 async fn accept<H: Handler>(listener: Listener, handler: Rc<H>, traffic: Rc<Traffic>) {
-    let max_connections = traffic.shared.settings.max_callers();
+    let max_connections = traffic.shared.settings.max_caller_connections();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
--- a/crates/entry/src/traffic/request.rs
+++ b/crates/entry/src/traffic/request.rs
@@ -32,7 +32,7 @@
 impl Handler for Traffic {
     fn limits(&self) -> CallerLimits {
         let snapshot = self.shared.published.load();
-        let table = snapshot.table.as_ref();
+        let table = snapshot.routes.as_ref();
         table.map(|table| *table.limits()).unwrap_or_default()
     }
 
@@ -42,7 +42,7 @@
 
     fn may_run_concurrently(&self, head: &Head) -> bool {
         let snapshot = self.shared.published.load();
-        let route = snapshot.table.as_ref().and_then(|table| {
+        let route = snapshot.routes.as_ref().and_then(|table| {
             let host = head.headers().get(HOST)?.to_str().ok()?;
             table.find(host, head.uri().path())
         });
@@ -100,13 +100,19 @@
 
 impl ActiveRequest {
     fn new(traffic: &Rc<Traffic>) -> Self {
-        traffic.shared.under_way.fetch_add(1, Ordering::Relaxed);
+        traffic
+            .shared
+            .active_requests
+            .fetch_add(1, Ordering::Relaxed);
         Self(traffic.clone())
     }
 }
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.0.shared.under_way.fetch_sub(1, Ordering::Relaxed);
+        self.0
+            .shared
+            .active_requests
+            .fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/entry/src/traffic/request_log.rs
+++ b/crates/entry/src/traffic/request_log.rs
@@ -130,9 +130,9 @@
             target_ms: None,
             deadline_ms: None,
             picture: Picture {
-                routes: snapshot.table.as_ref().map_or(0, |table| table.version()),
+                routes: snapshot.routes.as_ref().map_or(0, |table| table.version()),
                 number: snapshot.number,
-                age_ms: millis(self.now().saturating_sub(snapshot.made_at)),
+                age_ms: millis(self.now().saturating_sub(snapshot.created_at)),
             },
         }
     }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -196,7 +196,7 @@
                 Ok(())
             };
             let rows = JsonRows;
-            let dialect = Dialect::own();
+            let dialect = Dialect::default_names();
             let open_store = || store;
             entry::run(
                 settings,
--- a/crates/peer/src/counters.rs
+++ b/crates/peer/src/counters.rs
@@ -41,7 +41,7 @@
     /// Frames ignored because this build does not know their kind.
     pub unknown_frames: Counter,
     /// Malformed or unexpected messages of authenticated peers; each closed its session.
-    pub bad_frames: Counter,
+    pub invalid_frames: Counter,
     /// Heartbeats dropped in favour of newer frames because a queue was full.
     pub dropped_beats: Counter,
     /// Frames rejected because a queue was full and held no heartbeat to drop.
@@ -59,5 +59,5 @@
     /// Lost sessions that were replaced in time.
     pub reopened: Counter,
     /// Connections refused before they were authenticated.
-    pub strangers: Counter,
+    pub refused_connections: Counter,
 }
--- a/crates/peer/src/event.rs
+++ b/crates/peer/src/event.rs
@@ -63,15 +63,15 @@
         /// The incarnation that was up.
         incarnation: Incarnation,
         /// Why the peer is down.
-        why: DownReason,
+        reason: DownReason,
     },
     /// A connection was refused before it was authenticated; the set of peers did not change. Under
     /// a flood of such connections some are only counted.
-    Stranger {
+    Refused {
         /// Address of the remote end.
         addr: SocketAddr,
         /// Why it was refused.
-        why: Refusal,
+        reason: Refusal,
     },
 }
 
--- a/crates/peer/src/session/mod.rs
+++ b/crates/peer/src/session/mod.rs
@@ -129,7 +129,7 @@
                 self.report_lost(DownReason::Silent);
             }
             SessionEnd::Violation(_) => {
-                counters.bad_frames.increment();
+                counters.invalid_frames.increment();
                 self.report_lost(DownReason::Lost);
             }
             // A partner may close a session that it dialled itself and still accept one dialled
--- a/crates/peer/src/shared.rs
+++ b/crates/peer/src/shared.rs
@@ -282,10 +282,16 @@
     /// Counts a refused connection and notifies the owner, unless the event budget is used up: a
     /// flood of unauthenticated connections must not exhaust memory.
     pub(crate) fn report_refused(&self, addr: SocketAddr, refusal: Refusal) {
-        self.counters.strangers.increment();
+        self.counters.refused_connections.increment();
         let cost = u32::try_from(EVENT_OVERHEAD_BYTES).unwrap_or(u32::MAX);
         if let Ok(permit) = self.event_budget.clone().try_acquire_many_owned(cost) {
-            self.enqueue(Event::Stranger { addr, why: refusal }, Some(permit));
+            self.enqueue(
+                Event::Refused {
+                    addr,
+                    reason: refusal,
+                },
+                Some(permit),
+            );
         }
     }
 
@@ -294,7 +300,7 @@
         self.emit(Event::Down {
             instance: instance.clone(),
             incarnation,
-            why: reason,
+            reason,
         });
     }
 
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -198,7 +198,7 @@
     let expected = Event::Down {
         instance: "a".into(),
         incarnation: 1,
-        why: DownReason::Stopping,
+        reason: DownReason::Stopping,
     };
     assert_eq!(down.await, expected);
     assert_eq!(b.shares().len(), 100);
@@ -221,7 +221,7 @@
             event,
             Event::Down {
                 incarnation: 1,
-                why: DownReason::Restarted,
+                reason: DownReason::Restarted,
                 ..
             }
         )
@@ -230,7 +230,7 @@
     let stale = peer::Refusal::Stale;
     a.wait_for(
         "refusal",
-        |event| matches!(event, Event::Stranger { why, .. } if *why == stale),
+        |event| matches!(event, Event::Refused { reason, .. } if *reason == stale),
     )
     .await;
     assert_eq!(a.mesh.peers()[0].incarnation, 2);
@@ -250,7 +250,7 @@
     let expected = Event::Down {
         instance: "b".into(),
         incarnation: 1,
-        why: DownReason::Lost,
+        reason: DownReason::Lost,
     };
     assert_eq!(down.await, expected);
 }
@@ -276,7 +276,8 @@
         (&mut a, DownReason::Dropped),
         (&mut b, DownReason::Unwanted),
     ] {
-        let down = |event: &Event| matches!(event, Event::Down { why, .. } if *why == expected);
+        let down =
+            |event: &Event| matches!(event, Event::Down { reason, .. } if *reason == expected);
         node.wait_for("down", down).await;
         assert!(node.mesh.peers().is_empty());
     }
--- a/crates/peer/tests/refused_connections.rs
+++ b/crates/peer/tests/refused_connections.rs
@@ -127,12 +127,15 @@
 /// Checks that the node reported and counted one refused connection, has no peer up, and still
 /// accepts a valid peer.
 async fn assert_refused(mut a: Node, refusal: Refusal) {
-    let is_refused = |event: &Event| matches!(event, Event::Stranger { .. });
-    let Event::Stranger { why: reported, .. } = a.wait_for("refusal", is_refused).await else {
+    let is_refused = |event: &Event| matches!(event, Event::Refused { .. });
+    let Event::Refused {
+        reason: reported, ..
+    } = a.wait_for("refusal", is_refused).await
+    else {
         unreachable!();
     };
     assert_eq!(reported, refusal);
-    assert_eq!(a.mesh.counters().strangers.get(), 1);
+    assert_eq!(a.mesh.counters().refused_connections.get(), 1);
     assert!(a.mesh.peers().is_empty());
     let c = node("c", 1, Options::default());
     c.mesh.set_partners(vec![a.partner("a")]);
@@ -218,7 +221,7 @@
     assert_eq!(closed, (POLICY, "wrong proof".to_owned()));
     a.wait_for(
         "refusal",
-        |event| matches!(event, Event::Stranger { why, .. } if *why == Refusal::WrongProof),
+        |event| matches!(event, Event::Refused { reason, .. } if *reason == Refusal::WrongProof),
     )
     .await;
     assert!(a.mesh.peers().is_empty());
@@ -234,7 +237,7 @@
     a.mesh.set_partners(vec![wrong]);
     a.wait_for(
         "refusal",
-        |event| matches!(event, Event::Stranger { why, .. } if *why == Refusal::WrongInstance),
+        |event| matches!(event, Event::Refused { reason, .. } if *reason == Refusal::WrongInstance),
     )
     .await;
     assert!(a.mesh.peers().is_empty() && b.mesh.peers().is_empty());
@@ -277,7 +280,7 @@
     assert_eq!(b.receive().await.unwrap_err().0, code);
     a.wait_for("down", |event| matches!(event, Event::Down { .. }))
         .await;
-    assert_eq!(a.mesh.counters().bad_frames.get(), 1);
+    assert_eq!(a.mesh.counters().invalid_frames.get(), 1);
     assert_eq!(a.mesh.counters().received_frames.get(), 0);
     assert_eq!(a.seen.len(), 2, "up and down, nothing else");
 }
--- a/crates/peer/tests/silent_connections.rs
+++ b/crates/peer/tests/silent_connections.rs
@@ -119,7 +119,7 @@
     relay.silence_all();
     for node in [&mut a, &mut b] {
         let down = node.wait_for("down", |event| matches!(event, Event::Down { .. }));
-        let Event::Down { why, .. } = down.await else {
+        let Event::Down { reason: why, .. } = down.await else {
             unreachable!();
         };
         assert_eq!(why, DownReason::Silent);
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -82,7 +82,7 @@
     };
     entry::run(
         entry,
-        Dialect::own(),
+        Dialect::default_names(),
         RoutesReader,
         metrics,
         move || {
