--- a/crates/plat/src/caller.rs
+++ b/crates/plat/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls by HTTP, with deadlines, to whatever protocol a platform speaks.
+//! An HTTP client with a deadline per call, independent of the protocol on top of it.
 
 use crate::outcome::{
     Outcome,
@@ -35,24 +35,24 @@
 };
 use strict::strict_connector;
 
-/// Longest answer that is read, so that a broken platform can't fill the daemon's memory.
-const ANSWER_LIMIT_BYTES: usize = 256 << 20;
-/// How long an idle connection is kept.
+/// Maximum size of a response body, so that a faulty platform can't exhaust the daemon's memory.
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
+/// How long an idle connection is kept open.
 ///
-/// Shorter than usual servers do: a commit sent just as the server closes an idle connection
-/// would end as unknown, which costs a read back.
-const IDLE: Duration = Duration::from_secs(3);
+/// Shorter than the idle timeout of common servers: a commit sent just as the server closes an idle
+/// connection would have an unknown outcome and need another read.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Bytes of a body that are handed to the connection at a time.
-const PIECE_BYTES: usize = 64 << 10;
+/// Number of bytes of a request body that are passed to the connection at a time.
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// A body that is handed to the connection piece by piece.
+/// A request body that is passed to the connection in chunks.
 ///
-/// The client copies whatever it is handed into its write buffer. Handed a snapshot of a large block
-/// table in one piece, the daemon would hold it twice while it is stored.
-struct Pieces(Bytes);
+/// The client copies what it is passed into its write buffer. If a snapshot of a large block table
+/// were passed as a whole, the daemon would hold it in memory twice while storing it.
+struct ChunkedBody(Bytes);
 
-impl MessageBody for Pieces {
+impl MessageBody for ChunkedBody {
     type Error = Infallible;
 
     fn size(&self) -> BodySize {
@@ -63,35 +63,35 @@
         mut self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Infallible>>> {
-        let length = self.0.len().min(PIECE_BYTES);
-        let piece = self.0.split_to(length);
-        Poll::Ready((!piece.is_empty()).then_some(Ok(piece)))
+        let length = self.0.len().min(CHUNK_BYTES);
+        let chunk = self.0.split_to(length);
+        Poll::Ready((!chunk.is_empty()).then_some(Ok(chunk)))
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
-    /// Its status.
+pub struct HttpResponse {
+    /// Status code.
     pub status: StatusCode,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// How a call failed, by whether the platform can have seen it.
+/// Why a call failed, and whether the platform may have received it.
 #[derive(Clone, Debug)]
-pub enum CallFailure {
+pub enum CallError {
     /// Nothing was sent.
     NotSent(Reason),
-    /// Some or all of it was sent.
+    /// Some or all of the request may have been sent.
     MaybeSent(Reason),
 }
 
-/// Sends calls to one platform; for one thread, inside an actix system.
+/// Sends requests to one platform; must be used on one thread, inside an actix system.
 pub struct HttpCaller {
-    /// URL that the paths are appended to, without a slash at its end.
+    /// URL that paths are appended to, without a trailing slash.
     base_url: String,
-    /// Keeps the idle connections; replaced as a whole after a timeout.
+    /// Client with its pool of idle connections; replaced after a timeout.
     client: RefCell<Client>,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl HttpCaller {
-    /// Makes a caller of the platform at `base_url` (`http://host:port`); sends nothing yet.
+    /// Creates a client of the platform at `base_url` (`http://host:port`); doesn't connect yet.
     pub fn new(base_url: impl Into<String>) -> Self {
         let mut base_url = base_url.into();
         base_url.truncate(base_url.trim_end_matches('/').len());
@@ -114,11 +114,12 @@
         }
     }
 
-    /// Sends one request once and waits for its whole answer until the deadline.
+    /// Sends a request once and waits for the complete response until the deadline.
     ///
     /// # Errors
     ///
-    /// There was no whole answer; the failure says whether the platform can have seen the call.
+    /// If no complete response arrived; the error says whether the platform may have received the
+    /// request.
     pub async fn call(
         &self,
         method: Method,
@@ -126,41 +127,42 @@
         content_type: &'static str,
         body: Bytes,
         deadline: Duration,
-    ) -> Result<HttpAnswer, CallFailure> {
+    ) -> Result<HttpResponse, CallError> {
         let client = self.client.borrow().clone();
         let url = format!("{}{path}", self.base_url);
         let exchange = async {
-            let mut answer = client
+            let mut response = client
                 .request(method, url)
                 .insert_header((CONTENT_TYPE, content_type))
-                .send_body(Pieces(body))
+                .send_body(ChunkedBody(body))
                 .await
-                .map_err(failure_of)?;
-            let body = answer
+                .map_err(classify_error)?;
+            let body = response
                 .body()
-                .limit(ANSWER_LIMIT_BYTES)
+                .limit(MAX_RESPONSE_BYTES)
                 .await
-                .map_err(|error| CallFailure::MaybeSent(Reason::Broken(error.to_string())))?;
-            Ok(HttpAnswer {
-                status: answer.status(),
+                .map_err(|error| CallError::MaybeSent(Reason::Broken(error.to_string())))?;
+            Ok(HttpResponse {
+                status: response.status(),
                 body,
             })
         };
         match tokio::time::timeout(deadline, exchange).await {
             Ok(result) => result,
             Err(_elapsed) => {
-                // The exchange was dropped and its connection with it, so a late answer can't be
-                // taken for the next call's. A path that went silent takes all connections made
-                // over it along; each would cost one more deadline. So all idle ones go, too.
+                // Dropping the exchange closed its connection, so a late response can't be taken
+                // for that of the next call. If the network path drops packets, all connections
+                // over it are affected and each would cost another deadline, so all idle
+                // connections are closed, too.
                 self.client.replace(new_client());
-                Err(CallFailure::MaybeSent(Reason::Timeout))
+                Err(CallError::MaybeSent(Reason::Timeout))
             }
         }
     }
 }
 
-impl CallFailure {
-    /// What went wrong, sent or not.
+impl CallError {
+    /// The reason, whether or not the request was sent.
     pub fn into_reason(self) -> Reason {
         match self {
             Self::NotSent(reason) | Self::MaybeSent(reason) => reason,
@@ -168,47 +170,47 @@
     }
 }
 
-impl<T> From<CallFailure> for Outcome<T> {
-    fn from(failure: CallFailure) -> Self {
-        match failure {
-            CallFailure::NotSent(reason) => Self::NotDone(reason),
-            CallFailure::MaybeSent(reason) => Self::Unknown(reason),
+impl<T> From<CallError> for Outcome<T> {
+    fn from(error: CallError) -> Self {
+        match error {
+            CallError::NotSent(reason) => Self::NotDone(reason),
+            CallError::MaybeSent(reason) => Self::Unknown(reason),
         }
     }
 }
 
-impl From<CallFailure> for ReadError {
-    fn from(failure: CallFailure) -> Self {
-        Self(failure.into_reason())
+impl From<CallError> for ReadError {
+    fn from(error: CallError) -> Self {
+        Self(error.into_reason())
     }
 }
 
-/// A client with an empty pool, that never sends a request again of its own accord.
+/// Creates a client with an empty pool that never resends a request on its own.
 ///
-/// A redirect followed would be a second sending, so redirects are answers like any other. The
-/// client's own timeout is off: the deadline of each call is the one wait.
+/// Following a redirect would send the request again, so redirects are returned like any other
+/// response. The client's own timeout is disabled: only the deadline of each call applies.
 fn new_client() -> Client {
     Client::builder()
-        .connector(strict_connector().conn_keep_alive(IDLE))
+        .connector(strict_connector().conn_keep_alive(IDLE_TIMEOUT))
         .disable_redirects()
         .disable_timeout()
         .finish()
 }
 
-/// Sorts the client's errors by whether something was sent.
+/// Classifies an error of the client by whether anything may have been sent.
 ///
-/// `Connect(Disconnected)` sounds like a failed connect, but it is what the client says when the
-/// connection closed after the request and before an answer: the request may have taken effect.
-/// Everything not known to come before the first byte counts as sent, too.
-fn failure_of(error: SendRequestError) -> CallFailure {
+/// Despite its name, the client returns `Connect(Disconnected)` when the connection was closed after
+/// the request and before a response: the request may have taken effect. Every error that isn't known
+/// to occur before the first byte is sent counts as sent, too.
+fn classify_error(error: SendRequestError) -> CallError {
     let text = error.to_string();
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
-            CallFailure::MaybeSent(Reason::Broken(text))
+            CallError::MaybeSent(Reason::Broken(text))
         }
         SendRequestError::Url(_) | SendRequestError::Connect(_) => {
-            CallFailure::NotSent(Reason::NotConnected(text))
+            CallError::NotSent(Reason::NotConnected(text))
         }
-        _ => CallFailure::MaybeSent(Reason::Broken(text)),
+        _ => CallError::MaybeSent(Reason::Broken(text)),
     }
 }
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -1,10 +1,10 @@
-//! The platform by HTTP/1.1.
+//! The client of the platform over HTTP/1.1.
 
 use crate::{
     caller::{
-        CallFailure,
-        HttpAnswer,
+        CallError,
         HttpCaller, //
+        HttpResponse,
     },
     outcome::{
         Outcome,
@@ -19,12 +19,12 @@
     },
     wire::{
         CommitRequest,
-        CommittedAnswer,
-        ConflictAnswer,
-        ReadAnswer,
+        CommittedResponse,
+        ConflictResponse,
         ReadRequest,
-        ScanAnswer,
+        ReadResponse,
         ScanRequest, //
+        ScanResponse,
     },
     Listing,
     Objects,
@@ -45,14 +45,14 @@
     time::Duration, //
 };
 
-/// The platform's table, object store and list, by HTTP.
+/// The platform's table, object store and instance list over HTTP.
 ///
 /// Must be used inside an actix system, on one thread.
 pub struct HttpPlatform {
     caller: HttpCaller,
-    /// Deadline of calls that change nothing.
+    /// Deadline of reads.
     read_timeout: Duration,
-    /// Deadline of calls that change something.
+    /// Deadline of writes.
     write_timeout: Duration,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl HttpPlatform {
-    /// Makes a client of the platform at `base_url` (`http://host:port`); sends nothing yet.
+    /// Creates a client of the platform at `base_url` (`http://host:port`); doesn't connect yet.
     ///
     /// Reads end within `read_timeout` and writes within `write_timeout`, connecting included.
     pub fn new(
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Calls with JSON within `deadline`.
-    async fn call_json(
+    /// Sends a `POST` request with a JSON body.
+    async fn post_json(
         &self,
         path: &str,
         request: &impl Serialize,
         deadline: Duration,
-    ) -> Result<HttpAnswer, CallFailure> {
+    ) -> Result<HttpResponse, CallError> {
         let body = serde_json::to_vec(request)
-            .map_err(|error| CallFailure::NotSent(Reason::Malformed(error.to_string())))?;
+            .map_err(|error| CallError::NotSent(Reason::Malformed(error.to_string())))?;
         self.caller
             .call(
                 Method::POST,
@@ -102,8 +102,8 @@
             .await
     }
 
-    /// Calls without a body for something that changes nothing.
-    async fn get_path(&self, path: &str) -> Result<HttpAnswer, CallFailure> {
+    /// Sends a `GET` request.
+    async fn get_path(&self, path: &str) -> Result<HttpResponse, CallError> {
         self.caller
             .call(
                 Method::GET,
@@ -118,47 +118,47 @@
 
 impl Table for HttpPlatform {
     async fn read(&self, keys: &[ByteString]) -> Result<Vec<Option<Row>>, ReadError> {
-        let answer = self
-            .call_json("/table/read", &ReadRequest { keys }, self.read_timeout)
+        let response = self
+            .post_json("/table/read", &ReadRequest { keys }, self.read_timeout)
             .await?;
-        let rows = parse::<ReadAnswer>(&ok_body(answer)?)?.rows;
+        let rows = parse::<ReadResponse>(&ok_body(response)?)?.rows;
         if rows.len() == keys.len() {
             Ok(rows)
         } else {
-            Err(ReadError(miscounted(keys.len(), rows.len())))
+            Err(ReadError(row_count_mismatch(keys.len(), rows.len())))
         }
     }
 
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, ReadError> {
-        let answer = self
-            .call_json("/table/scan", &ScanRequest { prefix }, self.read_timeout)
+        let response = self
+            .post_json("/table/scan", &ScanRequest { prefix }, self.read_timeout)
             .await?;
-        Ok(parse::<ScanAnswer>(&ok_body(answer)?)?.rows)
+        Ok(parse::<ScanResponse>(&ok_body(response)?)?.rows)
     }
 
     async fn commit(&self, txn: Txn) -> Outcome<Commit> {
         let checks = txn.checks.len();
         let request = CommitRequest::from(txn);
-        let answer = match self
-            .call_json("/table/commit", &request, self.write_timeout)
+        let response = match self
+            .post_json("/table/commit", &request, self.write_timeout)
             .await
         {
-            Ok(answer) => answer,
-            Err(failure) => return failure.into(),
+            Ok(response) => response,
+            Err(error) => return error.into(),
         };
-        let commit = match answer.status {
-            StatusCode::OK => parse::<CommittedAnswer>(&answer.body).map(|answer| {
+        let commit = match response.status {
+            StatusCode::OK => parse::<CommittedResponse>(&response.body).map(|response| {
                 Commit::Committed {
-                    version: answer.version,
+                    version: response.version,
                 } //
             }),
-            StatusCode::CONFLICT => parse::<ConflictAnswer>(&answer.body)
-                .map(|answer| answer.rows)
+            StatusCode::CONFLICT => parse::<ConflictResponse>(&response.body)
+                .map(|response| response.rows)
                 .and_then(|rows| match rows.len() {
                     n if n == checks => Ok(Commit::Conflict { rows }),
-                    n => Err(miscounted(checks, n)),
+                    n => Err(row_count_mismatch(checks, n)),
                 }),
-            status => return refusal(status),
+            status => return write_error(status),
         };
         match commit {
             Ok(commit) => Outcome::Done(commit),
@@ -170,10 +170,10 @@
 impl Objects for HttpPlatform {
     async fn get(&self, name: &str) -> Result<Option<Bytes>, ReadError> {
         let path = object_path(name).ok_or(ReadError(Reason::BadName))?;
-        let answer = self.get_path(&path).await?;
-        match answer.status {
+        let response = self.get_path(&path).await?;
+        match response.status {
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Ok(Some(ok_body(answer)?)),
+            _ => Ok(Some(ok_body(response)?)),
         }
     }
 
@@ -187,20 +187,20 @@
             .call(Method::PUT, &path, content_type, body, self.write_timeout)
             .await;
         match called {
-            Ok(answer) if answer.status == StatusCode::OK => Outcome::Done(()),
-            Ok(answer) if answer.status == StatusCode::CONFLICT => {
+            Ok(response) if response.status == StatusCode::OK => Outcome::Done(()),
+            Ok(response) if response.status == StatusCode::CONFLICT => {
                 Outcome::NotDone(Reason::OtherBody)
             }
-            Ok(answer) => refusal(answer.status),
-            Err(failure) => failure.into(),
+            Ok(response) => write_error(response.status),
+            Err(error) => error.into(),
         }
     }
 }
 
 impl Listing for HttpPlatform {
     async fn list(&self) -> Result<List, ReadError> {
-        let answer = self.get_path("/list").await?;
-        Ok(parse(&ok_body(answer)?)?)
+        let response = self.get_path("/list").await?;
+        Ok(parse(&ok_body(response)?)?)
     }
 }
 
@@ -210,34 +210,34 @@
     }
 }
 
-/// What a status says of a call that changes something, when the call has no meaning for it.
-fn refusal<T>(status: StatusCode) -> Outcome<T> {
+/// Outcome of a write for a status that the call gives no meaning of its own.
+fn write_error<T>(status: StatusCode) -> Outcome<T> {
     match status {
         StatusCode::SERVICE_UNAVAILABLE => Outcome::NotDone(Reason::Refused),
         status => Outcome::Unknown(Reason::Status(status.as_u16())),
     }
 }
 
-/// Body of an answer of status 200.
-fn ok_body(answer: HttpAnswer) -> Result<Bytes, Reason> {
-    match answer.status {
-        StatusCode::OK => Ok(answer.body),
+/// Returns the body of a response with status 200, and an error for any other status.
+fn ok_body(response: HttpResponse) -> Result<Bytes, Reason> {
+    match response.status {
+        StatusCode::OK => Ok(response.body),
         StatusCode::SERVICE_UNAVAILABLE => Err(Reason::Refused),
         status => Err(Reason::Status(status.as_u16())),
     }
 }
 
-/// Reads the JSON of a whole answer.
+/// Parses the JSON body of a complete response.
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reason> {
     serde_json::from_slice(body).map_err(|error| Reason::Malformed(error.to_string()))
 }
 
-/// The answer has another number of rows than was asked for.
-fn miscounted(expected: usize, actual: usize) -> Reason {
-    Reason::Malformed(format!("{actual} rows instead of {expected}"))
+/// Reason for a response with the wrong number of rows.
+fn row_count_mismatch(expected: usize, actual: usize) -> Reason {
+    Reason::Malformed(format!("expected {expected} rows, got {actual}"))
 }
 
-/// Path of an object, if its name needs no escapes; digests don't.
+/// Path of an object, or `None` if its name would need escaping; the digests used as names need none.
 fn object_path(name: &str) -> Option<String> {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_');
     (!name.is_empty() && name.bytes().all(plain)).then(|| format!("/objects/{name}"))
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,18 +1,18 @@
-//! The platform's table, object store and list behind traits, with deadlines and three-valued
-//! outcomes.
+//! Traits for the platform's table, object store and instance list, and their HTTP client, with
+//! deadlines and three-valued outcomes.
 //!
-//! Start with [`Table`], [`Objects`] and [`Listing`]: control knows the platform only through
-//! them. [`HttpPlatform`] is their implementation by HTTP; `docs/design/interfaces.md` has the
-//! wire's form.
+//! Start with [`Table`], [`Objects`] and [`Listing`]: the control code accesses the platform only
+//! through them. [`HttpPlatform`] implements them over HTTP; `docs/design/interfaces.md` describes
+//! the wire format.
 //!
-//! [`HttpCaller`] sends its calls, and those of other protocols.
+//! [`HttpCaller`] sends the requests of [`HttpPlatform`] and of clients for other protocols.
 //!
-//! Invariants: every call ends within its deadline. A call that changes something says
-//! [`Outcome::NotDone`] only when that is proved, and [`Outcome::Unknown`] whenever a request may
-//! have reached the platform. Nothing is sent twice by one call. A connection on which a call
-//! timed out is closed, along with its idle siblings.
+//! Invariants: every call ends within its deadline. A call that changes state returns
+//! [`Outcome::NotDone`] only when it provably had no effect, and [`Outcome::Unknown`] whenever a
+//! request may have reached the platform. One call never sends its request twice. When a call
+//! times out, its connection and all idle connections are closed.
 //!
-//! The futures are not `Send`: control runs on one thread, inside an actix system.
+//! The futures are not `Send`: the control code runs on one thread, inside an actix system.
 
 use bytes::Bytes;
 use bytestring::ByteString;
@@ -25,9 +25,9 @@
 mod wire;
 
 pub use caller::{
-    CallFailure,
-    HttpAnswer,
+    CallError,
     HttpCaller, //
+    HttpResponse,
 };
 pub use http::HttpPlatform;
 pub use outcome::{
@@ -50,67 +50,67 @@
     Write, //
 };
 
-/// The strongly consistent table with optimistic transactions.
+/// A strongly consistent table with optimistic transactions.
 #[expect(async_fn_in_trait, reason = "control runs on one thread")]
 pub trait Table {
-    /// Reads these rows at one time, in the order of the keys; `None` for a row that isn't there.
+    /// Reads the rows atomically, in the order of the keys; `None` for a row that doesn't exist.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the read deadline.
+    /// If no complete response arrived within the read deadline.
     async fn read(&self, keys: &[ByteString]) -> Result<Vec<Option<Row>>, ReadError>;
 
     /// Reads all rows whose key starts with `prefix`, sorted by key.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the read deadline.
+    /// If no complete response arrived within the read deadline.
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, ReadError>;
 
-    /// Makes all writes if all checks hold, else none.
+    /// Applies all writes if all checks hold, otherwise none.
     async fn commit(&self, txn: Txn) -> Outcome<Commit>;
 }
 
-/// The store of immutable objects.
+/// A store of immutable objects.
 #[expect(async_fn_in_trait, reason = "control runs on one thread")]
 pub trait Objects {
-    /// Reads an object; `None` when there is none of this name.
+    /// Reads an object; `None` if no object has this name.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the read deadline.
+    /// If no complete response arrived within the read deadline.
     async fn get(&self, name: &str) -> Result<Option<Bytes>, ReadError>;
 
-    /// Stores an object; storing the same body again is done, too.
+    /// Stores an object; storing the same body again succeeds.
     async fn put(&self, name: &str, body: Bytes) -> Outcome<()>;
 }
 
 /// The list of instances and upstreams.
 #[expect(async_fn_in_trait, reason = "control runs on one thread")]
 pub trait Listing {
-    /// Reads the list, which may lag.
+    /// Reads the list, which may be out of date.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the read deadline.
+    /// If no complete response arrived within the read deadline.
     async fn list(&self) -> Result<List, ReadError>;
 }
 
-/// Whole tables and what changes in them.
+/// Reads of whole tables and of their change feeds.
 #[expect(async_fn_in_trait, reason = "control runs on one thread")]
 pub trait Feed {
     /// Reads all rows of a table.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the read deadline.
+    /// If no complete response arrived within the read deadline.
     async fn read_all(&self, table: &str) -> Result<Rows, ReadError>;
 
     /// Waits up to `wait` for changes of a table after `position`.
     ///
     /// # Errors
     ///
-    /// When no whole answer came within the wait and the read deadline.
+    /// If no complete response arrived within the wait and the read deadline.
     async fn changes(
         &self,
         table: &str,
--- a/crates/plat/src/outcome.rs
+++ b/crates/plat/src/outcome.rs
@@ -1,28 +1,28 @@
-//! What is known after a call to the platform.
+//! Results of calls to the platform.
 
 use std::{
     error,
     fmt, //
 };
 
-/// Why a call gave no answer that can be used.
+/// Why a call returned no usable response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// No connection could be made; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     NotConnected(String),
-    /// The platform refused with status 503, before any effect.
+    /// The platform refused the request before it had any effect, for example with status 503.
     Refused,
     /// The object store holds another body under this name.
     OtherBody,
-    /// The name can't be an object's; nothing was sent.
+    /// The object name is invalid; nothing was sent.
     BadName,
     /// The deadline passed; the connection was closed.
     Timeout,
-    /// The connection broke after the request, or a part of it, was sent.
+    /// The connection was lost after at least a part of the request may have been sent.
     Broken(String),
-    /// A status that this call doesn't have.
+    /// The response had a status that is not defined for this call.
     Status(u16),
-    /// A whole answer whose content can't be read.
+    /// The response was complete, but its content is invalid.
     Malformed(String),
 }
 
@@ -31,31 +31,31 @@
         match self {
             Self::NotConnected(error) => write!(f, "no connection to the platform: {error}"),
             Self::Refused => f.write_str("the platform refused"),
-            Self::OtherBody => f.write_str("the object exists with another body"),
-            Self::BadName => f.write_str("no name of an object"),
+            Self::OtherBody => f.write_str("an object of this name exists with a different body"),
+            Self::BadName => f.write_str("invalid object name"),
             Self::Timeout => f.write_str("the platform did not answer in time"),
-            Self::Broken(error) => write!(f, "the connection to the platform broke: {error}"),
-            Self::Status(status) => write!(f, "unexpected status {status} of the platform"),
-            Self::Malformed(error) => write!(f, "malformed answer of the platform: {error}"),
+            Self::Broken(error) => write!(f, "lost the connection to the platform: {error}"),
+            Self::Status(status) => write!(f, "unexpected status {status} from the platform"),
+            Self::Malformed(error) => write!(f, "malformed response from the platform: {error}"),
         }
     }
 }
 
-/// What is known of a call that changes something.
+/// The outcome of a call that changes state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome<T> {
-    /// It was decided, and this is the decision.
+    /// The platform executed the call, with this result.
     Done(T),
-    /// It had and will have no effect: it can be sent again.
+    /// The call has had no effect and never will: it can be retried.
     NotDone(Reason),
-    /// It may have taken effect, or may still: read back before sending again.
+    /// The call may have taken effect or may still do so: read the state before retrying.
     Unknown(Reason),
 }
 
-/// A read that gave nothing; reads change nothing and can be sent again.
+/// The error of a failed read; reads have no side effects and can be retried.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReadError(
-    /// What went wrong.
+    /// Why the read failed.
     pub Reason,
 );
 
--- a/crates/plat/src/types.rs
+++ b/crates/plat/src/types.rs
@@ -1,4 +1,4 @@
-//! Rows, transactions and the list as they cross the border to the platform.
+//! Rows, transactions and the instance list as exchanged with the platform.
 
 use base::{
     DomainId,
@@ -19,13 +19,13 @@
 pub struct Row {
     /// Name of the row.
     pub key: ByteString,
-    /// Version of the commit that last wrote it; grows over the whole table.
+    /// Version of the commit that last wrote it; increases monotonically across the whole table.
     pub version: u64,
     /// UTF-8 text.
     pub value: ByteString,
 }
 
-/// What must hold for a transaction to take effect.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Check {
     /// No row has this key.
@@ -33,11 +33,11 @@
         /// Name of the row.
         key: ByteString,
     },
-    /// The row was last written by this version.
+    /// The row has this version.
     Version {
         /// Name of the row.
         key: ByteString,
-        /// Version as a read or a commit gave it.
+        /// Version returned by a read or a commit.
         version: u64,
     },
 }
@@ -45,51 +45,51 @@
 /// One change of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Write {
-    /// Make the row or replace its value.
+    /// Creates the row or replaces its value.
     Put {
         /// Name of the row.
         key: ByteString,
         /// New value.
         value: ByteString,
     },
-    /// Remove the row, if it is there.
+    /// Deletes the row if it exists.
     Delete {
         /// Name of the row.
         key: ByteString,
     },
 }
 
-/// An optimistic transaction: all its checks hold and all its writes are made, or none is.
+/// An optimistic transaction: all writes are applied if all checks hold, otherwise none.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Txn {
-    /// What must hold.
+    /// Preconditions.
     pub checks: Vec<Check>,
-    /// What is changed then.
+    /// Writes to apply if all checks hold.
     pub writes: Vec<Write>,
 }
 
-/// The table's decision on a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Commit {
-    /// All writes were made.
+    /// All writes were applied.
     Committed {
-        /// The version that each written row has now.
+        /// New version of each written row.
         version: u64,
     },
     /// A check failed and nothing was written.
     Conflict {
-        /// The current row of each check, in the checks' order.
+        /// The current row of each check, in the order of the checks.
         rows: Vec<Option<Row>>,
     },
 }
 
-/// Whether a listed machine takes new work, by the platform's word.
+/// Whether a listed instance or upstream accepts new work, as reported by the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListedState {
-    /// Serves.
+    /// Accepts new work.
     Live,
-    /// Is about to go: no new work.
+    /// About to shut down; accepts no new work.
     Leaving,
 }
 
@@ -108,7 +108,7 @@
     pub peers_addr: ByteString,
     /// `host:port` for operators.
     pub operator_addr: ByteString,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: ListedState,
 }
 
@@ -123,21 +123,21 @@
     pub region: RegionId,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// `host:port` of its work, health and load.
+    /// `host:port` for requests, health checks and load reports.
     pub addr: ByteString,
-    /// Requests it can serve at once.
+    /// Number of requests it can serve concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: ListedState,
-    /// How much longer it stays slow after its start, in milliseconds; lists may leave it out.
+    /// Remaining time of its slow start, in milliseconds; may be omitted from lists.
     #[serde(default)]
     pub cold_left_ms: u64,
 }
 
-/// The platform's list at one time.
+/// A snapshot of the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct List {
-    /// When this was true, in milliseconds of the platform's wall clock; it may lag.
+    /// Time of the snapshot, in milliseconds of the platform's wall clock; may be in the past.
     pub as_of_ms: u64,
     /// All instances.
     pub instances: Vec<ListedInstance>,
@@ -145,31 +145,31 @@
     pub upstreams: Vec<ListedUpstream>,
 }
 
-/// A row of one table as its feed gives it.
+/// A row as returned by the feed of its table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FeedRow {
     /// Name of the row within its table.
     pub key: ByteString,
-    /// Version of the commit that last wrote or removed it.
+    /// Version of the commit that last wrote or deleted it.
     pub version: u64,
-    /// Its value; `None` once it is removed.
+    /// Its value; `None` if the row was deleted.
     pub value: Option<Bytes>,
 }
 
-/// Rows of one table, and the point in its history that they are of.
+/// Rows of one table, and their position in its change history.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Rows {
-    /// The rows, sorted by key in a whole table and by version in changes.
+    /// The rows, sorted by key when the whole table is read and by version when changes are read.
     pub rows: Vec<FeedRow>,
-    /// Newest version; changes after it are still to come.
+    /// Newest version included; pass it to [`Feed::changes`](crate::Feed::changes) to read on.
     pub position: u64,
 }
 
-/// What a feed says.
+/// The result of reading a change feed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Changes {
-    /// The rows that changed since; none if nothing did in time.
+    /// The rows that changed since the given position; empty if none changed within the wait.
     Rows(Rows),
-    /// The history asked for is gone: the table has to be read anew.
+    /// The requested history was discarded: the whole table must be read again.
     HistoryGone,
 }
--- a/crates/plat/src/wire.rs
+++ b/crates/plat/src/wire.rs
@@ -1,4 +1,4 @@
-//! Bodies of the platform's requests and answers.
+//! Bodies of the platform's requests and responses.
 
 use crate::types::{
     Check,
@@ -19,23 +19,23 @@
     pub(crate) keys: &'a [ByteString],
 }
 
-/// Answer of `POST /table/read`.
+/// Response to `POST /table/read`.
 #[derive(Deserialize)]
-pub(crate) struct ReadAnswer {
-    /// One for each key.
+pub(crate) struct ReadResponse {
+    /// One entry per key.
     pub(crate) rows: Vec<Option<Row>>,
 }
 
 /// Body of `POST /table/scan`.
 #[derive(Serialize)]
 pub(crate) struct ScanRequest<'a> {
-    /// Start of the keys.
+    /// Common prefix of the keys.
     pub(crate) prefix: &'a str,
 }
 
-/// Answer of `POST /table/scan`.
+/// Response to `POST /table/scan`.
 #[derive(Deserialize)]
-pub(crate) struct ScanAnswer {
+pub(crate) struct ScanResponse {
     /// Sorted by key.
     pub(crate) rows: Vec<Row>,
 }
@@ -43,22 +43,22 @@
 /// Body of `POST /table/commit`.
 #[derive(Serialize)]
 pub(crate) struct CommitRequest {
-    /// What must hold.
+    /// Preconditions.
     checks: Vec<WireCheck>,
-    /// What is changed then.
+    /// Writes to apply if all checks hold.
     writes: Vec<WireWrite>,
 }
 
-/// A check; without a version the row must be absent.
+/// A check; without a version, the row must not exist.
 #[derive(Serialize)]
 struct WireCheck {
     /// Name of the row.
     key: ByteString,
-    /// Version it must have.
+    /// Required version.
     version: Option<u64>,
 }
 
-/// A write; without a value the row is deleted.
+/// A write; without a value, the row is deleted.
 #[derive(Serialize)]
 struct WireWrite {
     /// Name of the row.
@@ -67,16 +67,16 @@
     value: Option<ByteString>,
 }
 
-/// Answer of a commit that was made.
+/// Response to a successful commit.
 #[derive(Deserialize)]
-pub(crate) struct CommittedAnswer {
+pub(crate) struct CommittedResponse {
     /// Version of the rows written.
     pub(crate) version: u64,
 }
 
-/// Answer of a commit whose checks failed.
+/// Response to a commit whose checks failed.
 #[derive(Deserialize)]
-pub(crate) struct ConflictAnswer {
+pub(crate) struct ConflictResponse {
     /// Current row of each check.
     pub(crate) rows: Vec<Option<Row>>,
 }
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -1,4 +1,4 @@
-//! What each call promises under each fault of the platform.
+//! Tests the outcome of each call under each fault of the platform.
 
 use bytes::Bytes;
 use plat::{
@@ -46,12 +46,12 @@
     time::Duration, //
 };
 
-/// Deadline where an answer is to come, however busy the machine.
-const AMPLE: Duration = Duration::from_secs(30);
-/// Deadline where none is to come.
-const SHORT: Duration = Duration::from_millis(200);
+/// Deadline of calls that should get a response, long enough for a busy machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
+/// Deadline of calls that should get no response.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The calls of the table below.
+/// The calls tested under each fault.
 #[derive(Clone, Copy)]
 enum Call {
     Read,
@@ -60,26 +60,27 @@
     ConflictingCommit,
     Get,
     Put,
-    PutOther,
+    PutDifferentBody,
     List,
 }
 
-/// What a call is to give.
+/// Expected result of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Promise {
+enum CallResult {
     Done,
     NotDone,
     Unknown,
     Error,
 }
 
-/// A platform that has the row `old`, the object `old` and one upstream, and its client.
-async fn platform() -> (SocketAddr, HttpPlatform) {
+/// Starts a platform with the row `old`, the object `old` and one upstream; returns its address and
+/// a client.
+async fn start_platform() -> (SocketAddr, HttpPlatform) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     actix_web::rt::spawn(platform::serve(listener).unwrap());
-    let client = client(addr, AMPLE);
-    assert_eq!(put_row(&client, "old").await, Promise::Done);
+    let client = client(addr, LONG_TIMEOUT);
+    assert_eq!(put_row(&client, "old").await, CallResult::Done);
     assert_eq!(
         client.put("old", "body".into()).await,
         Outcome::Done(()) //
@@ -98,8 +99,12 @@
     let request = awc::Client::default()
         .request(method.parse().unwrap(), format!("http://{addr}{path}"))
         .insert_header(("content-type", "application/json"));
-    let answer = request.send_body(json.to_owned()).await.unwrap();
-    assert!(answer.status().is_success(), "{path}: {}", answer.status());
+    let response = request.send_body(json.to_owned()).await.unwrap();
+    assert!(
+        response.status().is_success(),
+        "{path}: {}",
+        response.status()
+    );
 }
 
 async fn set_fault(addr: SocketAddr, kind: Kind) {
@@ -132,71 +137,71 @@
     }
 }
 
-async fn put_row(client: &HttpPlatform, key: &'static str) -> Promise {
-    kept(client.commit(insert(key)).await)
+async fn put_row(client: &HttpPlatform, key: &'static str) -> CallResult {
+    write_result(client.commit(insert(key)).await)
 }
 
-fn kept<T>(outcome: Outcome<T>) -> Promise {
+fn write_result<T>(outcome: Outcome<T>) -> CallResult {
     match outcome {
-        Outcome::Done(_) => Promise::Done,
-        Outcome::NotDone(_) => Promise::NotDone,
-        Outcome::Unknown(_) => Promise::Unknown,
+        Outcome::Done(_) => CallResult::Done,
+        Outcome::NotDone(_) => CallResult::NotDone,
+        Outcome::Unknown(_) => CallResult::Unknown,
     }
 }
 
-fn got<T>(result: Result<T, ReadError>) -> Promise {
-    result.map_or(Promise::Error, |_| Promise::Done)
+fn read_result<T>(result: Result<T, ReadError>) -> CallResult {
+    result.map_or(CallResult::Error, |_| CallResult::Done)
 }
 
-async fn make(call: Call, client: &HttpPlatform) -> Promise {
+async fn run_call(call: Call, client: &HttpPlatform) -> CallResult {
     match call {
-        Call::Read => got(client.read(&["old".into(), "absent".into()]).await),
-        Call::Scan => got(client.scan("o").await),
+        Call::Read => read_result(client.read(&["old".into(), "absent".into()]).await),
+        Call::Scan => read_result(client.scan("o").await),
         Call::Commit => put_row(client, "new").await,
         Call::ConflictingCommit => put_row(client, "old").await,
-        Call::Get => got(client.get("old").await),
-        Call::Put => kept(client.put("new", "body".into()).await),
-        Call::PutOther => kept(client.put("old", "other".into()).await),
-        Call::List => got(client.list().await),
+        Call::Get => read_result(client.get("old").await),
+        Call::Put => write_result(client.put("new", "body".into()).await),
+        Call::PutDifferentBody => write_result(client.put("old", "other".into()).await),
+        Call::List => read_result(client.list().await),
     }
 }
 
-/// Makes a call under a fault, then looks at the effect without one.
+/// Makes a call under a fault, then checks its effect without the fault.
 ///
-/// `effect` is whether the row `new` and the object `new` are there when the call was to make
-/// them. A fault that answers nothing is met with a short deadline, any other with an ample one.
-async fn check(fault: Kind, call: Call, promise: Promise, effect: bool) {
-    let (addr, calm) = platform().await;
+/// `effect` is whether the row `new` or the object `new` should exist afterwards. The deadline is
+/// short for a fault that sends no response and long for any other.
+async fn check(fault: Kind, call: Call, expected: CallResult, effect: bool) {
+    let (addr, healthy_client) = start_platform().await;
     set_fault(addr, fault).await;
     let timeout = match fault {
-        Kind::Freeze => SHORT,
-        _ => AMPLE,
+        Kind::Freeze => SHORT_TIMEOUT,
+        _ => LONG_TIMEOUT,
     };
-    assert_eq!(make(call, &client(addr, timeout)).await, promise);
+    assert_eq!(run_call(call, &client(addr, timeout)).await, expected);
     set_fault(addr, Kind::None).await;
-    let row = calm.read(&["new".into()]).await.unwrap()[0].is_some();
-    let object = calm.get("new").await.unwrap().is_some();
+    let row = healthy_client.read(&["new".into()]).await.unwrap()[0].is_some();
+    let object = healthy_client.get("new").await.unwrap().is_some();
     assert_eq!(row || object, effect);
-    assert_eq!(calm.get("old").await.unwrap().unwrap(), "body");
+    assert_eq!(healthy_client.get("old").await.unwrap().unwrap(), "body");
 }
 
-macro_rules! under_fault {
-    ($($name:ident: $fault:ident, $call:ident => $promise:ident, $effect:literal;)*) => { $(
+macro_rules! calls_under_fault {
+    ($($name:ident: $fault:ident, $call:ident => $expected:ident, $effect:literal;)*) => { $(
         #[actix_web::test]
         async fn $name() {
-            check(Kind::$fault, Call::$call, Promise::$promise, $effect).await;
+            check(Kind::$fault, Call::$call, CallResult::$expected, $effect).await;
         }
     )* };
 }
 
-under_fault! {
+calls_under_fault! {
     read: None, Read => Done, false;
     scan: None, Scan => Done, false;
     commit: None, Commit => Done, true;
     conflict: None, ConflictingCommit => Done, false;
     get: None, Get => Done, false;
     put: None, Put => Done, true;
-    put_other: None, PutOther => NotDone, false;
+    put_other: None, PutDifferentBody => NotDone, false;
     list: None, List => Done, false;
     read_down: Down, Read => Error, false;
     scan_down: Down, Scan => Error, false;
@@ -222,15 +227,15 @@
     conflict_lost: LostAnswer, ConflictingCommit => Unknown, false;
     get_lost: LostAnswer, Get => Error, false;
     put_lost: LostAnswer, Put => Unknown, true;
-    put_other_lost: LostAnswer, PutOther => Unknown, false;
+    put_other_lost: LostAnswer, PutDifferentBody => Unknown, false;
     list_lost: LostAnswer, List => Error, false;
     list_stale: Stale, List => Done, false;
 }
 
-/// A server that reads each request to the end of its head and body and answers these bytes.
+/// Starts a server that reads each request completely and responds with the given bytes.
 ///
-/// Gives its address and the number of requests it got.
-fn raw(answer: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
+/// Returns its address and a counter of the requests received.
+fn start_raw_server(response: &'static str) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let requests = Arc::new(AtomicU32::new(0));
@@ -240,7 +245,7 @@
             let mut stream = stream.unwrap();
             let mut seen = Vec::new();
             let mut buffer = [0; 4096];
-            // Each of the bodies sent here ends with this, and nothing before does.
+            // Every request body sent here ends with these bytes and contains them nowhere else.
             while !seen.ends_with(b"}]}") {
                 match stream.read(&mut buffer).unwrap() {
                     0 => break,
@@ -248,59 +253,60 @@
                 }
             }
             count.fetch_add(1, Ordering::SeqCst);
-            stream.write_all(answer.as_bytes()).unwrap();
+            stream.write_all(response.as_bytes()).unwrap();
         }
     });
     (addr, requests)
 }
 
-macro_rules! commit_answered {
-    ($($name:ident: $answer:literal => $promise:ident;)*) => { $(
+macro_rules! commit_with_response {
+    ($($name:ident: $response:literal => $expected:ident;)*) => { $(
         #[actix_web::test]
         async fn $name() {
-            let (addr, requests) = raw($answer);
-            let client = client(addr, AMPLE);
-            assert_eq!(put_row(&client, "new").await, Promise::$promise);
+            let (addr, requests) = start_raw_server($response);
+            let client = client(addr, LONG_TIMEOUT);
+            assert_eq!(put_row(&client, "new").await, CallResult::$expected);
             assert_eq!(requests.load(Ordering::SeqCst), 1, "sent more than once");
         }
     )* };
 }
 
-// A commit that may have been made is neither "done" nor "not done", however its answer is broken.
-commit_answered! {
-    answer_none: "" => Unknown;
-    answer_half_head: "HTTP/1.1 200 OK\r\ncontent-le" => Unknown;
-    answer_no_http: "hello\r\n\r\n" => Unknown;
-    answer_short: "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"committed\":true,\"version\":1}"
+// A commit that may have taken effect is reported as neither done nor not done, whatever is wrong
+// with its response.
+commit_with_response! {
+    empty_response: "" => Unknown;
+    truncated_head: "HTTP/1.1 200 OK\r\ncontent-le" => Unknown;
+    response_not_http: "hello\r\n\r\n" => Unknown;
+    truncated_body: "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"committed\":true,\"version\":1}"
         => Unknown;
-    answer_cut_chunk: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    missing_final_chunk: "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         1e\r\n{\"committed\":true,\"version\":1}\r\n" => Unknown;
-    answer_no_json: "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok" => Unknown;
-    answer_no_version: "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}" => Unknown;
-    answer_too_few_rows: "HTTP/1.1 409 Conflict\r\ncontent-length: 11\r\n\r\n{\"rows\":[]}"
+    body_not_json: "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok" => Unknown;
+    body_without_version: "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}" => Unknown;
+    conflict_with_too_few_rows: "HTTP/1.1 409 Conflict\r\ncontent-length: 11\r\n\r\n{\"rows\":[]}"
         => Unknown;
-    answer_server_error: "HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n" => Unknown;
-    answer_redirect: "HTTP/1.1 307 There\r\nlocation: /table/commit\r\ncontent-length: 0\r\n\r\n"
+    server_error: "HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n" => Unknown;
+    redirect: "HTTP/1.1 307 There\r\nlocation: /table/commit\r\ncontent-length: 0\r\n\r\n"
         => Unknown;
-    answer_refusal: "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n" => NotDone;
-    answer_whole: "HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\n{\"committed\":true,\"version\":1}"
+    service_unavailable: "HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n" => NotDone;
+    complete_response: "HTTP/1.1 200 OK\r\ncontent-length: 30\r\n\r\n{\"committed\":true,\"version\":1}"
         => Done;
 }
 
 #[actix_web::test]
-async fn nothing_listens() {
+async fn connection_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
-    let client = client(addr, AMPLE);
-    assert_eq!(make(Call::Commit, &client).await, Promise::NotDone);
-    assert_eq!(make(Call::Put, &client).await, Promise::NotDone);
-    assert_eq!(make(Call::Read, &client).await, Promise::Error);
+    let client = client(addr, LONG_TIMEOUT);
+    assert_eq!(run_call(Call::Commit, &client).await, CallResult::NotDone);
+    assert_eq!(run_call(Call::Put, &client).await, CallResult::NotDone);
+    assert_eq!(run_call(Call::Read, &client).await, CallResult::Error);
 }
 
 #[actix_web::test]
-async fn content_comes_back() {
-    let (addr, client) = platform().await;
+async fn written_data_is_read_back() {
+    let (addr, client) = start_platform().await;
     let rows = client.read(&["absent".into(), "old".into()]).await.unwrap();
     assert_eq!(rows[0], None);
     let old = rows[1].clone().unwrap();
@@ -337,21 +343,20 @@
     assert_eq!(client.list().await.unwrap().upstreams, vec![]);
 }
 
-// Symptom: a read gave the rows of an earlier read. Sequence: the first timed out, its answer came
-// late, the next was sent on the same connection and took that answer for its own. Cause: a
-// connection was reused after a timeout.
+// Guards against a read that returns the rows of an earlier read: if a connection is reused after a
+// timeout, the late response to the first read is taken for the response to the second.
 #[actix_web::test]
-async fn late_answer_is_not_the_next_ones() {
+async fn late_response_is_not_taken_for_the_next_call() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
-        // Each connection tells its number as the row's version; the first tells it too late.
+        // Each connection returns its number as the row's version; the first responds too late.
         for number in 0.. {
             let (mut stream, _) = listener.accept().unwrap();
             thread::spawn(move || {
                 while stream.read(&mut [0; 4096]).unwrap_or(0) > 0 {
                     if number == 0 {
-                        thread::sleep(3 * SHORT);
+                        thread::sleep(3 * SHORT_TIMEOUT);
                     }
                     let row = format!(r#"{{"key":"k","version":{number},"value":"v"}}"#);
                     let body = format!(r#"{{"rows":[{row}]}}"#);
@@ -361,11 +366,11 @@
             });
         }
     });
-    let client = client(addr, SHORT);
+    let client = client(addr, SHORT_TIMEOUT);
     let read = || client.scan("k");
     assert_eq!(read().await, Err(ReadError(Reason::Timeout)));
-    actix_web::rt::time::sleep(4 * SHORT).await;
-    // Tried until the busy machine gives an answer in time; a wrong answer is never right.
+    actix_web::rt::time::sleep(4 * SHORT_TIMEOUT).await;
+    // Retries until a response arrives in time on a busy machine; a wrong response always fails.
     loop {
         match read().await {
             Ok(rows) => return assert_ne!(rows[0].version, 0),
@@ -374,12 +379,11 @@
     }
 }
 
-// Symptom: after a path went silent, as many calls timed out as connections were idle. Sequence:
-// several connections were made, the path dropped them without a word, each call took the next.
-// Cause: only the connection of the call that timed out was retired.
+// Guards against one timeout per idle connection after a network path silently dropped all of them:
+// if only the connection of the timed-out call is closed, each further call uses the next dead one.
 #[actix_web::test]
-async fn silent_connections_go_together() {
-    let (addr, _) = platform().await;
+async fn timeout_closes_all_idle_connections() {
+    let (addr, _) = start_platform().await;
     let spec = format!("name=l,to={addr}").parse().unwrap();
     let relay = Relay::start(spec).await.unwrap();
     let timeout = Duration::from_secs(2);
