--- a/crates/model/src/claims.rs
+++ b/crates/model/src/claims.rs
@@ -1,13 +1,14 @@
-//! One key filed by several requests, at two entries, through a table whose answers get lost.
+//! Model of the claims on one idempotency key: several requests at two entries, and a table whose
+//! answers may be lost.
 //!
 //! Each commit may be answered, take effect with its answer lost, take effect later, or never; the
-//! platform may be down for any request. A process may wait between its check and anything else,
-//! past its lease, and may die at any time.
+//! platform may be down for any request. A process may pause between its lease check and the next
+//! step until after its lease has lapsed, and may crash at any time.
 //!
-//! What must hold: the upstream got the key at most once; a request that was told `not-run` never
-//! sent; nothing is sent after an entry has told a caller that the filing is settled, which it
-//! does once the holder's lease has lapsed for it; and no key stays blocked by a claim that nobody
-//! uses, unless its holder died.
+//! Invariant: at most one request with the key is sent to the upstream; a request whose caller got
+//! `not-run` was never sent; nothing is sent after an entry has reported the filing as settled,
+//! which it does once it sees that the holder's lease has lapsed; and no key stays blocked by an
+//! unused claim, unless its holder crashed.
 
 use crate::Model;
 use base::{
@@ -33,32 +34,32 @@
 };
 use std::fmt;
 
-/// End of every holder's lease, by its own clock.
+/// End of each holder's lease, on its own clock.
 const LEASE_MS: u64 = 1;
-/// When the lease has lapsed for others.
-const LAPSED_MS: u64 = 2;
+/// Time at which the lease has lapsed for observers.
+const LAPSE_MS: u64 = 2;
 
-/// What may happen in one search.
+/// Configuration of one search.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimModel {
     /// Guards of all claimers.
     pub guards: Guards,
-    /// Requests that bring the key.
+    /// Number of requests with the key.
     pub requests: u8,
-    /// Answers lost, effects late and outages, together.
+    /// Budget for lost answers, late writes and outages together.
     pub faults: u8,
-    /// Whether entries die.
+    /// Whether entries may crash.
     pub crash: bool,
 }
 
-/// Write on its way to the table.
+/// Conditional write in flight to the table.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Write {
     check: Option<u64>,
     value: ByteString,
 }
 
-/// How far one request is.
+/// Progress of one request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Request {
     New,
@@ -68,11 +69,11 @@
     Sent(Claimer),
     ReleaseReading(Releaser),
     ReleaseWriting(Releaser, Write),
-    Over,
-    Dead,
+    Finished,
+    Crashed,
 }
 
-/// State of the row, of the requests, and of what is under way without anyone waiting for it.
+/// State of the row, the requests, and the writes whose senders no longer wait for the answer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ClaimModelState {
     now_ms: u64,
@@ -80,16 +81,16 @@
     row: Option<Row>,
     version: u64,
     requests: Vec<Request>,
-    /// Writes whose senders gave up on the answer, still to land.
-    late: Vec<Write>,
-    /// Requests that sent: the truth.
+    /// Writes that are still in flight although their senders no longer wait for the answer.
+    late_writes: Vec<Write>,
+    /// Whether each request was actually sent to the upstream.
     sent: Vec<bool>,
-    told_not_run: Vec<bool>,
+    answered_not_run: Vec<bool>,
     settled: bool,
     sent_after_settled: bool,
 }
 
-/// One thing that happens, to which request.
+/// Transition, with the request that takes it, if any.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimModelStep {
     request: Option<usize>,
@@ -118,64 +119,68 @@
         }
     }
 
-    fn environment(&self, state: &ClaimModelState, next: &mut Next) {
-        if state.now_ms < LAPSED_MS {
+    fn environment_steps(&self, state: &ClaimModelState, next: &mut Next) {
+        if state.now_ms < LAPSE_MS {
             let mut after = state.clone();
             after.now_ms += 1;
-            push(next, None, "a millisecond passes", after);
+            push(next, None, "the clock advances by a millisecond", after);
         }
-        for index in 0..state.late.len() {
+        for index in 0..state.late_writes.len() {
             let mut after = state.clone();
-            let write = after.late.remove(index);
-            let landed = after.apply(&write).is_ok();
-            let what = if landed {
-                "a late write lands"
+            let write = after.late_writes.remove(index);
+            let committed = after.apply(&write).is_ok();
+            let what = if committed {
+                "a late write commits"
             } else {
                 "a late write fails its condition"
             };
             push(next, None, what, after);
             let mut after = state.clone();
-            after.late.remove(index);
+            after.late_writes.remove(index);
             push(next, None, "a late write is dropped", after);
         }
-        if state.now_ms >= LAPSED_MS && !state.settled && state.is_held() {
+        if state.now_ms >= LAPSE_MS && !state.settled && state.is_held() {
             let mut after = state.clone();
             after.settled = true;
-            let what = "another entry sees the lease lapsed: the filing is settled";
+            let what = "another entry sees the lease lapsed and reports the filing as settled";
             push(next, None, what, after);
         }
     }
 
-    fn request(&self, state: &ClaimModelState, index: usize, next: &mut Next) {
+    fn request_steps(&self, state: &ClaimModelState, index: usize, next: &mut Next) {
         match &state.requests[index] {
             Request::New => {
                 let (claimer, step) = Claimer::start(Self::claimant(index), self.guards);
                 push_step(next, state, index, "starts", claimer, step);
             }
-            Request::Writing(claimer, write) => self.write(state, index, claimer, write, next),
-            Request::Reading(claimer) => self.read(state, index, claimer, next),
-            Request::Ready(claimer) => ready(state, index, claimer, next),
-            Request::Sent(claimer) => sent(state, index, claimer, next),
-            Request::ReleaseReading(releaser) => self.release_read(state, index, releaser, next),
+            Request::Writing(claimer, write) => {
+                self.write_steps(state, index, claimer, write, next)
+            }
+            Request::Reading(claimer) => self.read_steps(state, index, claimer, next),
+            Request::Ready(claimer) => ready_steps(state, index, claimer, next),
+            Request::Sent(claimer) => sent_steps(state, index, claimer, next),
+            Request::ReleaseReading(releaser) => {
+                self.release_read_steps(state, index, releaser, next)
+            }
             Request::ReleaseWriting(releaser, write) => {
-                self.release_write(state, index, releaser, write, next);
+                self.release_write_steps(state, index, releaser, write, next);
             }
-            Request::Over | Request::Dead => return,
+            Request::Finished | Request::Crashed => return,
         }
         if self.crash && !matches!(state.requests[index], Request::New) {
             let mut after = state.clone();
             if let Request::Writing(_, write) | Request::ReleaseWriting(_, write) =
                 &state.requests[index]
             {
-                after.late.push(write.clone());
-                after.late.sort();
+                after.late_writes.push(write.clone());
+                after.late_writes.sort();
             }
-            after.requests[index] = Request::Dead;
-            push(next, Some(index), "its entry dies", after);
+            after.requests[index] = Request::Crashed;
+            push(next, Some(index), "its entry crashes", after);
         }
     }
 
-    fn write(
+    fn write_steps(
         &self,
         state: &ClaimModelState,
         index: usize,
@@ -211,16 +216,22 @@
             let what = "the platform is down for its insert";
             deliver(next, what, down.clone(), ClaimEvent::Down);
             let mut late = down;
-            late.late.push(write.clone());
-            late.late.sort();
-            let what = "its insert is under way, the answer is lost";
+            late.late_writes.push(write.clone());
+            late.late_writes.sort();
+            let what = "its insert is in flight, the answer is lost";
             deliver(next, what, late.clone(), ClaimEvent::Lost);
-            let what = "its insert is under way, the caller's time is over";
+            let what = "its insert is in flight, the caller's deadline has passed";
             deliver(next, what, late, ClaimEvent::TimedOut);
         }
     }
 
-    fn read(&self, state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
+    fn read_steps(
+        &self,
+        state: &ClaimModelState,
+        index: usize,
+        claimer: &Claimer,
+        next: &mut Next,
+    ) {
         let deliver = |next: &mut Next, what, after: &ClaimModelState, event| {
             let mut claimer = claimer.clone();
             let step = claimer.on_event(event);
@@ -234,7 +245,7 @@
         }
     }
 
-    fn release_read(
+    fn release_read_steps(
         &self,
         state: &ClaimModelState,
         index: usize,
@@ -242,10 +253,17 @@
         next: &mut Next,
     ) {
         let step = releaser.on_event(ClaimEvent::Read(state.row.clone()));
-        push_release(next, state, index, "reads, to release", releaser, step);
+        push_release(
+            next,
+            state,
+            index,
+            "reads the row to release it",
+            releaser,
+            step,
+        );
     }
 
-    fn release_write(
+    fn release_write_steps(
         &self,
         state: &ClaimModelState,
         index: usize,
@@ -273,7 +291,7 @@
 }
 
 impl ClaimModelState {
-    /// Applies a conditional write: the new version, or the row that fails the condition.
+    /// Applies a conditional write. Returns the new version, or the row that fails the condition.
     fn apply(&mut self, write: &Write) -> Result<u64, Option<Row>> {
         let current = self.row.as_ref().map(|row| row.version);
         if current != write.check {
@@ -295,7 +313,7 @@
 
     fn claim(&self) -> Option<Claim> {
         let row = self.row.as_ref()?;
-        Some(row.value.parse().expect("only claims are written"))
+        Some(row.value.parse().expect("the row contains a valid claim"))
     }
 
     fn is_held(&self) -> bool {
@@ -303,13 +321,13 @@
             .is_some_and(|claim| claim.state == ClaimState::Held)
     }
 
-    fn is_quiet(&self) -> bool {
-        let over = |request: &Request| matches!(request, Request::Over | Request::New);
-        self.late.is_empty() && self.requests.iter().all(over)
+    fn is_quiescent(&self) -> bool {
+        let is_over = |request: &Request| matches!(request, Request::Finished | Request::New);
+        self.late_writes.is_empty() && self.requests.iter().all(is_over)
     }
 }
 
-fn ready(state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
+fn ready_steps(state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
     let now = Now::from_millis(state.now_ms);
     let mut claimer = claimer.clone();
     let step = claimer.send(now, Now::from_millis(LEASE_MS));
@@ -326,18 +344,20 @@
     push_step(next, &after, index, what, claimer, step);
 }
 
-fn sent(state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
+fn sent_steps(state: &ClaimModelState, index: usize, claimer: &Claimer, next: &mut Next) {
     let record = Record::status_only(RunOutcome::Done, 200);
-    let insert = claimer.outcome_write(0, record).expect("it was sent");
+    let insert = claimer
+        .outcome_write(0, record)
+        .expect("the request was sent");
     let mut after = state.clone();
-    after.requests[index] = Request::Over;
-    let recorded = after.apply(&write_of(&insert)).is_ok();
+    after.requests[index] = Request::Finished;
+    let recorded = after.apply(&to_write(&insert)).is_ok();
     if recorded {
         push(next, Some(index), "its outcome is recorded", after);
     }
 }
 
-fn write_of(insert: &ConditionalWrite) -> Write {
+fn to_write(insert: &ConditionalWrite) -> Write {
     Write {
         check: insert.check,
         value: insert.value.clone(),
@@ -348,7 +368,7 @@
     next.push((ClaimModelStep { request, what }, after));
 }
 
-/// Books what the claimer wants next.
+/// Adds a transition to the state that follows from the claimer's `step`.
 fn push_step(
     next: &mut Next,
     state: &ClaimModelState,
@@ -364,16 +384,16 @@
         ClaimStep::Ready => Request::Ready(claimer),
         ClaimStep::Send => Request::Sent(claimer),
         ClaimStep::Respond(ClaimResult::NotRun(releaser)) => {
-            after.told_not_run[index] = true;
-            releaser.map_or(Request::Over, Request::ReleaseReading)
+            after.answered_not_run[index] = true;
+            releaser.map_or(Request::Finished, Request::ReleaseReading)
         }
-        ClaimStep::Respond(_) => Request::Over,
+        ClaimStep::Respond(_) => Request::Finished,
         ClaimStep::Nothing => return,
     };
     push(next, Some(index), what, after);
 }
 
-/// Books what the releaser wants next.
+/// Adds a transition to the state that follows from the releaser's `step`.
 fn push_release(
     next: &mut Next,
     state: &ClaimModelState,
@@ -388,7 +408,7 @@
         ReleaseStep::Write { check, value } => {
             Request::ReleaseWriting(releaser.clone(), Write { check, value })
         }
-        ReleaseStep::Done => Request::Over,
+        ReleaseStep::Done => Request::Finished,
     };
     push(next, Some(index), what, after);
 }
@@ -405,9 +425,9 @@
             row: None,
             version: 0,
             requests: vec![Request::New; requests],
-            late: Vec::new(),
+            late_writes: Vec::new(),
             sent: vec![false; requests],
-            told_not_run: vec![false; requests],
+            answered_not_run: vec![false; requests],
             settled: false,
             sent_after_settled: false,
         }
@@ -415,9 +435,9 @@
 
     fn transitions(&self, state: &ClaimModelState) -> Next {
         let mut next = Vec::new();
-        self.environment(state, &mut next);
+        self.environment_steps(state, &mut next);
         for index in 0..state.requests.len() {
-            self.request(state, index, &mut next);
+            self.request_steps(state, index, &mut next);
         }
         next
     }
@@ -425,17 +445,17 @@
     fn check(&self, state: &ClaimModelState) -> Result<(), String> {
         let sends = state.sent.iter().filter(|sent| **sent).count();
         if sends > 1 {
-            return Err(format!("the key ran {sends} times"));
+            return Err(format!("the request with the key was sent {sends} times"));
         }
-        let mut both = state.sent.iter().zip(&state.told_not_run);
-        if both.any(|(sent, told_not_run)| *sent && *told_not_run) {
-            return Err("a request ran, and its caller was told not-run".into());
+        let mut pairs = state.sent.iter().zip(&state.answered_not_run);
+        if pairs.any(|(sent, answered_not_run)| *sent && *answered_not_run) {
+            return Err("a request was sent, and its caller got not-run".into());
         }
         if state.sent_after_settled {
-            return Err("the filing ran after a caller was told that it was settled".into());
+            return Err("a request was sent after the filing had been reported as settled".into());
         }
-        if state.is_quiet() && sends == 0 && state.is_held() {
-            return Err("the key is blocked by a claim that nobody uses".into());
+        if state.is_quiescent() && sends == 0 && state.is_held() {
+            return Err("the key is blocked by an unused claim".into());
         }
         Ok(())
     }
--- a/crates/model/src/explore.rs
+++ b/crates/model/src/explore.rs
@@ -1,9 +1,9 @@
-//! Breadth-first search of every state that a small instance can reach.
+//! Breadth-first search of every state that a small protocol instance can reach.
 //!
-//! A [`Model`] names its first state, its transitions and its invariant. [`explore`] walks all of
-//! them with the breadth-first search of the library `pathfinding`, so that a counterexample is a
-//! shortest one, and says how much it saw. A search that stopped at its limit says so: its silence
-//! proves nothing beyond the states it counted.
+//! A [`Model`] defines its initial state, its transitions and its invariant. [`explore`] visits all
+//! states with the breadth-first search of the library `pathfinding`, so that a counterexample is a
+//! shortest one, and reports the size of the search. A search that reaches its limit is reported as
+//! partial: without a counterexample it proves nothing beyond the states that it visited.
 
 use pathfinding::directed::bfs::bfs;
 use std::{
@@ -15,28 +15,28 @@
     },
 };
 
-/// Small instance of a protocol with its faults.
+/// Small instance of a protocol, with the faults that may occur.
 pub trait Model {
-    /// Everything that decides what may happen next.
+    /// Everything that determines which transitions are possible.
     type State: Clone + Eq + Hash;
-    /// Name of a transition, as a line of a trace.
+    /// Label of a transition; its text is one line of a trace.
     type Step: Clone + fmt::Display;
 
-    /// State that every run starts from.
+    /// Initial state.
     fn start(&self) -> Self::State;
 
-    /// Each transition that is possible in `state`, with the state it leads to.
+    /// Transitions that are possible in `state`, each with its successor state.
     fn transitions(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// What must hold in every state.
+    /// Checks the invariant, which must hold in every state.
     ///
     /// # Errors
     ///
-    /// The violation, in words.
+    /// A description of the violation.
     fn check(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// State with how it was first reached; only the state itself counts for equality.
+/// State with the step and depth at which it was first reached, which equality and hash ignore.
 #[derive(Clone)]
 struct Node<S, T> {
     state: S,
@@ -58,12 +58,12 @@
     }
 }
 
-/// Shortest run to a state that breaks the invariant.
+/// Path from the initial state to a state that violates the invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Trace {
-    /// Transitions from the start, in order.
+    /// Transitions from the initial state, in order.
     pub steps: Vec<String>,
-    /// Which invariant the last state breaks, and how.
+    /// How the last state violates the invariant.
     pub violation: String,
 }
 
@@ -76,18 +76,18 @@
     }
 }
 
-/// What a search saw.
+/// Result of a search.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Exploration {
-    /// States whose transitions were all followed.
+    /// Number of states whose transitions were all followed.
     pub states: usize,
-    /// Transitions followed.
+    /// Number of transitions followed.
     pub transitions: usize,
-    /// Length of the longest of the shortest runs.
+    /// Maximum distance of a visited state from the initial state, in transitions.
     pub depth: usize,
-    /// Whether nothing was left out: every reachable state was seen.
+    /// Whether every reachable state was visited.
     pub complete: bool,
-    /// Run that breaks the invariant, if one was found.
+    /// Shortest path to a violation of the invariant, if one was found.
     pub counterexample: Option<Trace>,
 }
 
@@ -108,10 +108,10 @@
     }
 }
 
-/// Walks all states of `model` breadth first, up to `limit_states` of them.
+/// Visits the states of `model` breadth first, at most `max_states` of them.
 ///
-/// Source: `pathfinding::directed::bfs::bfs`, whose goal is a state that breaks the invariant.
-pub fn explore<M: Model>(model: &M, limit_states: usize) -> Exploration {
+/// Source: `pathfinding::directed::bfs::bfs`, whose goal is a state that violates the invariant.
+pub fn explore<M: Model>(model: &M, max_states: usize) -> Exploration {
     let states = Cell::new(0);
     let transitions = Cell::new(0);
     let depth = Cell::new(0);
@@ -122,7 +122,7 @@
         depth: 0,
     };
     let successors = |node: &Node<M::State, M::Step>| {
-        if states.get() >= limit_states {
+        if states.get() >= max_states {
             complete.set(false);
             return Vec::new();
         }
@@ -149,7 +149,7 @@
     }
 }
 
-/// Names the steps along `nodes` and what the last of them breaks.
+/// Steps along `nodes`, and the violation in the last of them.
 fn trace<M: Model>(model: &M, nodes: &[Node<M::State, M::Step>]) -> Trace {
     let steps = nodes
         .iter()
--- a/crates/model/src/filing.rs
+++ b/crates/model/src/filing.rs
@@ -1,12 +1,14 @@
-//! Tickets at two entries: copies at any time, pauses, crashes, stepped clocks, a planned stop.
+//! Model of tickets at two entries: duplicates at any time, pauses, crashes, stepped clocks, a planned
+//! stop.
 //!
-//! Entry X owns the tickets and may hand over to Y. Nothing orders the messages: any copy, offer
-//! or acknowledgement arrives at any time, again or never, so loss, duplication, reordering and
-//! lateness need no steps of their own. A process may wait between any two of its steps, which is
-//! the pause between check and send. The platform has no part in it, so its outage changes nothing.
+//! Entry X owns the tickets and may hand over to Y. Messages are unordered: a copy of a ticket, an
+//! offer or an acknowledgement may arrive at any time, repeatedly or never, so loss, duplication,
+//! reordering and delay need no steps of their own. A process may pause between any two of its
+//! steps, which covers the pause between check and send. The platform is not involved, so its outage
+//! changes nothing.
 //!
-//! What must hold: an upstream got a ticket at most once, and a caller who was told `not-run` was
-//! told the truth for good, for that caller takes a new ticket.
+//! Invariant: each ticket is sent to the upstream at most once, and a ticket whose caller got
+//! `not-run` is never sent, because that caller files again with a new ticket.
 
 use crate::Model;
 use base::{
@@ -37,43 +39,43 @@
     time::Duration, //
 };
 
-/// Wall time at the start; far enough from zero to be stepped back.
+/// Wall time at the start, large enough to be stepped back.
 const START_WALL_MS: u64 = 100;
-/// How long after the start the tickets end.
-const LIFE_MS: u64 = 2;
-/// How long past that an outcome is remembered.
-const MARGIN_MS: u64 = 1;
+/// Time from the start to the expiry of the tickets.
+const LIFETIME_MS: u64 = 2;
+/// Time after expiry for which an outcome is retained.
+const RETENTION_MS: u64 = 1;
 const X: usize = 0;
 const Y: usize = 1;
 
-/// What may happen in one search.
+/// Configuration of one search.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketModel {
     /// Guards of both ledgers.
     pub guards: Guards,
-    /// Different tickets, each for X.
+    /// Number of distinct tickets, all issued by X.
     pub tickets: u8,
-    /// Copies of each ticket that callers send, to either entry.
+    /// Copies of each ticket that callers send to either entry.
     pub copies: u8,
-    /// Tickets that a ledger can remember.
-    pub remembered_max: usize,
-    /// Time after which nothing new happens, in milliseconds.
+    /// Maximum number of tickets that a ledger stores.
+    pub tickets_max: usize,
+    /// Time at which the clock stops, in milliseconds.
     pub end_ms: u64,
-    /// Crashes with restart, of either entry.
+    /// Number of crashes, each with a restart, of either entry.
     pub crashes: u8,
-    /// How far the system's wall clock is stepped back, once, at any time; 0: never.
+    /// Step of the wall clock back, once and at any time, in milliseconds; 0 for none.
     pub step_back_ms: u64,
-    /// Whether entries refuse filings for reasons of their own.
-    pub sheds: bool,
+    /// Whether entries may shed filings.
+    pub shedding: bool,
     /// Whether X stops and hands over to Y.
     pub hand_over: bool,
-    /// Whether the records fit the offer.
+    /// Whether the records fit into the offer.
     pub offer_fits: bool,
-    /// How far Y's wall clock is behind X's.
-    pub behind_ms: u64,
+    /// Lag of Y's wall clock behind X's, in milliseconds.
+    pub clock_lag_ms: u64,
 }
 
-/// One process with its ledger, by what it may still do.
+/// One process with its ledger, by phase of its planned stop.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Process {
     Open(Ledger),
@@ -110,7 +112,7 @@
         }
     }
 
-    fn unsent(&mut self, nonce: Nonce) {
+    fn remove_unsent(&mut self, nonce: Nonce) {
         match self {
             Self::Open(ledger) => ledger.remove_unsent(nonce),
             Self::Draining(stopping) => stopping.remove_unsent(nonce),
@@ -129,7 +131,7 @@
     }
 }
 
-/// A filing that its entry was told to run.
+/// A filing that the ledger of its entry allowed to run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Run {
     entry: usize,
@@ -137,7 +139,7 @@
     sent: bool,
 }
 
-/// State of both entries, of what is under way, and what callers and upstreams know.
+/// State of both entries, the messages in flight, and what callers and the upstream have received.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct TicketState {
     now_ms: u64,
@@ -149,40 +151,40 @@
     runs: BTreeSet<Run>,
     offer: Option<Offer>,
     accepted: Option<Accepted>,
-    /// How often the upstream got each ticket: the truth.
+    /// How often each ticket was actually sent to the upstream.
     sends: Vec<u8>,
-    /// Tickets for which a caller was told `not-run`.
-    told_not_run: BTreeSet<Nonce>,
+    /// Tickets whose caller got `not-run`.
+    answered_not_run: BTreeSet<Nonce>,
 }
 
-/// One thing that happens.
+/// Transition of the model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TicketStep {
-    /// Time passes.
+    /// The clock advances by a millisecond.
     Tick,
     /// The system's wall clock is stepped back.
     StepBack,
-    /// A copy arrives; what the ledger says.
-    Arrive(usize, Nonce, String),
-    /// A copy arrives at an entry that refuses it for reasons of its own.
+    /// A copy of a ticket arrives, with the ledger's decision.
+    Receive(usize, Nonce, String),
+    /// A copy of a ticket arrives at an entry that shedding it, with the ledger's decision.
     Shed(usize, Nonce, String),
     /// The entry sends to the upstream.
     Send(usize, Nonce),
-    /// The upstream's answer is recorded.
+    /// The entry records the upstream's answer.
     Finish(usize, Nonce),
-    /// Nothing was sent, and the caller is told so.
+    /// The entry sends nothing and answers `not-run`.
     Refuse(usize, Nonce),
-    /// Nothing was sent; the entry will try again itself.
+    /// The entry sends nothing and may run the ticket again later.
     Unsent(usize, Nonce),
-    /// The entry forgets old outcomes.
+    /// The entry removes expired outcomes.
     Expire(usize),
-    /// The entry dies and starts again.
+    /// The entry crashes and restarts.
     Crash(usize),
     /// X begins its planned stop.
     Stop,
     /// X closes and makes its offer.
     Offer,
-    /// The offer arrives at Y; whether it was taken.
+    /// The offer arrives at Y, with whether Y accepts it.
     Adopt(bool),
     /// The acknowledgement arrives at X.
     Acknowledge,
@@ -192,19 +194,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = |entry: &usize| if *entry == X { "X" } else { "Y" };
         match self {
-            Self::Tick => write!(f, "a millisecond passes"),
+            Self::Tick => write!(f, "the clock advances by a millisecond"),
             Self::StepBack => write!(f, "the wall clock is stepped back"),
-            Self::Arrive(e, n, said) => write!(f, "ticket {n} arrives at {}: {said}", name(e)),
-            Self::Shed(e, n, said) => write!(f, "{} sheds ticket {n}: {said}", name(e)),
+            Self::Receive(e, n, decision) => {
+                write!(f, "ticket {n} arrives at {}: {decision}", name(e))
+            }
+            Self::Shed(e, n, decision) => write!(f, "{} sheds ticket {n}: {decision}", name(e)),
             Self::Send(e, n) => write!(f, "{} sends ticket {n} to the upstream", name(e)),
             Self::Finish(e, n) => write!(f, "{} records the answer to ticket {n}", name(e)),
-            Self::Refuse(e, n) => write!(f, "{} didn't send ticket {n} and says not-run", name(e)),
-            Self::Unsent(e, n) => write!(f, "{} didn't send ticket {n}, will retry", name(e)),
-            Self::Expire(e) => write!(f, "{} forgets old outcomes", name(e)),
+            Self::Refuse(e, n) => {
+                write!(f, "{} doesn't send ticket {n} and answers not-run", name(e))
+            }
+            Self::Unsent(e, n) => write!(f, "{} doesn't send ticket {n} and may retry it", name(e)),
+            Self::Expire(e) => write!(f, "{} removes expired outcomes", name(e)),
             Self::Crash(e) => write!(f, "{} crashes and restarts", name(e)),
             Self::Stop => write!(f, "X begins its planned stop"),
             Self::Offer => write!(f, "X closes and offers its records to Y"),
-            Self::Adopt(taken) => write!(f, "the offer arrives at Y: taken {taken}"),
+            Self::Adopt(accepted) => write!(f, "the offer arrives at Y, accepted: {accepted}"),
             Self::Acknowledge => write!(f, "the acknowledgement arrives at X"),
         }
     }
@@ -221,15 +227,15 @@
             instance: Self::name(X),
             incarnation: 1,
             nonce,
-            expires_at_ms: START_WALL_MS + LIFE_MS,
+            expires_at_ms: START_WALL_MS + LIFETIME_MS,
         }
     }
 
     fn process(&self, entry: usize, incarnation: Incarnation, wall_ms: u64, now: Now) -> Process {
         let bounds = Bounds {
-            tickets_max: self.remembered_max,
+            tickets_max: self.tickets_max,
             lifetime_max: Duration::from_millis(10),
-            retention: Duration::from_millis(MARGIN_MS),
+            retention: Duration::from_millis(RETENTION_MS),
             offer_bytes_max: if self.offer_fits { usize::MAX } else { 0 },
             ..Bounds::default()
         };
@@ -242,11 +248,11 @@
     }
 
     fn wall_ms(&self, state: &TicketState, entry: usize) -> u64 {
-        let behind_ms = if entry == Y { self.behind_ms } else { 0 };
-        START_WALL_MS + state.now_ms - state.stepped_back_ms - behind_ms
+        let clock_lag_ms = if entry == Y { self.clock_lag_ms } else { 0 };
+        START_WALL_MS + state.now_ms - state.stepped_back_ms - clock_lag_ms
     }
 
-    fn environment(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
+    fn environment_steps(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         if state.now_ms < self.end_ms {
             let mut after = state.clone();
             after.now_ms += 1;
@@ -294,7 +300,7 @@
         after
     }
 
-    fn requests(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
+    fn request_steps(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         for (index, copies) in state.copies_left.iter().enumerate() {
             if *copies == 0 {
                 continue;
@@ -303,22 +309,22 @@
             for entry in self.entries() {
                 let mut after = state.clone();
                 after.copies_left[index] -= 1;
-                if self.sheds {
+                if self.shedding {
                     let mut shed = after.clone();
-                    let said = shed.processes[entry].refuse(&ticket, now(state));
-                    take(&mut shed, entry, ticket.nonce, &said);
-                    let step = TicketStep::Shed(entry, ticket.nonce, describe(&said));
+                    let decision = shed.processes[entry].refuse(&ticket, now(state));
+                    apply_decision(&mut shed, entry, ticket.nonce, &decision);
+                    let step = TicketStep::Shed(entry, ticket.nonce, describe(&decision));
                     next.push((step, shed));
                 }
-                let said = after.processes[entry].begin(&ticket, now(state));
-                take(&mut after, entry, ticket.nonce, &said);
-                let step = TicketStep::Arrive(entry, ticket.nonce, describe(&said));
+                let decision = after.processes[entry].begin(&ticket, now(state));
+                apply_decision(&mut after, entry, ticket.nonce, &decision);
+                let step = TicketStep::Receive(entry, ticket.nonce, describe(&decision));
                 next.push((step, after));
             }
         }
     }
 
-    fn progress(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
+    fn progress_steps(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         for run in &state.runs {
             if run.sent {
                 next.push(finish(state, *run));
@@ -336,7 +342,7 @@
         }
     }
 
-    fn hand_over(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
+    fn hand_over_steps(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         let mut after = state.clone();
         match state.processes[X].clone() {
             Process::Open(ledger) if state.incarnations[X] == 1 => {
@@ -359,16 +365,16 @@
             }
             Process::Open(_) | Process::HandedOver(_) => {}
         }
-        self.adopt(state, next);
+        self.adopt_steps(state, next);
     }
 
-    fn adopt(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
+    fn adopt_steps(&self, state: &TicketState, next: &mut Vec<(TicketStep, TicketState)>) {
         let mut after = state.clone();
         if let (Some(offer), Process::Open(ledger)) = (&state.offer, &mut after.processes[Y]) {
             let adopted = ledger.accept_offer(offer);
-            let taken = adopted.is_ok();
+            let is_accepted = adopted.is_ok();
             after.accepted = adopted.ok().or(after.accepted);
-            next.push((TicketStep::Adopt(taken), after));
+            next.push((TicketStep::Adopt(is_accepted), after));
         }
     }
 }
@@ -377,8 +383,8 @@
     Now::from_millis(state.now_ms)
 }
 
-fn describe(said: &TicketDecision) -> String {
-    match said {
+fn describe(decision: &TicketDecision) -> String {
+    match decision {
         TicketDecision::Run => "run".into(),
         TicketDecision::Wait => "wait".into(),
         TicketDecision::Replay(record) => format!("replay {}", record.outcome),
@@ -386,9 +392,9 @@
     }
 }
 
-/// Books what the ledger said on the entry and on the caller.
-fn take(state: &mut TicketState, entry: usize, nonce: Nonce, said: &TicketDecision) {
-    let outcome = match said {
+/// Applies the ledger's decision to the entry's runs and to what the caller has received.
+fn apply_decision(state: &mut TicketState, entry: usize, nonce: Nonce, decision: &TicketDecision) {
+    let outcome = match decision {
         TicketDecision::Run => {
             let run = Run {
                 entry,
@@ -403,7 +409,7 @@
         TicketDecision::Refuse(reason) => reason.outcome(),
     };
     if outcome == RunOutcome::NotRun {
-        state.told_not_run.insert(nonce);
+        state.answered_not_run.insert(nonce);
     }
 }
 
@@ -426,14 +432,14 @@
     let mut after = state.clone();
     after.runs.remove(&run);
     after.processes[run.entry].finish(run.nonce, Record::status_only(RunOutcome::NotRun, 503));
-    after.told_not_run.insert(run.nonce);
+    after.answered_not_run.insert(run.nonce);
     (TicketStep::Refuse(run.entry, run.nonce), after)
 }
 
 fn unsent(state: &TicketState, run: Run) -> (TicketStep, TicketState) {
     let mut after = state.clone();
     after.runs.remove(&run);
-    after.processes[run.entry].unsent(run.nonce);
+    after.processes[run.entry].remove_unsent(run.nonce);
     (TicketStep::Unsent(run.entry, run.nonce), after)
 }
 
@@ -448,7 +454,7 @@
             stepped_back_ms: 0,
             processes: [
                 self.process(X, 1, START_WALL_MS, Now::ZERO),
-                self.process(Y, 1, START_WALL_MS - self.behind_ms, Now::ZERO),
+                self.process(Y, 1, START_WALL_MS - self.clock_lag_ms, Now::ZERO),
             ],
             incarnations: [1, 1],
             crashes_left: self.crashes,
@@ -457,17 +463,17 @@
             offer: None,
             accepted: None,
             sends: vec![0; tickets],
-            told_not_run: BTreeSet::new(),
+            answered_not_run: BTreeSet::new(),
         }
     }
 
     fn transitions(&self, state: &TicketState) -> Vec<(TicketStep, TicketState)> {
         let mut next = Vec::new();
-        self.environment(state, &mut next);
-        self.requests(state, &mut next);
-        self.progress(state, &mut next);
+        self.environment_steps(state, &mut next);
+        self.request_steps(state, &mut next);
+        self.progress_steps(state, &mut next);
         if self.hand_over {
-            self.hand_over(state, &mut next);
+            self.hand_over_steps(state, &mut next);
         }
         next
     }
@@ -475,10 +481,10 @@
     fn check(&self, state: &TicketState) -> Result<(), String> {
         for (nonce, sends) in state.sends.iter().enumerate() {
             if *sends > 1 {
-                return Err(format!("ticket {nonce} ran {sends} times"));
+                return Err(format!("ticket {nonce} was sent {sends} times"));
             }
-            if *sends > 0 && state.told_not_run.contains(&(nonce as Nonce)) {
-                return Err(format!("ticket {nonce} ran, and a caller was told not-run"));
+            if *sends > 0 && state.answered_not_run.contains(&(nonce as Nonce)) {
+                return Err(format!("ticket {nonce} was sent, and a caller got not-run"));
             }
         }
         Ok(())
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,15 +1,15 @@
 //! Exhaustive search of small instances of the protocols that the daemon runs.
 //!
-//! Each module wraps the transition functions of one pure crate in a [`Model`]: a few members, a
-//! few messages, and every fault that can happen between two steps. [`explore()`] walks all states;
-//! the tests print how many, and show for each guard that the search finds the counterexample once
-//! that guard is off.
+//! Each module wraps the transition functions of one crate without I/O in a [`Model`]: a few members,
+//! a few messages, and every fault that can occur between two steps. [`explore()`] visits all
+//! reachable states. The tests print their number, and show for each guard that the search finds a
+//! counterexample once that guard is disabled.
 //!
-//! Invariants: a model decides nothing itself, it calls the functions that the daemon calls; a search
-//! that says `complete` has visited every state that the model can reach. [`AcceptPlatform`] and
-//! [`AcceptRunner`] also serve the tests of `spec`.
+//! Invariants: a model contains no protocol logic, it calls the functions that the daemon calls; a
+//! search that reports `complete` has visited every state that the model can reach.
+//! [`AcceptPlatform`] and [`AcceptRunner`] are also used by the tests of `spec`.
 //!
-//! Start with `explore`, then read the model of the protocol you change.
+//! Start with `explore`, then read the model of the protocol that you change.
 
 mod claims;
 mod explore;
@@ -20,9 +20,9 @@
 mod spec;
 
 pub use self::picture::{
-    PictureModel,
-    PictureState,
-    PictureStep, //
+    RoutingViewModel,
+    RoutingViewState,
+    RoutingViewStep, //
 };
 pub use claims::{
     ClaimModel,
@@ -50,8 +50,8 @@
 pub use share::{
     small_terms,
     ShareModel,
-    Step as ShareStep,
-    World as ShareWorld, //
+    ShareState,
+    Step as ShareStep, //
 };
 pub use spec::{
     AcceptModel,
--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -1,12 +1,12 @@
-//! A lease whose holder is paused at any time, and the join of two processes with one name.
+//! Models of a lease whose holder may be paused at any time, and of processes that join with one name.
 //!
-//! Holder and observer have clocks of their own, as far apart as the terms allow: the holder's
-//! slow, the observer's fast. A renewal may be answered, take effect with its answer lost, take
-//! effect later, or never; a read shows the row as it was at any time while the read was under
-//! way. Nothing makes the holder act, so a pause needs no step of its own.
+//! Holder and observer have separate clocks with the maximum drift that the terms allow: the holder's
+//! is slow, the observer's fast. A renewal may be answered, take effect with its answer lost, take
+//! effect later, or never; a read returns the row as it was at any time while the read was in
+//! flight. The holder never has to take a step, so a pause needs no step of its own.
 //!
-//! What must hold: once the observer calls a lease lapsed, the holder doesn't count on what it
-//! held under it; and no two processes with one name get the same incarnation.
+//! Invariants: once the observer considers a lease lapsed, the holder no longer relies on it; no two
+//! processes with one name get the same incarnation.
 
 use crate::Model;
 use base::Now;
@@ -28,8 +28,9 @@
     time::Duration, //
 };
 
-/// By exact clocks a step of time is 10 ms.
+/// Holder's time per clock step; on an exact clock a step is 10 ms.
 const HOLDER_STEP_MS: u64 = 8;
+/// Observer's time per clock step.
 const OBSERVER_STEP_MS: u64 = 12;
 const NAME: &str = "a";
 
@@ -52,14 +53,14 @@
     }
 }
 
-/// Conditional write on its way to the table.
+/// Conditional write in flight to the table.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Write {
     check: Option<u64>,
     row: LeaseRow,
 }
 
-/// The platform's table: one row.
+/// The platform's table, with one row.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Table {
     version: u64,
@@ -83,15 +84,15 @@
     }
 }
 
-fn write_of(step: &LeaseStep) -> Option<Write> {
+fn to_write(step: &LeaseStep) -> Option<Write> {
     let LeaseStep::Commit { check, value } = step else {
         return None;
     };
-    let row = value.parse().expect("only leases are written");
+    let row = value.parse().expect("the write contains a valid lease");
     Some(Write { check: *check, row })
 }
 
-/// One thing that happens.
+/// Transition of [`LeaseModel`] or [`JoinModel`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseModelStep(String);
 
@@ -101,18 +102,18 @@
     }
 }
 
-/// One holder and one observer.
+/// One holder and one observer of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseModel {
     /// Guards of both.
     pub guards: Guards,
-    /// Steps of time.
+    /// Number of clock steps.
     pub ticks: u64,
-    /// Answers lost, effects late and outages, together.
+    /// Budget for lost answers, late writes and outages together.
     pub faults: u8,
 }
 
-/// What the holder waits for.
+/// Answer that the holder waits for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Wait {
     Nothing,
@@ -120,25 +121,25 @@
     Read,
 }
 
-/// A read under way: when it was sent, and the row once it was looked up.
+/// Read in flight: the time it was sent, and the row once the table has looked it up.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct ReadUnderWay {
+struct PendingRead {
     sent_at: Now,
     row: Option<VersionedLease>,
 }
 
-/// State of holder, table and observer.
+/// State of the holder, the table and the observer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseModelState {
     ticks: u64,
     faults_left: u8,
     table: Table,
-    late: Vec<Write>,
+    late_writes: Vec<Write>,
     holder: LeaseHolder,
     wait: Wait,
     observer: LeaseObserver,
-    read: Option<ReadUnderWay>,
-    /// Whether the observer has called the first, unbroken lease lapsed.
+    read: Option<PendingRead>,
+    /// Whether the observer has considered the lease lapsed while the holder had seen no gap in it.
     lapsed: bool,
 }
 
@@ -159,14 +160,16 @@
 
     fn deliver(mut self, event: LeaseEvent) -> Self {
         let step = self.holder.on_event(event, self.holder_now());
-        self.follow(&step);
+        self.apply_step(&step);
         self
     }
 
-    fn follow(&mut self, step: &LeaseStep) {
+    fn apply_step(&mut self, step: &LeaseStep) {
         self.wait = match step {
             LeaseStep::Read => Wait::Read,
-            LeaseStep::Commit { .. } => Wait::Write(Box::new(write_of(step).expect("a commit"))),
+            LeaseStep::Commit { .. } => {
+                Wait::Write(Box::new(to_write(step).expect("the step is a commit")))
+            }
             LeaseStep::Idle | LeaseStep::Superseded => Wait::Nothing,
         };
     }
@@ -178,15 +181,15 @@
     next.push((LeaseModelStep(what.into()), after));
 }
 
-fn environment(model: &LeaseModel, state: &LeaseModelState, next: &mut LeaseNext) {
+fn environment_steps(model: &LeaseModel, state: &LeaseModelState, next: &mut LeaseNext) {
     if state.ticks < model.ticks {
         let mut after = state.clone();
         after.ticks += 1;
-        push(next, "10 ms pass", after);
+        push(next, "the clock advances by 10 ms", after);
     }
-    for index in 0..state.late.len() {
+    for index in 0..state.late_writes.len() {
         let mut after = state.clone();
-        let write = after.late.remove(index);
+        let write = after.late_writes.remove(index);
         after.table.apply(&write);
         push(next, "a late renewal reaches the table", after);
     }
@@ -198,11 +201,11 @@
             let mut after = state.clone();
             let step = after.holder.tick(after.holder_now());
             if step != LeaseStep::Idle {
-                after.follow(&step);
+                after.apply_step(&step);
                 push(next, "the holder sends a renewal", after);
             }
         }
-        Wait::Write(write) => writing(state, write, next),
+        Wait::Write(write) => write_steps(state, write, next),
         Wait::Read => {
             let event = LeaseEvent::Read(state.table.row.clone());
             let after = state.clone().deliver(event);
@@ -211,10 +214,10 @@
     }
 }
 
-fn writing(state: &LeaseModelState, write: &Write, next: &mut LeaseNext) {
+fn write_steps(state: &LeaseModelState, write: &Write, next: &mut LeaseNext) {
     let mut after = state.clone();
     let event = after.table.apply(write);
-    // The table's answer may reach the holder at any later time: that is the late write below.
+    // The branches below cover answers that arrive later than the write takes effect, or not at all.
     push(
         next,
         "the renewal is answered",
@@ -225,7 +228,7 @@
         push(next, "the renewal takes effect, the answer is lost", lossy);
     }
     if let Some(slow) = after.with_fault() {
-        // Took effect now, and its answer is still on the way: the row is ahead of the holder.
+        // The write takes effect now and its answer is still in flight, so the row is ahead of the holder.
         let committed = slow.table.row.as_ref().map(|row| row.row.seq) == Some(write.row.seq);
         if committed && slow.table != state.table {
             push(next, "the renewal takes effect, the answer is slow", slow);
@@ -238,10 +241,10 @@
             "the platform is down",
             down.deliver(LeaseEvent::NotExecuted),
         );
-        late.late.push(write.clone());
-        late.late.sort();
+        late.late_writes.push(write.clone());
+        late.late_writes.sort();
         let late = late.deliver(LeaseEvent::OutcomeUnknown);
-        push(next, "the renewal is under way, the answer is lost", late);
+        push(next, "the renewal is in flight, the answer is lost", late);
     }
 }
 
@@ -249,7 +252,7 @@
     match &state.read {
         None => {
             let mut after = state.clone();
-            after.read = Some(ReadUnderWay {
+            after.read = Some(PendingRead {
                 sent_at: state.observer_now(),
                 row: None,
             });
@@ -259,7 +262,7 @@
             let mut after = state.clone();
             match &read.row {
                 None => {
-                    after.read = Some(ReadUnderWay {
+                    after.read = Some(PendingRead {
                         sent_at: read.sent_at,
                         row: state.table.row.clone(),
                     });
@@ -278,7 +281,7 @@
     if lapse.is_some() && !state.lapsed && state.holder.gaps() == 0 {
         let mut after = state.clone();
         after.lapsed = true;
-        push(next, "the observer calls the lease lapsed", after);
+        push(next, "the observer considers the lease lapsed", after);
     }
 }
 
@@ -291,18 +294,18 @@
         let JoinProgress::Pending(joining, step) =
             joining.on_event(LeaseEvent::Read(None), Now::ZERO)
         else {
-            unreachable!("a join writes before it holds");
+            unreachable!("a join writes a row before it holds the lease");
         };
         let mut table = Table::default();
-        let event = table.apply(&write_of(&step).expect("a commit"));
+        let event = table.apply(&to_write(&step).expect("the step is a commit"));
         let JoinProgress::Joined(holder) = joining.on_event(event, Now::ZERO) else {
-            unreachable!("a committed join holds");
+            unreachable!("a committed join holds the lease");
         };
         LeaseModelState {
             ticks: 0,
             faults_left: self.faults,
             table,
-            late: Vec::new(),
+            late_writes: Vec::new(),
             holder,
             wait: Wait::Nothing,
             observer: LeaseObserver::new(terms(), self.guards),
@@ -312,38 +315,38 @@
     }
 
     fn transitions(&self, state: &LeaseModelState) -> LeaseNext {
-        // The holder knows of its gap, and no later state can break what must hold.
+        // The holder has noticed its gap, so no later state can violate the invariant.
         if state.holder.gaps() > 0 {
             return Vec::new();
         }
         let mut next = Vec::new();
-        environment(self, state, &mut next);
+        environment_steps(self, state, &mut next);
         holder_steps(state, &mut next);
         observer_steps(state, &mut next);
         next
     }
 
     fn check(&self, state: &LeaseModelState) -> Result<(), String> {
-        let counts_on_it = state.holder.gaps() == 0 && state.holder.is_valid(state.holder_now());
-        if state.lapsed && counts_on_it {
-            return Err("the holder counts on a lease that others have seen lapse".into());
+        let relies_on_lease = state.holder.gaps() == 0 && state.holder.is_valid(state.holder_now());
+        if state.lapsed && relies_on_lease {
+            return Err("the holder relies on a lease that the observer has seen lapse".into());
         }
         Ok(())
     }
 }
 
-/// Processes that join with one name.
+/// Processes that join with the same name.
 #[derive(Clone, Copy, Debug)]
 pub struct JoinModel {
     /// Guards of all.
     pub guards: Guards,
-    /// How many processes join.
+    /// Number of processes that join.
     pub processes: u8,
-    /// Answers lost, effects late and outages, together.
+    /// Budget for lost answers, late writes and outages together.
     pub faults: u8,
 }
 
-/// How far one process is.
+/// Progress of one process.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Process {
     Reading(Joining),
@@ -356,7 +359,7 @@
 pub struct JoinModelState {
     faults_left: u8,
     table: Table,
-    late: Vec<Write>,
+    late_writes: Vec<Write>,
     processes: Vec<Process>,
 }
 
@@ -371,7 +374,7 @@
 
     fn deliver(mut self, index: usize, joining: &Joining, event: LeaseEvent) -> Self {
         self.processes[index] = match joining.clone().on_event(event, Now::ZERO) {
-            JoinProgress::Pending(joining, step) => match write_of(&step) {
+            JoinProgress::Pending(joining, step) => match to_write(&step) {
                 Some(write) => Process::Writing(joining, Box::new(write)),
                 None => Process::Reading(joining),
             },
@@ -401,10 +404,10 @@
                 push("writes, the answer is lost", lossy);
             }
             if let Some(mut late) = state.with_fault() {
-                late.late.push((**write).clone());
-                late.late.sort();
+                late.late_writes.push((**write).clone());
+                late.late_writes.sort();
                 let late = late.deliver(index, joining, LeaseEvent::OutcomeUnknown);
-                push("has its write under way, the answer is lost", late);
+                push("has its write in flight, the answer is lost", late);
             }
         }
         Process::Holding(_) => {}
@@ -420,16 +423,16 @@
         JoinModelState {
             faults_left: self.faults,
             table: Table::default(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             processes: vec![Process::Reading(joining); usize::from(self.processes)],
         }
     }
 
     fn transitions(&self, state: &JoinModelState) -> JoinNext {
         let mut next = Vec::new();
-        for index in 0..state.late.len() {
+        for index in 0..state.late_writes.len() {
             let mut after = state.clone();
-            let write = after.late.remove(index);
+            let write = after.late_writes.remove(index);
             after.table.apply(&write);
             let step = LeaseModelStep("a late write reaches the table".into());
             next.push((step, after));
@@ -453,7 +456,7 @@
         held.sort_unstable();
         held.dedup();
         if held.len() < holders {
-            return Err("two processes have one incarnation".into());
+            return Err("two processes have the same incarnation".into());
         }
         Ok(())
     }
--- a/crates/model/src/picture.rs
+++ b/crates/model/src/picture.rs
@@ -1,14 +1,14 @@
-//! Entries that follow one upstream's rows, some of them cut off from the store for a while.
+//! Model of the routing views of two entries that follow the rows of one upstream, with store outages.
 //!
-//! The store writes the rows of one upstream: it is listed, may expire and be listed again while the
-//! store is away for its owner, may be marked as leaving, and is removed for good once it has left.
-//! Entries read those rows one after the other, or the whole table after a lost history; an entry
-//! for which the store was away doubts a removal for a moment. Entries tell each other their pictures,
-//! and a message may arrive long after it was sent. A process may start anew and know nothing.
+//! The store writes the rows of one upstream: it is listed, may expire and be listed again while its
+//! owner can't reach the store, may be marked as leaving, and is removed for good once it has left.
+//! Entries read these rows one by one, or the whole table if the history of changes was lost; after a
+//! store outage, an entry treats a removal as unconfirmed for a while. Entries send each other updates
+//! from their views, which may arrive with any delay. A process may restart with an empty view.
 //!
-//! What must hold: once an entry knew without doubt that the upstream leaves or is gone, it sends
-//! nothing there until a row of a higher version lists it. And once all have read everything and no doubt
-//! is left, all know the same, and it is what the store says.
+//! Invariant: once an entry is certain that the upstream is leaving or removed, it sends nothing there
+//! until a row of a higher version lists it. Once all entries have read all rows and no removal is
+//! unconfirmed, all views agree with the store.
 
 use crate::Model;
 use ::picture::{
@@ -27,58 +27,58 @@
     time::Duration, //
 };
 
-/// The one upstream.
+/// Name of the upstream.
 const NAME: &str = "u";
-/// A step of time: two of them are longer than a removal is doubted.
-const STEP: Duration = Duration::from_millis(1000);
+/// Step of the clock. Two steps are longer than a removal stays unconfirmed.
+const TICK: Duration = Duration::from_millis(1000);
 
-/// One row as the store wrote it.
+/// Row of the upstream as written by the store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Row {
     Listed,
     Leaving,
-    /// It expired; the owner lives.
+    /// Removed by expiry, while the owner still runs.
     Expired,
-    /// The owner has left.
+    /// Removed because the owner has left.
     Removed,
 }
 
-/// Entries that follow one upstream.
+/// Configuration of one search.
 #[derive(Clone, Copy, Debug)]
-pub struct PictureModel {
-    /// Guards of the pictures.
+pub struct RoutingViewModel {
+    /// Guards of the views.
     pub guards: Guards,
-    /// Rows that the store writes.
+    /// Number of rows that the store writes.
     pub rows: usize,
-    /// Messages between entries.
+    /// Number of messages between entries.
     pub messages: u8,
-    /// Entries that are started anew.
+    /// Number of restarts of entries.
     pub restarts: u8,
-    /// Steps of time.
+    /// Number of clock steps.
     pub ticks: u8,
 }
 
-/// One thing that happens.
+/// Transition of the model.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PictureStep(String);
+pub struct RoutingViewStep(String);
 
-impl fmt::Display for PictureStep {
+impl fmt::Display for RoutingViewStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// One entry.
+/// One entry with its view.
 #[derive(Clone, Debug)]
 struct Entry {
-    picture: RoutingView,
-    /// Rows that it has read.
-    read: usize,
-    /// Version at which it knew without doubt that the upstream gets nothing more.
-    sure_at: Option<u64>,
+    view: RoutingView,
+    /// Number of rows that it has read.
+    rows_read: usize,
+    /// Version of the last row from which it was certain that the upstream is leaving or removed.
+    closed_at: Option<u64>,
 }
 
-/// A message on its way to the entry of this number.
+/// Message in flight to the entry with index `to`.
 #[derive(Clone, Debug)]
 struct Message {
     to: usize,
@@ -87,7 +87,7 @@
 
 /// State of the store, the entries and the messages.
 #[derive(Clone, Debug)]
-pub struct PictureState {
+pub struct RoutingViewState {
     rows: Vec<Row>,
     entries: Vec<Entry>,
     messages: Vec<Message>,
@@ -96,16 +96,17 @@
     ticks: u8,
 }
 
-// A picture holds routes, which have no hash; what it shows decides everything that may happen.
-impl PartialEq for PictureState {
+// A view contains routes, which can't be hashed; its debug output includes everything that determines
+// the transitions.
+impl PartialEq for RoutingViewState {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
     }
 }
 
-impl Eq for PictureState {}
+impl Eq for RoutingViewState {}
 
-impl Hash for PictureState {
+impl Hash for RoutingViewState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         format!("{self:?}").hash(state);
     }
@@ -125,64 +126,63 @@
     }
 }
 
-/// Version of the row of this number.
-fn version(number: usize) -> u64 {
-    number as u64 + 1
+/// Version of the row with this index.
+fn version(index: usize) -> u64 {
+    index as u64 + 1
 }
 
 impl Entry {
     fn new(guards: Guards) -> Self {
         Self {
-            picture: RoutingView::with_guards(guards),
-            read: 0,
-            sure_at: None,
+            view: RoutingView::with_guards(guards),
+            rows_read: 0,
+            closed_at: None,
         }
     }
 
-    /// Whether it sends requests to the upstream.
+    /// Whether the entry sends requests to the upstream.
     fn is_open(&self, now: Now) -> bool {
-        let mut upstreams = self.picture.upstreams(now);
+        let mut upstreams = self.view.upstreams(now);
         upstreams.any(|(_, closed, _)| !closed)
     }
 
-    /// Takes the next row of the feed.
-    fn read_next(&mut self, row: Row, after_outage: bool, now: Now) {
-        let version = version(self.read);
-        self.read += 1;
-        self.picture.advance_read_position(version);
+    /// Applies the next row of the table's changes.
+    fn apply_next_row(&mut self, row: Row, after_outage: bool, now: Now) {
+        let version = version(self.rows_read);
+        self.rows_read += 1;
+        self.view.advance_read_position(version);
         match row {
             Row::Listed | Row::Leaving => {
                 let leaving = row == Row::Leaving;
-                self.picture.apply_upstream(&listed(leaving), version, now);
-                self.sure_at = leaving.then_some(version).or(self.sure_at);
+                self.view.apply_upstream(&listed(leaving), version, now);
+                self.closed_at = leaving.then_some(version).or(self.closed_at);
             }
             Row::Expired | Row::Removed => {
                 let name = NAME.into();
-                self.picture
-                    .apply_removal(&name, version, after_outage, now);
+                self.view.apply_removal(&name, version, after_outage, now);
                 if !after_outage {
-                    self.sure_at = Some(version);
+                    self.closed_at = Some(version);
                 }
             }
         }
     }
 
-    /// Reads the whole table, as after a lost history or at the start.
-    fn read_whole(&mut self, rows: &[Row], after_outage: bool, now: Now) {
-        self.read = rows.len();
+    /// Applies the whole table, as at the start or after the history of changes was lost.
+    fn apply_table(&mut self, rows: &[Row], after_outage: bool, now: Now) {
+        self.rows_read = rows.len();
         let position = rows.len() as u64;
-        let standing = rows
+        let current = rows
             .last()
             .filter(|row| matches!(row, Row::Listed | Row::Leaving));
-        let row = standing.map(|row| (position, listed(*row == Row::Leaving)));
+        let row = current.map(|row| (position, listed(*row == Row::Leaving)));
         let table: Vec<_> = row.into_iter().collect();
-        self.picture
+        self.view
             .apply_upstream_table(&table, position, after_outage, now);
     }
 }
 
-impl PictureModel {
-    /// Rows that the store may write next.
+impl RoutingViewModel {
+    /// Possible successors of the last row.
     fn next_rows(rows: &[Row]) -> &'static [Row] {
         match rows.last() {
             None | Some(Row::Expired) => &[Row::Listed],
@@ -193,15 +193,15 @@
     }
 }
 
-impl PictureState {
+impl RoutingViewState {
     fn now(&self) -> Now {
-        STEP * u32::from(self.ticks)
+        TICK * u32::from(self.ticks)
     }
 
-    /// Whether all have read everything, nothing is under way, and no doubt can be left.
+    /// Whether all entries have read all rows and no message is in flight.
     fn is_settled(&self) -> bool {
-        let read = |entry: &Entry| entry.read == self.rows.len();
-        self.messages.is_empty() && self.entries.iter().all(read)
+        let is_read = |entry: &Entry| entry.rows_read == self.rows.len();
+        self.messages.is_empty() && self.entries.iter().all(is_read)
     }
 
     fn write_row(&self, row: Row) -> Self {
@@ -210,20 +210,20 @@
         next
     }
 
-    fn with_entry(&self, number: usize, change: impl FnOnce(&mut Entry, Now)) -> Self {
+    fn with_entry(&self, index: usize, change: impl FnOnce(&mut Entry, Now)) -> Self {
         let mut next = self.clone();
         let now = self.now();
-        change(&mut next.entries[number], now);
+        change(&mut next.entries[index], now);
         next
     }
 }
 
-impl Model for PictureModel {
-    type State = PictureState;
-    type Step = PictureStep;
+impl Model for RoutingViewModel {
+    type State = RoutingViewState;
+    type Step = RoutingViewStep;
 
-    fn start(&self) -> PictureState {
-        PictureState {
+    fn start(&self) -> RoutingViewState {
+        RoutingViewState {
             rows: vec![Row::Listed],
             entries: vec![Entry::new(self.guards), Entry::new(self.guards)],
             messages: Vec::new(),
@@ -233,93 +233,97 @@
         }
     }
 
-    fn transitions(&self, state: &PictureState) -> Vec<(PictureStep, PictureState)> {
+    fn transitions(&self, state: &RoutingViewState) -> Vec<(RoutingViewStep, RoutingViewState)> {
         let mut steps = Vec::new();
-        let mut step = |name: String, next: PictureState| steps.push((PictureStep(name), next));
+        let mut step =
+            |name: String, next: RoutingViewState| steps.push((RoutingViewStep(name), next));
         if state.rows.len() < self.rows {
             for row in Self::next_rows(&state.rows) {
                 step(format!("the store writes {row:?}"), state.write_row(*row));
             }
         }
-        for (number, entry) in state.entries.iter().enumerate() {
-            if entry.read < state.rows.len() {
-                let row = state.rows[entry.read];
+        for (index, entry) in state.entries.iter().enumerate() {
+            if entry.rows_read < state.rows.len() {
+                let row = state.rows[entry.rows_read];
                 for after_outage in [false, true] {
-                    // A row that expired did so during an outage, at least for its owner.
-                    let next = state.with_entry(number, |entry, now| {
-                        entry.read_next(row, after_outage, now);
+                    // Both cases apply to every row: one that expired did so during an outage, at least
+                    // for its owner.
+                    let next = state.with_entry(index, |entry, now| {
+                        entry.apply_next_row(row, after_outage, now);
                     });
                     let how = if after_outage { " after an outage" } else { "" };
-                    step(format!("{number} reads {row:?}{how}"), next);
+                    step(format!("entry {index} reads {row:?}{how}"), next);
                 }
-                let next = state.with_entry(number, |entry, now| {
-                    entry.read_whole(&state.rows, true, now);
+                let next = state.with_entry(index, |entry, now| {
+                    entry.apply_table(&state.rows, true, now);
                 });
                 step(
-                    format!("{number} reads the whole table after an outage"),
+                    format!("entry {index} reads the whole table after an outage"),
                     next,
                 );
             }
-            if state.messages_left > 0 && entry.read > 0 {
+            if state.messages_left > 0 && entry.rows_read > 0 {
                 let mut next = state.clone();
                 next.messages_left -= 1;
-                // The other one says with its request how far it has read.
-                let after = state.entries[1 - number].picture.upstreams_read_position();
+                // The recipient's request contains its read position.
+                let after = state.entries[1 - index].view.upstreams_read_position();
                 next.messages.push(Message {
-                    to: 1 - number,
-                    updates: entry.picture.upstream_updates(after, state.now()),
+                    to: 1 - index,
+                    updates: entry.view.upstream_updates(after, state.now()),
                 });
-                step(format!("{number} tells its picture"), next);
+                step(format!("entry {index} sends its updates"), next);
             }
-            if state.restarts_left > 0 && entry.read > 0 {
-                let mut next = state.with_entry(number, |entry, _| {
+            if state.restarts_left > 0 && entry.rows_read > 0 {
+                let mut next = state.with_entry(index, |entry, _| {
                     *entry = Entry::new(self.guards);
                 });
                 next.restarts_left -= 1;
-                step(format!("{number} starts anew"), next);
+                step(format!("entry {index} restarts"), next);
             }
         }
-        for place in 0..state.messages.len() {
+        for index in 0..state.messages.len() {
             let mut next = state.clone();
-            let message = next.messages.remove(place);
+            let message = next.messages.remove(index);
             let now = state.now();
             let entry = &mut next.entries[message.to];
-            entry.picture.apply_upstream_updates(&message.updates, now);
-            step(format!("{} hears", message.to), next);
+            entry.view.apply_upstream_updates(&message.updates, now);
+            step(format!("entry {} receives updates", message.to), next);
         }
         if state.ticks < self.ticks {
             let mut next = state.clone();
             next.ticks += 1;
-            step("time passes".to_owned(), next);
+            step("the clock advances".to_owned(), next);
         }
         steps
     }
 
-    fn check(&self, state: &PictureState) -> Result<(), String> {
+    fn check(&self, state: &RoutingViewState) -> Result<(), String> {
         let now = state.now();
-        for (number, entry) in state.entries.iter().enumerate() {
-            let Some(sure_at) = entry.sure_at else {
+        for (index, entry) in state.entries.iter().enumerate() {
+            let Some(closed_at) = entry.closed_at else {
                 continue;
             };
             let rows = state.rows.iter().enumerate();
             let listed_since = rows
                 .filter(|(_, row)| **row == Row::Listed)
-                .any(|(place, _)| version(place) > sure_at);
+                .any(|(row_index, _)| version(row_index) > closed_at);
             if entry.is_open(now) && !listed_since {
                 return Err(format!(
-                    "{number} knew at version {sure_at} that it is gone, and sends to it"
+                    "entry {index} closed the upstream at version {closed_at}, and sends to it"
                 ));
             }
         }
         if !state.is_settled() {
             return Ok(());
         }
-        let doubt_over = now + STEP * 2;
-        let stands = state.rows.last() == Some(&Row::Listed);
-        for (number, entry) in state.entries.iter().enumerate() {
-            let open = entry.is_open(doubt_over);
-            if open != stands {
-                return Err(format!("all is read, and {number} has it open: {open}"));
+        let confirmed_at = now + TICK * 2;
+        let is_listed = state.rows.last() == Some(&Row::Listed);
+        for (index, entry) in state.entries.iter().enumerate() {
+            let open = entry.is_open(confirmed_at);
+            if open != is_listed {
+                return Err(format!(
+                    "all rows are read, and entry {index} has it open: {open}"
+                ));
             }
         }
         Ok(())
--- a/crates/model/src/share/apply.rs
+++ b/crates/model/src/share/apply.rs
@@ -1,14 +1,14 @@
-//! What a step makes of the state.
+//! Successor state of each step.
 
 use super::{
-    step::Step,
-    world::{
+    state::{
         resource,
         tokens,
-        Cell,
+        HashedMember,
         Renewal,
-        World, //
+        ShareState, //
     },
+    step::Step,
     ShareModel, //
 };
 use share::{
@@ -21,24 +21,24 @@
 };
 use std::sync::Arc;
 
-/// Hand-overs under way at a time.
-const GIVES_KEPT: usize = 2;
+/// Transfers in flight; further ones are dropped.
+const MAX_PENDING_TRANSFERS: usize = 2;
 
 impl ShareModel {
-    /// State after `step`; `None` where it can't be taken.
-    pub(super) fn apply(&self, world: &World, step: &Step) -> Option<World> {
-        let mut next = world.clone();
+    /// State after `step`, or `None` if the step is not possible.
+    pub(super) fn apply(&self, state: &ShareState, step: &Step) -> Option<ShareState> {
+        let mut next = state.clone();
         match *step {
-            Step::Second => self.second(&mut next)?,
+            Step::AdvanceClock => self.advance_clock(&mut next)?,
             Step::Restart => self.restart(&mut next)?,
             Step::Read(i) => {
                 self.read(&mut next, i);
                 if !self.late_writes {
-                    self.act(&mut next, i);
+                    self.tick(&mut next, i);
                 }
             }
             Step::Renew(i) => {
-                let seq = self.take_renewal(&mut next, i)?;
+                let seq = self.commit_renewal(&mut next, i)?;
                 let now = self.clock(i, &next);
                 next.change(i, |member| member.set_lease(seq, now, now));
             }
@@ -46,13 +46,13 @@
                 let seq = next.nodes[i].lease + 1;
                 next.nodes[i].renewal = (seq <= self.lease_limit(i)).then(|| Renewal {
                     seq,
-                    sent_at: self.clock(i, world),
-                    taken: false,
+                    sent_at: self.clock(i, state),
+                    committed: false,
                 });
             }
-            Step::TakeRenewal(i) => {
-                self.take_renewal(&mut next, i)?;
-                next.nodes[i].renewal.as_mut()?.taken = true;
+            Step::CommitRenewal(i) => {
+                self.commit_renewal(&mut next, i)?;
+                next.nodes[i].renewal.as_mut()?.committed = true;
             }
             Step::AnswerRenewal(i) => {
                 let renewal = next.nodes[i].renewal.take()?;
@@ -62,38 +62,38 @@
                 });
             }
             Step::LoseAnswer(i) => next.nodes[i].renewal = None,
-            Step::Beat(i, j) => {
-                let beat = self.beat(&mut next, i);
+            Step::Heartbeat(i, j) => {
+                let heartbeat = self.heartbeat(&mut next, i);
                 let now = self.clock(j, &next);
-                next.change(j, |member| member.on_heartbeat(&beat, now));
+                next.change(j, |member| member.on_heartbeat(&heartbeat, now));
             }
-            Step::BeatAll(i) => {
-                let beat = self.beat(&mut next, i);
-                for j in (0..self.count()).filter(|j| self.reaches(i, *j)) {
+            Step::HeartbeatAll(i) => {
+                let heartbeat = self.heartbeat(&mut next, i);
+                for j in (0..self.member_count()).filter(|j| self.reaches(i, *j)) {
                     let now = self.clock(j, &next);
-                    next.change(j, |member| member.on_heartbeat(&beat, now));
+                    next.change(j, |member| member.on_heartbeat(&heartbeat, now));
                 }
             }
-            Step::KeepBeat(i, j) => {
-                let beat = self.beat(&mut next, i);
-                next.late_beat = Some((j, Arc::new(beat)));
+            Step::DelayHeartbeat(i, j) => {
+                let heartbeat = self.heartbeat(&mut next, i);
+                next.delayed_heartbeat = Some((j, Arc::new(heartbeat)));
             }
-            Step::LateBeat => {
-                let (j, beat) = next.late_beat.clone()?;
+            Step::DeliverDelayedHeartbeat => {
+                let (j, heartbeat) = next.delayed_heartbeat.clone()?;
                 let now = self.clock(j, &next);
-                next.change(j, |member| member.on_heartbeat(&beat, now));
+                next.change(j, |member| member.on_heartbeat(&heartbeat, now));
             }
             Step::SendRow(i, j) => {
                 let row = Arc::clone(next.member(i).row()?);
                 let now = self.clock(j, &next);
                 next.change(j, |member| member.on_row(&row, now));
             }
-            Step::Act(i) => self.act(&mut next, i),
-            Step::ActAnswered(i) => self.act_answered(&mut next, i)?,
-            Step::Report(i) => next.report_work(i),
-            Step::Give(k) => self.give(&mut next, k),
-            Step::Start(i) => self.start_work(&mut next, i)?,
-            Step::Finish(i) => {
+            Step::Tick(i) => self.tick(&mut next, i),
+            Step::TickAnswered(i) => self.tick_answered(&mut next, i)?,
+            Step::ReportInFlight(i) => next.report_in_flight(i),
+            Step::DeliverTransfer(k) => self.deliver_transfer(&mut next, k),
+            Step::StartWork(i) => self.start_work(&mut next, i)?,
+            Step::FinishWork(i) => {
                 next.nodes[i].work.pop()?;
             }
             Step::Demand(i, n) => next.change(i, |member| member.set_demand(n)),
@@ -103,33 +103,36 @@
         Some(next)
     }
 
-    fn second(&self, world: &mut World) -> Option<()> {
-        if world.now >= self.horizon {
+    fn advance_clock(&self, state: &mut ShareState) -> Option<()> {
+        if state.now >= self.horizon {
             return None;
         }
-        world.now += 1;
-        let now = world.now;
-        for node in &mut world.nodes {
+        state.now += 1;
+        let now = state.now;
+        for node in &mut state.nodes {
             node.work.retain(|end| now < *end);
         }
         Some(())
     }
 
-    fn restart(&self, world: &mut World) -> Option<()> {
-        let i = self.count() - 1;
-        let now = self.clock(i, world);
-        world.nodes[i].lease = 1;
-        world.change(i, |member| member.set_lease(1, now, now));
+    fn restart(&self, state: &mut ShareState) -> Option<()> {
+        let i = self.member_count() - 1;
+        let now = self.clock(i, state);
+        state.nodes[i].lease = 1;
+        state.change(i, |member| member.set_lease(1, now, now));
         self.restarted.map(|_| ())
     }
 
-    pub(super) fn read(&self, world: &mut World, i: usize) {
-        let now = self.clock(i, world);
-        let row = Arc::clone(&world.row);
-        let current = |j: &usize| world.nodes[*j].lease > 0 && !self.is_replaced(*j, world);
-        let lease = |j| (self.member_id(j), world.nodes[j].lease);
-        let leases: Vec<_> = (0..self.count()).filter(current).map(lease).collect();
-        world.change(i, |member| {
+    pub(super) fn read(&self, state: &mut ShareState, i: usize) {
+        let now = self.clock(i, state);
+        let row = Arc::clone(&state.row);
+        let has_lease = |j: &usize| state.nodes[*j].lease > 0 && !self.is_superseded(*j, state);
+        let lease = |j| (self.member_id(j), state.nodes[j].lease);
+        let leases: Vec<_> = (0..self.member_count())
+            .filter(has_lease)
+            .map(lease)
+            .collect();
+        state.change(i, |member| {
             member.on_row(&row, now);
             if !self.work {
                 member.set_in_flight(Amounts::new());
@@ -140,42 +143,43 @@
         });
     }
 
-    fn take_renewal(&self, world: &mut World, i: usize) -> Option<u64> {
-        let seq = world.nodes[i].lease + 1;
-        let taken = seq <= self.lease_limit(i) && !self.is_replaced(i, world);
-        world.nodes[i].lease = seq;
-        taken.then_some(seq)
+    fn commit_renewal(&self, state: &mut ShareState, i: usize) -> Option<u64> {
+        let seq = state.nodes[i].lease + 1;
+        let accepted = seq <= self.lease_limit(i) && !self.is_superseded(i, state);
+        state.nodes[i].lease = seq;
+        accepted.then_some(seq)
     }
 
-    pub(super) fn beat(&self, world: &mut World, i: usize) -> PoolHeartbeat {
+    pub(super) fn heartbeat(&self, state: &mut ShareState, i: usize) -> PoolHeartbeat {
         if !self.work {
-            world.report_work(i);
+            state.report_in_flight(i);
         }
-        let now = self.clock(i, world);
-        let mut member = Member::clone(world.member(i));
-        let beat = member.heartbeat(now);
-        world.nodes[i].cell = Cell::new(member);
-        beat
+        let now = self.clock(i, state);
+        let mut member = Member::clone(state.member(i));
+        let heartbeat = member.heartbeat(now);
+        state.nodes[i].hashed = HashedMember::new(member);
+        heartbeat
     }
 
-    fn act(&self, world: &mut World, i: usize) {
+    fn tick(&self, state: &mut ShareState, i: usize) {
         if !self.work {
-            world.report_work(i);
+            state.report_in_flight(i);
         }
-        let now = self.clock(i, world);
+        let now = self.clock(i, state);
         let mut actions = Vec::new();
-        world.change(i, |member| actions = member.tick(now));
+        state.change(i, |member| actions = member.tick(now));
         for action in actions {
             match action {
                 Action::Propose { expect_epoch, row } => {
-                    let wins = expect_epoch == Some(world.row.epoch) && row.epoch <= self.max_epoch;
-                    if wins && !self.cut_off.contains(&i) {
-                        self.write(world, row);
+                    let commits =
+                        expect_epoch == Some(state.row.epoch) && row.epoch <= self.max_epoch;
+                    if commits && !self.cut_off.contains(&i) {
+                        self.write(state, row);
                     }
                 }
-                Action::Transfer(give) => {
-                    if world.gives.len() < GIVES_KEPT {
-                        world.gives.push(give);
+                Action::Transfer(transfer) => {
+                    if state.transfers.len() < MAX_PENDING_TRANSFERS {
+                        state.transfers.push(transfer);
                     }
                 }
                 Action::SendRow { .. } => {}
@@ -183,12 +187,12 @@
         }
     }
 
-    fn act_answered(&self, world: &mut World, i: usize) -> Option<()> {
-        let before = world.row.epoch;
-        self.act(world, i);
-        let row = Arc::clone(&world.row);
-        let now = self.clock(i, world);
-        world.change(i, |member| {
+    fn tick_answered(&self, state: &mut ShareState, i: usize) -> Option<()> {
+        let before = state.row.epoch;
+        self.tick(state, i);
+        let row = Arc::clone(&state.row);
+        let now = self.clock(i, state);
+        state.change(i, |member| {
             member.on_row(&row, now);
             if !self.work {
                 member.set_in_flight(Amounts::new());
@@ -197,29 +201,29 @@
         (row.epoch > before).then_some(())
     }
 
-    fn write(&self, world: &mut World, row: Row) {
-        let findings = verify_step(&world.row, &row, self.terms.floor_pct);
-        world.finding = findings.first().map(ToString::to_string);
-        world.row = Arc::new(row);
+    fn write(&self, state: &mut ShareState, row: Row) {
+        let errors = verify_step(&state.row, &row, self.terms.floor_pct);
+        state.row_error = errors.first().map(ToString::to_string);
+        state.row = Arc::new(row);
     }
 
-    fn give(&self, world: &mut World, k: usize) {
-        let give = world.gives[k].clone();
-        let to = (0..self.count()).find(|i| *world.member(*i).id() == give.to);
+    fn deliver_transfer(&self, state: &mut ShareState, k: usize) {
+        let transfer = state.transfers[k].clone();
+        let to = (0..self.member_count()).find(|i| *state.member(*i).id() == transfer.to);
         if let Some(i) = to {
-            let now = self.clock(i, world);
-            world.change(i, |member| member.on_transfer(&give, now));
+            let now = self.clock(i, state);
+            state.change(i, |member| member.on_transfer(&transfer, now));
         }
     }
 
-    fn start_work(&self, world: &mut World, i: usize) -> Option<()> {
-        let usable = world.member(i).usable(&resource(), self.clock(i, world));
-        let in_flight = u32::try_from(world.nodes[i].work.len()).ok()?;
-        let term = self.terms.grace.as_secs() + self.overstay;
-        if in_flight >= usable || term == 0 {
+    fn start_work(&self, state: &mut ShareState, i: usize) -> Option<()> {
+        let usable = state.member(i).usable(&resource(), self.clock(i, state));
+        let in_flight = u32::try_from(state.nodes[i].work.len()).ok()?;
+        let max_duration_s = self.terms.grace.as_secs() + self.overrun;
+        if in_flight >= usable || max_duration_s == 0 {
             return None;
         }
-        world.nodes[i].work.push(world.now + term);
+        state.nodes[i].work.push(state.now + max_duration_s);
         Some(())
     }
 }
--- a/crates/model/src/share/mod.rs
+++ b/crates/model/src/share/mod.rs
@@ -1,32 +1,34 @@
-//! Small pools under every order of events: the crate `share` in a world of its own.
+//! Model of a small pool: the state machines of the crate `share` under every order of events.
 //!
-//! The members are the daemon's own state machines. Around them stand the platform's table (the
-//! allotment row and a lease a member), the network and the work in flight. Much needs no step of its
-//! own: a message that is never delivered is lost, a member that takes no step is paused, cut off
-//! or dead, and a table that nobody reads is down. What does need one is a renewal on its way, a
-//! message kept back (which is also a doubled and an overtaken one), and work that outlives its limit.
+//! The members are the state machines that the daemon runs. The model adds the platform's table (the
+//! allotment row and one lease per member), the network and the work in flight. Many faults need no
+//! step of their own: a message that is never delivered is lost, a member that takes no step is paused,
+//! cut off or crashed, and a table that no member reads is down. Faults with a step are a renewal in
+//! flight, a delayed message (which may also be duplicated or reordered), and work that outlives its
+//! deadline.
 //!
-//! The invariant counts what each member *may* use, be it awake or not: its published limits at this
-//! time, or its work in flight where that is more. Summed over all members it stays within the
-//! capacity.
+//! The invariant counts what each member *may* use, whether it is running or paused: its published
+//! limit at this time, or its work in flight if that is more. The sum over all members stays within
+//! the capacity.
 //!
-//! `world` is the state, `step` what can happen next, `apply` what comes of it.
+//! `state` holds the model's state, `step` enumerates the possible steps, `apply` computes the
+//! successor states.
 
 mod apply;
+mod state;
 mod step;
-mod world;
 
+pub use state::ShareState;
 pub use step::Step;
-pub use world::World;
 
 use self::{
-    step::name,
-    world::{
+    state::{
         resource,
         tokens,
-        Cell,
+        HashedMember,
         Node, //
     },
+    step::name,
 };
 use crate::{
     Model,
@@ -49,54 +51,55 @@
     time::Duration, //
 };
 
-/// A small pool and what may happen to it.
+/// Configuration of a small pool and the events that may happen to it.
 #[derive(Clone, Debug)]
 pub struct ShareModel {
-    /// Members that start settled in the first row.
+    /// Members that are listed in the first row and have settled it.
     pub members: usize,
-    /// Further members, with a lease and in no row yet.
+    /// Further members, which have a lease but are not yet listed in a row.
     pub joiners: usize,
-    /// Member whose next life the last joiner is; it starts at any time, even beside the earlier.
+    /// Member of which the last joiner is the next incarnation. It starts at any time, possibly while
+    /// the earlier incarnation still runs.
     pub restarted: Option<usize>,
     /// Tokens of the one resource at the start.
     pub tokens: u32,
-    /// Other capacities that may be reported.
+    /// Further capacities that members may report.
     pub capacities: Vec<u32>,
-    /// Demands that a member, named by its index, may come to have.
+    /// Possible demands, as pairs of member index and demand.
     pub demands: Vec<(usize, u32)>,
     /// Members that never reach the platform again.
     pub cut_off: Vec<usize>,
-    /// Pairs of members between which no message arrives.
-    pub apart: Vec<(usize, usize)>,
-    /// Agreed terms; one step of time is a second.
+    /// Pairs of members that can't exchange messages.
+    pub partitioned: Vec<(usize, usize)>,
+    /// Terms of the pool; the clock advances in steps of one second.
     pub terms: Terms,
     /// Guards of the members.
     pub guards: Guards,
-    /// Steps of time in a run.
+    /// Maximum time of a run, in seconds.
     pub horizon: u64,
-    /// Last epoch that is written.
+    /// Highest epoch that is written.
     pub max_epoch: u64,
-    /// Last renewal of each member's lease; one, the first, for those not named.
+    /// Highest renewal of each member's lease; 1, the first, for members beyond the end of the list.
     pub max_lease: Vec<u64>,
-    /// Whether members send each other rows without the leases that the table holds beside them.
+    /// Whether members send each other rows, without the leases that the table holds.
     pub rows_by_peers: bool,
-    /// Whether a member may write a row some time after it read the table.
+    /// Whether a member may write a row later than it read the table.
     pub late_writes: bool,
-    /// Whether renewals may be slow or lose their answer.
+    /// Whether renewals may be delayed or lose their answer.
     pub slow_renewals: bool,
-    /// Whether a beat may be kept back and delivered later, also twice.
-    pub late_beats: bool,
-    /// Whether work is started and ends.
+    /// Whether a heartbeat may be delayed and delivered more than once.
+    pub delayed_heartbeats: bool,
+    /// Whether work starts and finishes as steps of its own.
     pub work: bool,
-    /// Seconds that work may outlive its deadline: a pause between check and send.
-    pub overstay: u64,
-    /// Whether members may stop as planned.
+    /// Seconds by which work may outlive its deadline because of a pause between check and send.
+    pub overrun: u64,
+    /// Whether members may begin a planned stop.
     pub leaving: bool,
-    /// Whether a beat reaches everybody that it can or nobody.
+    /// Whether a heartbeat reaches either all reachable members or none.
     pub broadcast: bool,
-    /// Steps taken before the search begins, to reach a state that lies deep.
+    /// Steps taken before the search begins, to start it from a deep state.
     pub prefix: Vec<Step>,
-    /// Members whose clock runs at four fifths of the others'.
+    /// Members whose clock runs at 4/5 of the rate of the others.
     pub slow_clocks: Vec<usize>,
 }
 
@@ -110,7 +113,7 @@
             capacities: Vec::new(),
             demands: Vec::new(),
             cut_off: Vec::new(),
-            apart: Vec::new(),
+            partitioned: Vec::new(),
             terms: small_terms(),
             guards: Guards::default(),
             horizon: 6,
@@ -119,9 +122,9 @@
             rows_by_peers: false,
             late_writes: false,
             slow_renewals: false,
-            late_beats: false,
+            delayed_heartbeats: false,
             work: false,
-            overstay: 0,
+            overrun: 0,
             leaving: false,
             broadcast: false,
             prefix: Vec::new(),
@@ -130,7 +133,7 @@
     }
 }
 
-/// Terms of a few seconds, so that all of them run out within a small search.
+/// Terms of a few seconds, so that each expires within a small search.
 pub fn small_terms() -> Terms {
     Terms {
         short_ttl: Duration::from_secs(2),
@@ -146,53 +149,54 @@
 }
 
 impl ShareModel {
-    /// Tokens that each member may be using in `world`.
-    pub fn uses(&self, world: &World) -> Vec<u32> {
-        let uses = (0..self.count()).map(|i| world.use_of(i, self.clock(i, world)));
-        uses.collect()
+    /// Tokens that each member may be using in `state`.
+    pub fn usage(&self, state: &ShareState) -> Vec<u32> {
+        let usage = (0..self.member_count()).map(|i| state.usage_of(i, self.clock(i, state)));
+        usage.collect()
     }
 
-    /// Capacity that the uses have to stay within.
+    /// Capacity that the total usage must not exceed.
     ///
-    /// A fall counts from when somebody has settled the row that tells it, as the others gave way then,
-    /// and has no more in flight itself. Before, work that started under the old capacity goes on.
-    fn capacity_in_force(&self, world: &World) -> u32 {
-        let members = || (0..self.count()).map(|i| world.member(i));
+    /// A decrease takes effect once a member has settled the row that announces it, because the others
+    /// have released their tokens by then, and has itself no excess work in flight. Until then, work
+    /// that started under the old capacity continues.
+    fn capacity_in_force(&self, state: &ShareState) -> u32 {
+        let members = || (0..self.member_count()).map(|i| state.member(i));
         let last = members().map(Member::epoch).max();
         let in_force = |member: &&Member| {
             Some(member.epoch()) == last && member.is_settled() && member.acked()
         };
         let settled = members().find(in_force);
         let row = settled.and_then(Member::row);
-        let told = row.and_then(|row| row.resources.get(&resource()).copied());
-        let most = self.capacities.iter().copied().chain([self.tokens]).max();
-        told.unwrap_or(most.unwrap_or(0))
+        let announced = row.and_then(|row| row.resources.get(&resource()).copied());
+        let max = self.capacities.iter().copied().chain([self.tokens]).max();
+        announced.unwrap_or(max.unwrap_or(0))
     }
 
     fn member_id(&self, index: usize) -> MemberId {
-        let earlier = self.restarted.filter(|_| index + 1 == self.count());
+        let earlier = self.restarted.filter(|_| index + 1 == self.member_count());
         MemberId {
             instance: name(earlier.unwrap_or(index)).to_string().into(),
             incarnation: if earlier.is_some() { 2 } else { 1 },
         }
     }
 
-    /// Whether the lease of member `index` has given way to one of its next life.
-    fn is_replaced(&self, index: usize, world: &World) -> bool {
-        let next = world.nodes.last().is_some_and(|node| node.lease > 0);
+    /// Whether the lease of member `index` has been superseded by that of its next incarnation.
+    fn is_superseded(&self, index: usize, state: &ShareState) -> bool {
+        let next = state.nodes.last().is_some_and(|node| node.lease > 0);
         next && self.restarted == Some(index)
     }
 
-    fn count(&self) -> usize {
+    fn member_count(&self) -> usize {
         self.members + self.joiners
     }
 
-    /// Reading of the clock of member `index`.
-    fn clock(&self, index: usize, world: &World) -> Now {
+    /// Time on the clock of member `index`.
+    fn clock(&self, index: usize, state: &ShareState) -> Now {
         let seconds = if self.slow_clocks.contains(&index) {
-            Duration::from_secs(world.now) * 4 / 5
+            Duration::from_secs(state.now) * 4 / 5
         } else {
-            Duration::from_secs(world.now)
+            Duration::from_secs(state.now)
         };
         Duration::from_secs(1) + seconds
     }
@@ -202,10 +206,12 @@
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        from != to && !self.apart.contains(&(from, to)) && !self.apart.contains(&(to, from))
+        from != to
+            && !self.partitioned.contains(&(from, to))
+            && !self.partitioned.contains(&(to, from))
     }
 
-    /// The first row, as the builder makes it.
+    /// First row, as built by [`plan`].
     fn first_row(&self) -> Row {
         let member = |_| PlanMember {
             lease_seq: 1,
@@ -218,35 +224,35 @@
         plan(None, &tokens(self.tokens), &members, &self.terms)
     }
 
-    /// One run of `length` steps, each picked by the next number of `choices`.
+    /// Takes a random walk of `length` steps, each chosen by the next number from `choices`.
     ///
-    /// A second passes after about every `pace` steps: how often decides whether leases are renewed
-    /// in time or lapse.
+    /// The clock advances by a second about every `steps_per_second` steps, which decides whether
+    /// leases are renewed in time or lapse.
     ///
     /// # Errors
     ///
-    /// The run, if it breaks the invariant.
-    pub fn walk(
+    /// The trace of the walk, if it violates the invariant.
+    pub fn random_walk(
         &self,
         length: usize,
-        pace: usize,
+        steps_per_second: usize,
         mut choices: impl FnMut() -> usize,
     ) -> Result<(), Trace> {
-        let mut world = self.start();
+        let mut state = self.start();
         let mut taken = Vec::new();
         for _ in 0..length {
-            let steps = self.steps(&world);
-            let step = if choices() % pace == 0 {
-                &Step::Second
+            let steps = self.steps(&state);
+            let step = if choices() % steps_per_second == 0 {
+                &Step::AdvanceClock
             } else {
                 &steps[choices() % steps.len()]
             };
-            let Some(next) = self.apply(&world, step) else {
+            let Some(next) = self.apply(&state, step) else {
                 continue;
             };
-            world = next;
+            state = next;
             taken.push(step.to_string());
-            if let Err(violation) = self.check(&world) {
+            if let Err(violation) = self.check(&state) {
                 let steps = taken;
                 return Err(Trace { steps, violation });
             }
@@ -256,73 +262,76 @@
 }
 
 impl Model for ShareModel {
-    type State = World;
+    type State = ShareState;
     type Step = Step;
 
-    fn start(&self) -> World {
+    fn start(&self) -> ShareState {
         let pool = share::slots_pool(&"s".into(), &"r".into());
         let node = |i| {
             let mut member =
                 Member::with_guards(self.member_id(i), pool.clone(), self.terms, self.guards);
             member.set_capacity(tokens(self.tokens));
-            let starts = self.restarted.is_none() || i + 1 < self.count();
+            let starts = self.restarted.is_none() || i + 1 < self.member_count();
             if starts {
                 member.set_lease(1, Duration::from_secs(1), Duration::from_secs(1));
             }
             Node {
-                cell: Cell::new(member),
+                hashed: HashedMember::new(member),
                 lease: u64::from(starts),
                 renewal: None,
                 work: Vec::new(),
             }
         };
-        let mut world = World {
+        let mut state = ShareState {
             now: 0,
             row: Arc::new(self.first_row()),
-            nodes: (0..self.count()).map(node).collect(),
-            late_beat: None,
-            gives: Vec::new(),
-            finding: None,
+            nodes: (0..self.member_count()).map(node).collect(),
+            delayed_heartbeat: None,
+            transfers: Vec::new(),
+            row_error: None,
         };
         for i in 0..self.members {
-            self.read(&mut world, i);
+            self.read(&mut state, i);
         }
         for _ in 0..2 {
             for i in 0..self.members {
-                world.report_work(i);
-                let beat = self.beat(&mut world, i);
+                state.report_in_flight(i);
+                let heartbeat = self.heartbeat(&mut state, i);
                 for j in (0..self.members).filter(|j| *j != i) {
-                    let now = self.clock(j, &world);
-                    world.change(j, |member| member.on_heartbeat(&beat, now));
+                    let now = self.clock(j, &state);
+                    state.change(j, |member| member.on_heartbeat(&heartbeat, now));
                 }
             }
         }
         for step in &self.prefix {
-            let next = self.apply(&world, step);
-            world = next.unwrap_or_else(|| panic!("`{step}` is not possible"));
+            let next = self.apply(&state, step);
+            state = next.unwrap_or_else(|| panic!("step `{step}` of the prefix is not possible"));
         }
-        world
+        state
     }
 
-    fn transitions(&self, world: &World) -> Vec<(Step, World)> {
-        let steps = self.steps(world).into_iter();
-        let next = steps.filter_map(|step| self.apply(world, &step).map(|next| (step, next)));
-        next.filter(|(_, next)| next != world).collect()
+    fn transitions(&self, state: &ShareState) -> Vec<(Step, ShareState)> {
+        let steps = self.steps(state).into_iter();
+        let next = steps.filter_map(|step| self.apply(state, &step).map(|next| (step, next)));
+        next.filter(|(_, next)| next != state).collect()
     }
 
-    fn check(&self, world: &World) -> Result<(), String> {
-        if let Some(finding) = &world.finding {
-            return Err(format!("the row written: {finding}"));
+    fn check(&self, state: &ShareState) -> Result<(), String> {
+        if let Some(row_error) = &state.row_error {
+            return Err(format!("invalid row written: {row_error}"));
         }
-        let uses = self.uses(world);
-        let capacity = self.capacity_in_force(world);
-        if uses.iter().sum::<u32>() <= capacity {
+        let usage = self.usage(state);
+        let capacity = self.capacity_in_force(state);
+        if usage.iter().sum::<u32>() <= capacity {
             return Ok(());
         }
-        let each = uses.iter().enumerate();
+        let each = usage.iter().enumerate();
         let each: Vec<String> = each
             .map(|(i, n)| format!("{} may use {n}", name(i)))
             .collect();
-        Err(format!("{} of {capacity} tokens", each.join(", ")))
+        Err(format!(
+            "usage exceeds the capacity of {capacity} tokens: {}",
+            each.join(", ")
+        ))
     }
 }
--- a/crates/model/src/spec/accept.rs
+++ b/crates/model/src/spec/accept.rs
@@ -1,8 +1,8 @@
-//! Accepts that race and repeat.
+//! Model of accepts that race and are repeated.
 //!
-//! [`AcceptModel`] runs several accepts through a platform that refuses, loses and delays. What
-//! must hold: versions follow each other without gap or fork, a head comes after its objects, an
-//! accept takes effect at most once, and both "accepted" and "not accepted" are true for good.
+//! [`AcceptModel`] runs several accepts against a platform that may refuse, lose or delay requests.
+//! Invariant: versions are consecutive without a fork, a head is committed after its objects, an
+//! accept takes effect at most once, and the outcomes "accepted" and "not accepted" stay true.
 
 use super::{
     AcceptPlatform,
@@ -27,43 +27,43 @@
 };
 use std::collections::BTreeSet;
 
-/// An operator's request: the accept's name and the version that it changes.
+/// An operator's request: the id of the accept and the version that it changes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct AcceptRequest {
-    /// Name of the accept; a repeat has the same.
+    /// Id of the accept; a repeated request has the same id.
     pub id: u128,
-    /// Version that it changes.
+    /// Version that the accept changes.
     pub base: u64,
 }
 
-/// Accepts that run at the same time.
+/// Configuration of one search: accepts that run concurrently.
 #[derive(Clone, Debug)]
 pub struct AcceptModel {
-    /// Guards of all.
+    /// Guards of all accepts.
     pub guards: Guards,
-    /// Requests, each at some daemon.
+    /// Requests, each handled by some daemon.
     pub requests: Vec<AcceptRequest>,
-    /// Requests to the platform that are refused, lost or late, together.
+    /// Budget for refused, lost and delayed requests to the platform together.
     pub faults: u8,
 }
 
-/// Commit on its way, and whose.
+/// Commit in flight, with the index of its accept.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Txn {
+struct PendingCommit {
     runner: usize,
     checks: Vec<Check>,
     writes: Vec<Write>,
 }
 
-/// State of the platform and of the accepts.
+/// State of the platform and the accepts.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AcceptState {
     faults_left: u8,
     platform: AcceptPlatform,
-    late: Vec<Txn>,
+    late_commits: Vec<PendingCommit>,
     runners: Vec<AcceptRunner>,
-    /// Whose commits made the heads, in their order.
-    makers: Vec<usize>,
+    /// Index of the accept that committed each head, in the order of the heads.
+    committers: Vec<usize>,
 }
 
 impl AcceptState {
@@ -73,9 +73,10 @@
         Some(after)
     }
 
-    fn commit(&mut self, txn: &Txn) -> CommitAnswer {
-        let answer = self.platform.commit(&txn.checks, &txn.writes);
-        self.makers.resize(self.platform.heads().len(), txn.runner);
+    fn commit(&mut self, commit: &PendingCommit) -> CommitAnswer {
+        let answer = self.platform.commit(&commit.checks, &commit.writes);
+        self.committers
+            .resize(self.platform.heads().len(), commit.runner);
         answer
     }
 
@@ -84,23 +85,23 @@
         self
     }
 
-    /// Whether what the operator of this request was told is true.
-    fn is_told_true(&self, index: usize, outcome: &AcceptOutcome) -> bool {
+    /// Whether the outcome that was reported for the request at `index` is true.
+    fn is_outcome_true(&self, index: usize, outcome: &AcceptOutcome) -> bool {
         let proposal = self.runners[index].accept.proposal();
         match outcome {
             AcceptOutcome::Accepted(head) | AcceptOutcome::AlreadyAccepted(head) => {
                 self.platform.heads().contains(head)
             }
-            AcceptOutcome::NotAccepted => !self.makers.contains(&index),
-            AcceptOutcome::Raced { .. } => self.platform.heads().iter().all(|made| {
-                (made.accept_id, made.version) != (proposal.accept_id, proposal.base + 1)
+            AcceptOutcome::NotAccepted => !self.committers.contains(&index),
+            AcceptOutcome::Raced { .. } => self.platform.heads().iter().all(|head| {
+                (head.accept_id, head.version) != (proposal.accept_id, proposal.base + 1)
             }),
             AcceptOutcome::Unknown => true,
         }
     }
 }
 
-fn tiny_proposal(request: AcceptRequest) -> Proposal {
+fn small_proposal(request: AcceptRequest) -> Proposal {
     let bytes = Bytes::from(format!("body {}", request.id));
     let body = Digest::of(&bytes);
     Proposal {
@@ -115,7 +116,7 @@
 
 type AcceptNext = Vec<(VersionStep, AcceptState)>;
 
-fn accept_step(state: &AcceptState, index: usize, next: &mut AcceptNext) {
+fn request_steps(state: &AcceptState, index: usize, next: &mut AcceptNext) {
     let mut push = |what: &str, after: AcceptState| {
         let id = after.runners[index].accept.proposal().accept_id.0;
         let step = VersionStep(format!("request {index} (accept {id}) {what}"));
@@ -141,38 +142,42 @@
             }
         }
         AcceptAction::Commit { checks, writes } => {
-            let txn = Txn {
+            let commit = PendingCommit {
                 runner: index,
                 checks,
                 writes,
             };
-            commit_step(state, &txn, &mut push);
+            commit_steps(state, &commit, &mut push);
         }
     }
 }
 
-fn commit_step(state: &AcceptState, txn: &Txn, push: &mut impl FnMut(&str, AcceptState)) {
-    let index = txn.runner;
+fn commit_steps(
+    state: &AcceptState,
+    commit: &PendingCommit,
+    push: &mut impl FnMut(&str, AcceptState),
+) {
+    let index = commit.runner;
     let event = |answer| AcceptEvent::Commit(answer);
     let mut after = state.clone();
-    let answer = after.commit(txn);
+    let answer = after.commit(commit);
     let what = match answer {
         CommitAnswer::Committed => "commits",
-        CommitAnswer::Conflict => "finds another head",
+        CommitAnswer::Conflict => "conflicts with another head",
     };
     let lossy = after.with_fault();
     push(what, after.deliver(index, event(Answer::Done(answer))));
     if let Some(lossy) = lossy {
-        let what = "has its commit carried out, the answer is lost";
+        let what = "commits, the answer is lost";
         push(what, lossy.deliver(index, event(Answer::Unknown)));
     }
     if let Some(down) = state.with_fault() {
         let mut late = down.clone();
         let what = "has its commit refused";
         push(what, down.deliver(index, event(Answer::NotDone)));
-        late.late.push(txn.clone());
-        late.late.sort();
-        let what = "has its commit under way, the answer is lost";
+        late.late_commits.push(commit.clone());
+        late.late_commits.sort();
+        let what = "has its commit in flight, the answer is lost";
         push(what, late.deliver(index, event(Answer::Unknown)));
     }
 }
@@ -183,27 +188,27 @@
 
     fn start(&self) -> AcceptState {
         let runner =
-            |request: &AcceptRequest| AcceptRunner::start(tiny_proposal(*request), self.guards);
+            |request: &AcceptRequest| AcceptRunner::start(small_proposal(*request), self.guards);
         AcceptState {
             faults_left: self.faults,
             platform: AcceptPlatform::default(),
-            late: Vec::new(),
+            late_commits: Vec::new(),
             runners: self.requests.iter().map(runner).collect(),
-            makers: Vec::new(),
+            committers: Vec::new(),
         }
     }
 
     fn transitions(&self, state: &AcceptState) -> AcceptNext {
         let mut next = Vec::new();
-        for index in 0..state.late.len() {
+        for index in 0..state.late_commits.len() {
             let mut after = state.clone();
-            let txn = after.late.remove(index);
-            after.commit(&txn);
-            let step = format!("a late commit of request {} arrives", txn.runner);
+            let commit = after.late_commits.remove(index);
+            after.commit(&commit);
+            let step = format!("a late commit of request {} arrives", commit.runner);
             next.push((VersionStep(step), after));
         }
         for index in 0..state.runners.len() {
-            accept_step(state, index, &mut next);
+            request_steps(state, index, &mut next);
         }
         next
     }
@@ -217,8 +222,10 @@
         }
         for (index, runner) in state.runners.iter().enumerate() {
             let outcome = runner.accept.outcome();
-            if outcome.is_some_and(|outcome| !state.is_told_true(index, outcome)) {
-                return Err(format!("request {index} was told {outcome:?}"));
+            if outcome.is_some_and(|outcome| !state.is_outcome_true(index, outcome)) {
+                return Err(format!(
+                    "request {index} got the outcome {outcome:?}, which is not true"
+                ));
             }
         }
         Ok(())
--- a/crates/model/src/spec/mod.rs
+++ b/crates/model/src/spec/mod.rs
@@ -1,4 +1,4 @@
-//! Versions: operators who race and repeat, and daemons that adopt what they hear of.
+//! Models of configuration versions: operators that accept them, and daemons that adopt them.
 
 mod accept;
 mod adopt;
@@ -20,7 +20,7 @@
 
 use std::fmt;
 
-/// One thing that happens, in words.
+/// Transition, as the line of a trace.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionStep(String);
 
--- a/crates/model/src/spec/platform.rs
+++ b/crates/model/src/spec/platform.rs
@@ -1,5 +1,5 @@
-//! The platform as accepts use it, and an accept with its next request; the tests of `spec` drive
-//! both by hand.
+//! The platform as used by accepts, and an accept with its pending request. The tests of `spec` also
+//! step through both.
 
 use bytes::Bytes;
 use spec::{
@@ -18,35 +18,35 @@
 };
 use std::collections::BTreeMap;
 
-/// Objects by digest, and rows that change by compare-and-set.
+/// In-memory platform: objects by digest, and rows that change by compare-and-set.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct AcceptPlatform {
     objects: BTreeMap<Digest, Bytes>,
     rows: BTreeMap<RowKey, RowValue>,
     commits: u64,
-    /// Heads in the order in which they came into force.
+    /// Heads in the order in which they were committed.
     heads: Vec<Head>,
-    /// Whether a head came into force before its object was stored.
-    headless: bool,
+    /// Whether a head was committed before its object was stored.
+    head_before_object: bool,
 }
 
 impl AcceptPlatform {
-    /// Keeps an object.
+    /// Stores an object.
     pub fn store(&mut self, digest: Digest, bytes: Bytes) {
         self.objects.insert(digest, bytes);
     }
 
-    /// An object, if it is kept.
+    /// Returns an object, if it is stored.
     pub fn object(&self, digest: &Digest) -> Option<&Bytes> {
         self.objects.get(digest)
     }
 
-    /// Rows as they are now.
+    /// Returns the current rows of `keys`.
     pub fn read(&self, keys: &[RowKey]) -> Vec<Option<RowValue>> {
         keys.iter().map(|key| self.rows.get(key).cloned()).collect()
     }
 
-    /// Carries out a transaction, if its checks hold.
+    /// Applies the writes if all checks hold.
     pub fn commit(&mut self, checks: &[Check], writes: &[Write]) -> CommitAnswer {
         let holds = |check: &Check| {
             let row = self.rows.get(&check.key);
@@ -69,31 +69,31 @@
         };
         self.rows.insert(write.key, row);
         if write.key == RowKey::Head {
-            let head: Head = write.value.parse().expect("only heads are written");
-            self.headless |= !self.objects.contains_key(&head.digest);
+            let head: Head = write.value.parse().expect("the row contains a valid head");
+            self.head_before_object |= !self.objects.contains_key(&head.digest);
             self.heads.push(head);
         }
     }
 
-    /// Heads in the order in which they came into force.
+    /// Heads in the order in which they were committed.
     pub fn heads(&self) -> &[Head] {
         &self.heads
     }
 
-    /// Checks that versions follow each other and that each head came after its object.
+    /// Checks that versions are consecutive and that each head was committed after its object.
     ///
     /// # Errors
     ///
-    /// What does not hold.
+    /// A description of the violation.
     pub fn check(&self) -> Result<(), String> {
         for (version, head) in (1..).zip(&self.heads) {
             if head.version != version {
                 let found = head.version;
                 return Err(format!(
-                    "the versions don't follow each other: {found} for {version}"
+                    "the versions are not consecutive: {found} instead of {version}"
                 ));
             }
-            if !self.objects.contains_key(&head.digest) || self.headless {
+            if !self.objects.contains_key(&head.digest) || self.head_before_object {
                 return Err(format!(
                     "the head of version {version} names an object that isn't stored"
                 ));
@@ -103,12 +103,12 @@
     }
 }
 
-/// An accept and what it does next.
+/// An accept and its pending action.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AcceptRunner {
     /// The accept.
     pub accept: Accept,
-    /// Its next request, or its end.
+    /// Its next request, or its outcome.
     pub action: AcceptAction,
 }
 
@@ -119,13 +119,13 @@
         Self { accept, action }
     }
 
-    /// Gives it the answer to its request.
+    /// Delivers the answer to its request and stores the next action.
     ///
     /// # Panics
     ///
-    /// The accept asked for another answer.
+    /// Panics if `event` is not an answer to the pending request.
     pub fn deliver(&mut self, event: AcceptEvent) {
         let action = self.accept.handle(event);
-        self.action = action.expect("the answer was asked for");
+        self.action = action.expect("the event answers the pending request");
     }
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,40 +1,43 @@
-//! How the tests of filings, members and versions run a search and judge it.
+//! Assertions on searches, and macros that generate one test per search.
 
 use model::{
     explore,
     Model, //
 };
 
-const LIMIT_STATES: usize = 3_000_000;
+const MAX_STATES: usize = 3_000_000;
 
-/// Walks all states; fails on a counterexample or if some were left out.
-pub(crate) fn search_holds<M: Model>(name: &str, model: &M) {
-    let seen = explore(model, LIMIT_STATES);
-    println!("{name}: {seen}");
-    assert!(seen.complete, "{name} left states out, or found: {seen}");
+/// Asserts that the search visits every state and finds no counterexample.
+pub(crate) fn assert_holds<M: Model>(name: &str, model: &M) {
+    let found = explore(model, MAX_STATES);
+    println!("{name}: {found}");
+    assert!(
+        found.complete,
+        "{name}: the search is partial or found a counterexample: {found}"
+    );
 }
 
-/// Walks until the counterexample that a missing guard must have.
-pub(crate) fn search_breaks<M: Model>(name: &str, model: &M, violation: &str) {
-    let seen = explore(model, LIMIT_STATES);
-    println!("{name}: {seen}");
-    let trace = seen
+/// Asserts that the search finds a counterexample whose violation contains `violation`.
+pub(crate) fn assert_violated<M: Model>(name: &str, model: &M, violation: &str) {
+    let found = explore(model, MAX_STATES);
+    println!("{name}: {found}");
+    let trace = found
         .counterexample
-        .expect("the search finds the seeded fault");
+        .expect("the search finds a counterexample with the guard off");
     assert!(trace.violation.contains(violation), "{name}: {trace}");
 }
 
-/// Names a search for each model with all guards on.
+/// Generates a test for each model, which must hold with all guards on.
 macro_rules! holds {
     ($($name:ident: $model:expr;)*) => {
         $(#[test]
         fn $name() {
-            crate::common::search_holds(stringify!($name), &($model)(Guards::default()));
+            crate::common::assert_holds(stringify!($name), &($model)(Guards::default()));
         })*
     };
 }
 
-/// Names a search for each model with one guard off, and what it must find.
+/// Generates a test for each model with one guard off, and the violation that it must find.
 macro_rules! breaks {
     ($($(#[$doc:meta])* $name:ident: $model:expr, $guard:ident, $violation:literal;)*) => {
         $($(#[$doc])*
@@ -42,7 +45,7 @@
         fn $name() {
             let mut guards = Guards::default();
             guards.$guard = false;
-            crate::common::search_breaks(stringify!($name), &($model)(guards), $violation);
+            crate::common::assert_violated(stringify!($name), &($model)(guards), $violation);
         })*
     };
 }
--- a/crates/model/tests/member.rs
+++ b/crates/model/tests/member.rs
@@ -1,4 +1,5 @@
-//! Searches of leases and joins: all guards on finds nothing, each guard off is found.
+//! Searches of leases and joins: with all guards on the invariant holds; with any one guard off the
+//! search finds a counterexample.
 
 mod common;
 
@@ -29,23 +30,23 @@
 }
 
 holds! {
-    a_lease_lapses_for_its_holder_first: lease;
+    a_lease_lapses_first_for_its_holder: lease;
     each_process_gets_its_own_incarnation: join;
 }
 
 breaks! {
-    /// Symptom: two instances use one slot. The answer to a renewal was slow; the holder counted
-    /// its lease from the answer, others from the row that they had seen long before.
+    /// Two instances use one slot: the answer to a renewal is slow, and the holder counts its lease
+    /// from the answer, but others from the row, which they saw long before.
     a_lease_counted_from_the_answer: lease, count_from_send, "seen lapse";
-    /// Symptom: as above, on instances whose clocks run at different speeds.
+    /// As above, on instances whose clocks run at different rates.
     a_lease_without_margin_for_drift: lease, drift, "seen lapse";
-    /// Symptom: as above. The observer couldn't read the table for a while, and took its own
-    /// silence for the holder's.
-    a_lapse_judged_without_a_read: lease, fresh_read, "seen lapse";
-    /// Symptom: as above. The holder was paused past its lapse; its renewal landed afterwards, and
-    /// it went on with what others had taken meanwhile.
-    a_gap_in_a_lease_not_noticed: lease, count_gaps, "seen lapse";
-    /// Symptom: tickets of one process run at another. Both started with one name, and one took
-    /// the incarnation without regard to the row.
-    an_incarnation_taken_without_condition: join, compare_and_set, "one incarnation";
+    /// As above: the observer can't read the table for a while, and takes its own missing reads for
+    /// missing renewals of the holder.
+    a_lapse_concluded_without_a_read: lease, fresh_read, "seen lapse";
+    /// As above: the holder is paused past its lapse, its renewal commits afterwards, and it
+    /// continues to use what others have taken meanwhile.
+    a_gap_in_a_lease_not_counted: lease, count_gaps, "seen lapse";
+    /// Tickets of one process run at another: both start with one name, and one takes the incarnation
+    /// without a condition on the row.
+    an_incarnation_taken_unconditionally: join, compare_and_set, "the same incarnation";
 }
--- a/crates/model/tests/picture.rs
+++ b/crates/model/tests/picture.rs
@@ -1,4 +1,5 @@
-//! Searches of pictures: all guards on finds nothing, each guard off is found.
+//! Searches of routing views: with all guards on the invariant holds; with any one guard off the
+//! search finds a counterexample.
 
 mod common;
 
@@ -6,12 +7,12 @@
     breaks,
     holds, //
 };
-use model::PictureModel;
+use model::RoutingViewModel;
 use picture::Guards;
 
 /// Two entries, four rows of one upstream, two messages.
-fn pictures(guards: Guards) -> PictureModel {
-    PictureModel {
+fn two_entries(guards: Guards) -> RoutingViewModel {
+    RoutingViewModel {
         guards,
         rows: 4,
         messages: 2,
@@ -20,29 +21,29 @@
     }
 }
 
-/// The same with one message, and an entry that is started anew.
-fn restarted(guards: Guards) -> PictureModel {
-    PictureModel {
+/// The same with one message and a restart of an entry.
+fn restarted(guards: Guards) -> RoutingViewModel {
+    RoutingViewModel {
         messages: 1,
         restarts: 1,
         ticks: 2,
-        ..pictures(guards)
+        ..two_entries(guards)
     }
 }
 
 holds! {
-    what_is_gone_stays_gone_until_it_is_listed_anew: pictures;
-    what_is_gone_stays_gone_for_who_starts_anew: restarted;
+    closed_upstream_stays_closed_until_listed_again: two_entries;
+    closed_upstream_stays_closed_after_a_restart: restarted;
 }
 
 breaks! {
-    /// Symptom: an upstream that left gets work. A message of an entry that had not heard of it yet
+    /// An upstream that has left gets work: an update of an entry that had not read the removal yet
     /// arrives late.
-    an_older_statement_that_counts: pictures, versions, "sends to it";
-    /// Symptom: as above, at all entries at once. One entry, which the store served again just then,
-    /// doubts the removal and tells its picture.
-    a_removal_in_doubt_told_as_a_listing: pictures, unconfirmed_removals, "sends to it";
-    /// Symptom: as above, at a process that has just started: it reads the table, in which the row is
-    /// missing, and then hears of it from an entry that is behind.
-    an_unknown_upstream_taken_from_an_entry_behind: restarted, read_position, "has it open";
+    an_older_update_applied: two_entries, versions, "sends to it";
+    /// As above, at all entries at once: one entry, which has just reached the store again, treats the
+    /// removal as unconfirmed and sends its view.
+    an_unconfirmed_removal_sent_as_a_listing: two_entries, unconfirmed_removals, "sends to it";
+    /// As above, at a process that has just started: it reads the table, in which the row is missing,
+    /// and then receives the row from an entry whose view is stale.
+    an_unknown_upstream_taken_from_a_stale_entry: restarted, read_position, "has it open";
 }
--- a/crates/model/tests/share.rs
+++ b/crates/model/tests/share.rs
@@ -1,13 +1,13 @@
-//! Searches of small pools: with every guard on no run breaks the invariant, and with one off a run
-//! does and is told.
+//! Searches of small pools: with all guards on no state violates the invariant; with any one guard off
+//! the search finds a counterexample.
 
 use model::{
     explore,
     small_terms,
     Model,
     ShareModel,
-    ShareStep,
-    ShareWorld, //
+    ShareState,
+    ShareStep, //
 };
 use share::{
     Guards,
@@ -18,10 +18,10 @@
     Instant, //
 };
 
-/// States of a search before it gives up; no instance here may come near it.
-const LIMIT_STATES: usize = 400_000;
+/// Limit of each search; all instances here stay well below it.
+const MAX_STATES: usize = 400_000;
 
-/// A pool without promises: the leases and floors alone.
+/// A pool without promises: only leases and floors.
 fn plain() -> ShareModel {
     ShareModel {
         terms: Terms {
@@ -32,27 +32,27 @@
     }
 }
 
-/// Searches `model` with all guards and with `off`; the first must be silent, the second must not.
+/// Asserts that `model` holds with all guards on, and that the guards `off` lead to a counterexample.
 fn compare(name: &str, model: &ShareModel, off: Guards) {
     let started = Instant::now();
-    let whole = explore(model, LIMIT_STATES);
-    println!("{name}: {whole} ({:?})", started.elapsed());
+    let guarded = explore(model, MAX_STATES);
+    println!("{name}: {guarded} ({:?})", started.elapsed());
     let started = Instant::now();
     let mutant = ShareModel {
         guards: off,
         ..model.clone()
     };
-    let broken = explore(&mutant, LIMIT_STATES);
+    let broken = explore(&mutant, MAX_STATES);
     println!("{name}, guard off: {broken} ({:?})", started.elapsed());
-    assert!(whole.counterexample.is_none(), "{whole}");
-    assert!(whole.complete, "{whole}");
+    assert!(guarded.counterexample.is_none(), "{guarded}");
+    assert!(guarded.complete, "{guarded}");
     assert!(
         broken.counterexample.is_some(),
-        "{name}: the search found nothing"
+        "{name}: no counterexample with the guard off"
     );
 }
 
-/// Names each guard with the instance that shows what it is for.
+/// Generates a test for each guard, with an instance that violates the invariant without it.
 macro_rules! guards {
     ($($guard:ident: $model:expr;)*) => {$(
         #[test]
@@ -74,37 +74,37 @@
     listed_lease: ShareModel { max_lease: vec![2, 2], rows_by_peers: true, late_writes: true, horizon: 2, ..plain() };
     floor_bound: ShareModel { demands: vec![(1, 5)], tokens: 6, max_lease: vec![1, 2], horizon: 3, max_epoch: 2, ..plain() };
     superseded_from_first_seen: restarted();
-    witness_since: newcomers_alone();
+    witness_since: joiners_alone();
     promise_kept: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..ShareModel::default() };
-    promise_from_request: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], late_beats: true, horizon: 3, max_epoch: 2, ..ShareModel::default() };
+    promise_from_request: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], delayed_heartbeats: true, horizon: 3, max_epoch: 2, ..ShareModel::default() };
     promise_same_epoch: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..ShareModel::default() };
-    clip_on_adopt: jump_over_an_epoch();
+    clip_on_adopt: skipped_epoch();
     transfer_once: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 1, max_epoch: 1, ..plain() };
     transfer_same_epoch: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 2, ..plain() };
     transfer_stops_first: ShareModel { demands: vec![(0, 1), (1, 3)], horizon: 0, max_epoch: 1, work: true, terms: Terms { grace: Duration::from_secs(2), ..plain().terms }, ..plain() };
-    grace: reclaimed_beside_work();
+    grace: reclaim_during_work();
     drift: ShareModel { horizon: 6, max_lease: vec![1, 2], max_epoch: 2, slow_clocks: vec![0], terms: Terms { drift_pct: 25, short_ttl: Duration::from_secs(4), long_ttl: Duration::from_secs(10), ..plain().terms }, ..plain() };
 }
 
-/// Member a may go on beside its own next life, which only the table hears.
+/// Member a may continue beside its next incarnation, which reaches only the table.
 fn restarted() -> ShareModel {
-    use ShareStep::{Renew, Second};
+    use ShareStep::{AdvanceClock, Renew};
     let (a, b, next) = (0, 1, 2);
     ShareModel {
         joiners: 1,
         restarted: Some(a),
-        apart: vec![(a, next), (b, next)],
+        partitioned: vec![(a, next), (b, next)],
         max_lease: vec![2, 2],
         horizon: 3,
         max_epoch: 2,
-        prefix: vec![Second, Renew(b)],
+        prefix: vec![AdvanceClock, Renew(b)],
         ..plain()
     }
 }
 
-/// Work of member a outlives its lease, and member b waits for the lapse.
-fn reclaimed_beside_work() -> ShareModel {
-    use ShareStep::{Renew, Second, Start};
+/// Work of member a outlives its lease while member b waits for the lapse.
+fn reclaim_during_work() -> ShareModel {
+    use ShareStep::{AdvanceClock, Renew, StartWork};
     let (a, b) = (0, 1);
     ShareModel {
         max_lease: vec![1, 4],
@@ -115,75 +115,89 @@
             grace: Duration::from_secs(2),
             ..plain().terms
         },
-        prefix: vec![Second, Start(a), Start(a), Renew(b), Second, Renew(b)],
+        prefix: vec![
+            AdvanceClock,
+            StartWork(a),
+            StartWork(a),
+            Renew(b),
+            AdvanceClock,
+            Renew(b),
+        ],
         ..plain()
     }
 }
 
-/// Two newcomers and the table, without the one member that has everything.
-fn newcomers_alone() -> ShareModel {
-    use ShareStep::{Read, Renew, Second};
+/// Two joiners and the table, cut off from the one member, which holds all tokens.
+fn joiners_alone() -> ShareModel {
+    use ShareStep::{AdvanceClock, Read, Renew};
     let (b, c) = (1, 2);
     ShareModel {
         members: 1,
         joiners: 2,
         cut_off: vec![0],
-        apart: vec![(0, b), (0, c)],
+        partitioned: vec![(0, b), (0, c)],
         max_lease: vec![1, 2, 2],
         horizon: 3,
-        prefix: vec![Read(b), Read(c), Second, Renew(b), Renew(c), Second],
+        prefix: vec![
+            Read(b),
+            Read(c),
+            AdvanceClock,
+            Renew(b),
+            Renew(c),
+            AdvanceClock,
+        ],
         ..ShareModel::default()
     }
 }
 
-/// Member a holds on by promises while an epoch goes by that it never sees.
-fn jump_over_an_epoch() -> ShareModel {
-    use ShareStep::{Act, Beat, Demand, Read, Renew, Second};
+/// Member a keeps its allotment by promises and skips an epoch that it never sees.
+fn skipped_epoch() -> ShareModel {
+    use ShareStep::{AdvanceClock, Demand, Heartbeat, Read, Renew, Tick};
     let (a, b, c) = (0, 1, 2);
     ShareModel {
         members: 3,
         tokens: 6,
         max_lease: vec![2, 3, 3],
-        apart: vec![(a, b)],
+        partitioned: vec![(a, b)],
         horizon: 3,
         terms: Terms {
             promise_term: Duration::from_secs(2),
             ..small_terms()
         },
         prefix: vec![
-            Second,
+            AdvanceClock,
             Renew(b),
             Renew(c),
-            Beat(a, b),
-            Beat(a, c),
-            Beat(b, a),
-            Beat(c, a),
-            Second,
+            Heartbeat(a, b),
+            Heartbeat(a, c),
+            Heartbeat(b, a),
+            Heartbeat(c, a),
+            AdvanceClock,
             Renew(b),
             Renew(c),
             Read(b),
             Read(c),
             Demand(b, 4),
-            Act(b),
+            Tick(b),
             Read(b),
             Read(c),
-            Beat(c, b),
+            Heartbeat(c, b),
             Renew(a),
             Demand(a, 2),
-            Beat(a, c),
-            Act(c),
+            Heartbeat(a, c),
+            Tick(c),
         ],
         ..ShareModel::default()
     }
 }
 
-/// Names each instance that no run may break.
-macro_rules! silent {
+/// Generates a test for each instance, which must hold.
+macro_rules! holds {
     ($($name:ident: $model:expr;)*) => {$(
         #[test]
         fn $name() {
             let started = Instant::now();
-            let found = explore(&$model, LIMIT_STATES);
+            let found = explore(&$model, MAX_STATES);
             println!("{}: {found} ({:?})", stringify!($name), started.elapsed());
             assert!(found.counterexample.is_none(), "{found}");
             assert!(found.complete, "{found}");
@@ -192,12 +206,12 @@
 }
 
 use ShareStep::{
+    AdvanceClock, //
     Renew,
-    Second, //
 };
 
-silent! {
-    one_of_three_cut_off: ShareModel { members: 3, tokens: 6, cut_off: vec![0], max_lease: vec![1, 2, 2], horizon: 2, max_epoch: 2, broadcast: true, prefix: vec![Second, Renew(1), Renew(2)], ..ShareModel::default() };
+holds! {
+    one_of_three_cut_off: ShareModel { members: 3, tokens: 6, cut_off: vec![0], max_lease: vec![1, 2, 2], horizon: 2, max_epoch: 2, broadcast: true, prefix: vec![AdvanceClock, Renew(1), Renew(2)], ..ShareModel::default() };
     three_without_promises: ShareModel { members: 3, tokens: 6, cut_off: vec![0], max_lease: vec![1, 2, 2], horizon: 2, max_epoch: 2, broadcast: true, ..plain() };
     capacity_changes: ShareModel { capacities: vec![3, 5], horizon: 0, ..plain() };
     planned_stop: ShareModel { leaving: true, demands: vec![(1, 3)], horizon: 0, max_epoch: 3, ..plain() };
@@ -205,70 +219,69 @@
     join: ShareModel { joiners: 1, horizon: 0, ..plain() };
     long_lapse: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 5, ..plain() };
     long_lapse_with_promises: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 4, max_epoch: 2, ..ShareModel::default() };
-    late_renewals_and_beats: ShareModel { slow_renewals: true, late_beats: true, max_lease: vec![2, 1], horizon: 2, max_epoch: 2, ..ShareModel::default() };
+    late_renewals_and_beats: ShareModel { slow_renewals: true, delayed_heartbeats: true, max_lease: vec![2, 1], horizon: 2, max_epoch: 2, ..ShareModel::default() };
     racing_writers: ShareModel { demands: vec![(0, 3), (1, 3)], late_writes: true, horizon: 0, ..plain() };
 }
 
-/// Model whose search is over once a goal is reached.
+/// Model whose invariant is violated once `goal` is reached.
 struct Reach {
     model: ShareModel,
-    goal: fn(&ShareModel, &ShareWorld) -> bool,
+    goal: fn(&ShareModel, &ShareState) -> bool,
 }
 
 impl Model for Reach {
-    type State = ShareWorld;
+    type State = ShareState;
     type Step = ShareStep;
 
-    fn start(&self) -> ShareWorld {
+    fn start(&self) -> ShareState {
         self.model.start()
     }
 
-    fn transitions(&self, world: &ShareWorld) -> Vec<(ShareStep, ShareWorld)> {
-        self.model.transitions(world)
+    fn transitions(&self, state: &ShareState) -> Vec<(ShareStep, ShareState)> {
+        self.model.transitions(state)
     }
 
-    fn check(&self, world: &ShareWorld) -> Result<(), String> {
-        if (self.goal)(&self.model, world) {
+    fn check(&self, state: &ShareState) -> Result<(), String> {
+        if (self.goal)(&self.model, state) {
             return Err("reached".into());
         }
         Ok(())
     }
 }
 
-/// Names each thing that must be possible, so that silence is not for want of any use.
+/// Generates a test for each goal that must be reachable, so that the invariant does not hold vacuously.
 macro_rules! reaches {
     ($($name:ident: $model:expr, $goal:expr;)*) => {$(
         #[test]
         fn $name() {
-            let found = explore(&Reach { model: $model, goal: $goal }, LIMIT_STATES);
+            let found = explore(&Reach { model: $model, goal: $goal }, MAX_STATES);
             println!("{}: {found}", stringify!($name));
-            assert!(found.counterexample.is_some(), "not reached");
+            assert!(found.counterexample.is_some(), "the goal is not reachable");
         }
     )*};
 }
 
 reaches! {
-    surplus_goes_to_the_other: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..plain() },
-        |model, world| model.uses(world) == [1, 3];
-    everything_goes_to_the_other: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 6, ..plain() },
-        |model, world| model.uses(world) == [0, 4];
+    surplus_goes_to_the_other_member: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..plain() },
+        |model, state| model.usage(state) == [1, 3];
+    all_tokens_go_to_the_other_member: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 6, ..plain() },
+        |model, state| model.usage(state) == [0, 4];
     promises_outlast_the_short_term: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 4, ..ShareModel::default() },
-        |model, world| world.seconds() >= 3 && model.uses(world) == [2, 2];
-    promises_give_a_lapsed_surplus_back: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 3, prefix: vec![ShareStep::Second, ShareStep::Renew(1), ShareStep::Second], ..ShareModel::default() },
-        |model, world| world.seconds() >= 2 && model.uses(world) == [2, 2];
-    next_life_gets_its_part: ShareModel { joiners: 1, restarted: Some(0), max_lease: vec![1, 2], horizon: 3, ..plain() },
-        |model, world| model.uses(world)[2] > 0;
-    joiner_gets_its_part: ShareModel { joiners: 1, horizon: 0, ..plain() },
-        |model, world| model.uses(world)[2] > 0;
-    stop_frees_everything: ShareModel { leaving: true, horizon: 0, ..plain() },
-        |model, world| model.uses(world) == [0, 4];
+        |model, state| state.seconds() >= 3 && model.usage(state) == [2, 2];
+    promises_give_a_lapsed_surplus_back: ShareModel { cut_off: vec![0], max_lease: vec![1, 2], horizon: 3, prefix: vec![ShareStep::AdvanceClock, ShareStep::Renew(1), ShareStep::AdvanceClock], ..ShareModel::default() },
+        |model, state| state.seconds() >= 2 && model.usage(state) == [2, 2];
+    next_incarnation_gets_its_share: ShareModel { joiners: 1, restarted: Some(0), max_lease: vec![1, 2], horizon: 3, ..plain() },
+        |model, state| model.usage(state)[2] > 0;
+    joiner_gets_its_share: ShareModel { joiners: 1, horizon: 0, ..plain() },
+        |model, state| model.usage(state)[2] > 0;
+    planned_stop_frees_all_tokens: ShareModel { leaving: true, horizon: 0, ..plain() },
+        |model, state| model.usage(state) == [0, 4];
 }
 
-/// Symptom: a token has two users although every rule is kept.
-///
-/// Sequence: a thread finds a token free, is paused, and sends its request after the lease lapsed and
-/// the grace passed too. Cause: no check can be made at the same moment as the send. The grace covers
-/// a pause as long as the work may take; nothing covers a longer one, and this test says so.
+/// A token can have two users although all guards are on: a thread finds a token free, is paused, and
+/// sends its request after the lease has lapsed and the grace has passed. Check and send are not
+/// atomic. The grace covers a pause as long as the work may take; a longer one is a known limitation,
+/// which this test documents.
 #[test]
 fn pause_longer_than_the_grace_is_not_covered() {
     let terms = Terms {
@@ -280,11 +293,11 @@
         max_lease: vec![1, 2],
         max_epoch: 2,
         work: true,
-        overstay: 2,
+        overrun: 2,
         terms,
         ..plain()
     };
-    let found = explore(&model, LIMIT_STATES);
+    let found = explore(&model, MAX_STATES);
     println!("pause longer than the grace: {found}");
     assert!(found.counterexample.is_some());
 }
--- a/crates/model/tests/share_walks.rs
+++ b/crates/model/tests/share_walks.rs
@@ -1,7 +1,8 @@
-//! Random runs of pools too wide to search whole: four members, all faults at once, longer times.
+//! Random walks of pools that are too large for an exhaustive search: four members, all faults at once,
+//! longer times.
 //!
-//! Silence proves little here, so the same walks are shown to find single guards that are off. Seeds
-//! are fixed: the verdict is the same each time.
+//! Walks without a violation prove little, so the tests also show that the same walks find a violation
+//! when a single guard is off. The seeds are fixed, so the result is reproducible.
 
 use model::{
     small_terms,
@@ -14,14 +15,14 @@
 };
 use std::time::Duration;
 
-/// Runs of each test.
+/// Walks of each test.
 const WALKS: u64 = 2_000;
-/// Steps of a run.
-const LENGTH: usize = 500;
-/// Steps between two seconds: hardly anybody renews in time, up to nearly everybody.
-const PACES: [usize; 4] = [5, 10, 20, 40];
+/// Steps of a walk.
+const WALK_STEPS: usize = 500;
+/// Mean steps per second of the clock: from few members renewing in time to nearly all.
+const STEPS_PER_SECOND: [usize; 4] = [5, 10, 20, 40];
 
-/// Four members and every fault that needs a step of its own.
+/// Four members and every fault that has a step of its own.
 fn wide() -> ShareModel {
     ShareModel {
         members: 3,
@@ -34,7 +35,7 @@
         rows_by_peers: true,
         late_writes: true,
         slow_renewals: true,
-        late_beats: true,
+        delayed_heartbeats: true,
         terms: Terms {
             short_ttl: Duration::from_secs(3),
             long_ttl: Duration::from_secs(12),
@@ -46,7 +47,7 @@
     }
 }
 
-/// Numbers of a run, by xorshift.
+/// Random numbers of a walk, by xorshift.
 fn numbers(seed: u64) -> impl FnMut() -> usize {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     move || {
@@ -57,48 +58,48 @@
     }
 }
 
-/// First run that breaks the invariant.
-fn first_broken(model: &ShareModel) -> Option<(u64, Trace)> {
+/// Seed and trace of the first walk that violates the invariant.
+fn first_violation(model: &ShareModel) -> Option<(u64, Trace)> {
     (1..=WALKS).find_map(|seed| {
-        let pace = PACES[usize::try_from(seed % 4).expect("small")];
-        let run = model.walk(LENGTH, pace, numbers(seed));
+        let steps_per_second = STEPS_PER_SECOND[usize::try_from(seed % 4).expect("small")];
+        let run = model.random_walk(WALK_STEPS, steps_per_second, numbers(seed));
         run.err().map(|trace| (seed, trace))
     })
 }
 
-/// Names each pool that no walk may break.
-macro_rules! silent {
+/// Generates a test for each pool, whose invariant no walk may violate.
+macro_rules! holds {
     ($($name:ident: $model:expr;)*) => {$(
         #[test]
         fn $name() {
-            if let Some((seed, trace)) = first_broken(&$model) {
+            if let Some((seed, trace)) = first_violation(&$model) {
                 panic!("walk {seed}:\n{trace}");
             }
         }
     )*};
 }
 
-silent! {
+holds! {
     faults_of_platform_and_messages: wide();
     work_and_changing_capacity: ShareModel { work: true, capacities: vec![6, 8], ..wide() };
     planned_stops: ShareModel { work: true, leaving: true, ..wide() };
     restart: ShareModel { restarted: Some(0), ..wide() };
     one_cut_off_alone: ShareModel { cut_off: vec![0], ..wide() };
-    two_cut_off_from_all_others: ShareModel { cut_off: vec![0, 1], apart: vec![(0, 2), (0, 3), (1, 2), (1, 3)], ..wide() };
+    two_cut_off_from_all_others: ShareModel { cut_off: vec![0, 1], partitioned: vec![(0, 2), (0, 3), (1, 2), (1, 3)], ..wide() };
     slow_clock: ShareModel { slow_clocks: vec![0], terms: Terms { drift_pct: 25, ..wide().terms }, ..wide() };
 }
 
-/// Names each guard that the walks must miss when it is off.
-macro_rules! found {
+/// Generates a test for each guard whose absence the walks must detect.
+macro_rules! detects {
     ($($guard:ident)*) => {$(
         #[test]
         fn $guard() {
             let guards = Guards { $guard: false, ..Guards::default() };
-            let broken = first_broken(&ShareModel { guards, ..wide() });
-            let (seed, trace) = broken.expect("the walks find nothing");
+            let violation = first_violation(&ShareModel { guards, ..wide() });
+            let (seed, trace) = violation.expect("no walk violates the invariant");
             println!("{}: walk {seed}, {} steps: {}", stringify!($guard), trace.steps.len(), trace.violation);
         }
     )*};
 }
 
-found! { broken_chain confirm_read transfer_once transfer_same_epoch keep_minimum promise_kept promise_same_epoch wait_for_acks }
+detects! { broken_chain confirm_read transfer_once transfer_same_epoch keep_minimum promise_kept promise_same_epoch wait_for_acks }
--- a/crates/model/tests/spec.rs
+++ b/crates/model/tests/spec.rs
@@ -1,4 +1,5 @@
-//! Searches of accepts and adoptions: all guards on finds nothing, each guard off is found.
+//! Searches of accepts and adoptions: with all guards on the invariant holds; with any one guard off
+//! the search finds a counterexample.
 
 mod common;
 
@@ -20,7 +21,7 @@
     AcceptRequest { id, base }
 }
 
-/// Two operators race, and one repeats through another daemon.
+/// Two operators race, and one repeats its request through another daemon.
 fn racing(guards: Guards) -> AcceptModel {
     AcceptModel {
         guards,
@@ -29,7 +30,8 @@
     }
 }
 
-/// One operator accepts on what another made; both repeat, one of them on a later base.
+/// One operator accepts a version based on another operator's, whose request is then repeated on a
+/// later base.
 fn in_a_row(guards: Guards) -> AcceptModel {
     AcceptModel {
         requests: vec![request(1, 0), request(2, 1), request(1, 2)],
@@ -37,7 +39,8 @@
     }
 }
 
-/// One operator, and a platform that fails often enough to give up.
+/// One operator that repeats its request, and a platform that fails often enough for an accept to give
+/// up.
 fn alone(guards: Guards) -> AcceptModel {
     AcceptModel {
         requests: vec![request(1, 0), request(1, 0)],
@@ -46,7 +49,7 @@
     }
 }
 
-/// Configuration of a version; each has another headroom.
+/// Configuration of a version; the headroom differs between versions.
 fn config(version: usize) -> Config {
     let text = format!(
         "name: small\n\
@@ -78,32 +81,32 @@
 }
 
 holds! {
-    racing_operators_are_told_the_truth: racing;
-    accepts_in_a_row_are_told_the_truth: in_a_row;
-    a_repeat_is_told_the_truth_in_a_long_outage: alone;
-    daemons_adopt_and_never_go_back: adopting;
+    racing_accepts_get_true_outcomes: racing;
+    consecutive_accepts_get_true_outcomes: in_a_row;
+    a_repeat_in_a_long_outage_gets_a_true_outcome: alone;
+    daemons_never_revert_to_a_lower_version: adopting;
     a_daemon_starts_while_the_table_is_down: with_the_table_down;
     a_daemon_starts_while_a_peer_is_cut_off: with_the_peer_cut_off;
-    a_daemon_starts_among_cut_off_ones: with_neither;
+    a_daemon_starts_with_only_a_cut_off_peer: with_neither;
 }
 
 breaks! {
-    /// Symptom: daemons hear of a version whose body nobody has. The head was written first, and
-    /// the daemon that ran the accept died.
+    /// Daemons are offered a version whose body is not stored: the head is written first, and the
+    /// daemon that ran the accept crashes.
     a_head_before_its_objects: racing, objects_first, "isn't stored";
-    /// Symptom: an operator's change vanishes. Two read the same head and both wrote the next.
-    a_head_written_without_condition: racing, check_head, "follow each other";
-    /// Symptom: a change is made twice, or its operator is told that it wasn't made. A lost answer
-    /// was not looked up by the accept's name.
-    an_accept_not_looked_up: in_a_row, find_accept_id, "told";
-    /// Symptom: as above. A lost answer was taken for "not accepted".
-    a_lost_answer_taken_for_not_accepted: racing, read_back, "told Some(NotAccepted)";
-    /// Symptom: an accepted change is undone at one daemon. It heard of an old head late.
-    an_older_head_adopted: adopting, only_higher, "went back";
-    /// Symptom: two daemons of one version act differently. The late answer to a fetch that was
-    /// given up was put in force under the new head.
-    a_late_body_under_a_new_head: adopting, match_digest, "another body";
-    /// Symptom: a new daemon steers to what has been drained. It was ready on the word of a peer
-    /// that had been cut off.
+    /// An operator's change is lost: two accepts read the same head and both write the next one.
+    a_head_written_unconditionally: racing, check_head, "not consecutive";
+    /// A change is made twice, or its operator is told that it wasn't made: after a lost answer, the
+    /// accept is not looked up by its id.
+    an_accept_not_looked_up: in_a_row, find_accept_id, "got the outcome";
+    /// As above: a lost answer is taken for "not accepted".
+    a_lost_answer_taken_for_not_accepted: racing, read_back, "got the outcome Some(NotAccepted)";
+    /// An accepted change is reverted at one daemon, to which an old head was offered late.
+    an_older_head_adopted: adopting, only_higher, "reverted to";
+    /// Two daemons with one version behave differently: the late answer to a fetch that was given up
+    /// is adopted under the new head.
+    a_late_body_under_a_new_head: adopting, match_digest, "body other than that";
+    /// A new daemon routes to drained targets: it became ready with the version of a peer that had
+    /// been cut off.
     a_daemon_ready_too_early: with_the_table_down, ready_after_all, "ready below";
 }
