--- a/crates/model/tests/share.rs
+++ b/crates/model/tests/share.rs
@@ -219,7 +219,7 @@
     join: ShareModel { joiners: 1, horizon: 0, ..plain() };
     long_lapse: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 5, ..plain() };
     long_lapse_with_promises: ShareModel { cut_off: vec![0], max_lease: vec![1, 3], horizon: 4, max_epoch: 2, ..ShareModel::default() };
-    late_renewals_and_beats: ShareModel { slow_renewals: true, delayed_heartbeats: true, max_lease: vec![2, 1], horizon: 2, max_epoch: 2, ..ShareModel::default() };
+    late_renewals_and_heartbeats: ShareModel { slow_renewals: true, delayed_heartbeats: true, max_lease: vec![2, 1], horizon: 2, max_epoch: 2, ..ShareModel::default() };
     racing_writers: ShareModel { demands: vec![(0, 3), (1, 3)], late_writes: true, horizon: 0, ..plain() };
 }
 
