--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What an answer of the system claims about the request it answers.
+//! Execution outcome that a response reports for its request.
 
 use serde::{
     Deserialize,
@@ -9,20 +9,20 @@
     str::FromStr, //
 };
 
-/// Claim of an answer about whether the request ran; the `Jasmine-Outcome` header.
+/// Whether a request was executed, as reported in the `Jasmine-Outcome` response header.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunOutcome {
-    /// Nothing of the request reached an upstream: safe to send again.
+    /// No upstream executed the request: it is safe to retry.
     NotRun,
-    /// The request may have run.
+    /// The request may have been executed.
     Unknown,
-    /// The answer is an upstream's, whole.
+    /// The response is the complete response of an upstream.
     Done,
 }
 
 impl RunOutcome {
-    /// Text of the header.
+    /// Header value.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -38,7 +38,7 @@
     }
 }
 
-/// Text that names no outcome.
+/// Error for text that isn't a known outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UnknownOutcome;
 
