--- a/crates/metric/src/lib.rs
+++ b/crates/metric/src/lib.rs
@@ -1,8 +1,8 @@
-//! Tables of metrics: names, kinds, units and meaning.
+//! Metric tables: names, kinds, units, labels and help texts.
 //!
-//! Start with [`table!`]: a program declares each metric once, and the endpoint, `docs/METRICS.md` and the
-//! code that counts take its name from there. [`install`] sets up the process's recorder and tells it
-//! the table; [`UPKEEP`] says how often its owner has to call `run_upkeep`.
+//! A program declares each metric once with [`table!`]; the metrics endpoint, `docs/METRICS.md` and the
+//! instrumented code all take the name from that declaration. [`install`] installs the process's recorder
+//! and registers the help texts; [`UPKEEP`] is the interval at which the caller must call `run_upkeep`.
 
 use eyre::WrapErr;
 use metrics_exporter_prometheus::{
@@ -14,46 +14,46 @@
     time::Duration, //
 };
 
-/// Time between two calls of `run_upkeep`.
+/// Interval between calls of `run_upkeep`.
 ///
-/// What goes wrong without them: each value of a histogram is kept until someone reads the metrics, so a
-/// process that nobody asks grows with every request. One would notice memory that falls at the first
-/// scrape. At 5 s some thousand values wait.
+/// Without these calls, the recorder buffers each histogram value until the metrics are rendered, so the
+/// memory of a process that is never scraped grows with every request and drops at the first scrape. At 5 s,
+/// several thousand values are buffered.
 pub const UPKEEP: Duration = Duration::from_secs(5);
 
-/// Upper ends of the buckets of times, in seconds: each some two to three times the one before, from the
-/// way within a failure domain to the longest deadline.
-const BUCKETS_S: [f64; 14] = [
+/// Upper bounds of the histogram buckets for durations, in seconds: each two to 2.5 times the previous one,
+/// from the latency within a failure domain to the longest deadline.
+const DURATION_BUCKETS_S: [f64; 14] = [
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
 /// Kind of a metric.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// Only grows.
+    /// Monotonically increasing value.
     Counter,
-    /// Goes up and down.
+    /// Value that can increase and decrease.
     Gauge,
-    /// Distribution, exported as buckets.
+    /// Distribution of values, exported as buckets.
     Histogram,
 }
 
-/// One metric.
+/// Declaration of one metric.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Metric {
-    /// Name as exported.
+    /// Exported name.
     pub name: &'static str,
     /// Kind.
     pub kind: Kind,
     /// Unit of the value.
     pub unit: &'static str,
-    /// Labels, separated by commas.
+    /// Label names, separated by commas.
     pub labels: &'static str,
-    /// Meaning.
+    /// Help text.
     pub help: &'static str,
 }
 
-/// Declares a constant for each metric's name, and the table of all.
+/// Declares a constant for the name of each metric, and a table of all the metrics.
 #[macro_export]
 macro_rules! table {
     (
@@ -77,16 +77,16 @@
     };
 }
 
-/// Sets up the process's recorder and tells it each metric's meaning.
+/// Installs the process's recorder and registers the help text of each metric.
 ///
 /// # Errors
 ///
-/// The process has a recorder already.
+/// The process already has a recorder.
 pub fn install(table: &[Metric]) -> eyre::Result<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&BUCKETS_S);
-    let builder = builder.wrap_err("the buckets of times")?;
+    let builder = PrometheusBuilder::new().set_buckets(&DURATION_BUCKETS_S);
+    let builder = builder.wrap_err("invalid histogram buckets")?;
     let handle = builder.install_recorder();
-    let handle = handle.wrap_err("installing the metrics recorder")?;
+    let handle = handle.wrap_err("can't install the metrics recorder")?;
     describe(table);
     Ok(handle)
 }
@@ -101,7 +101,7 @@
     }
 }
 
-/// The table as a page shows it.
+/// Formats the table as Markdown.
 pub fn page_table(table: &[Metric]) -> String {
     let mut page = String::from(
         "| name | kind | unit | labels | meaning |\n| --- | --- | --- | --- | --- |\n",
--- a/crates/metric/tests/upkeep.rs
+++ b/crates/metric/tests/upkeep.rs
@@ -1,41 +1,41 @@
-//! What a recorder gathers.
+//! Memory use of a recorder whose metrics are never rendered.
 
 use metrics_exporter_prometheus::PrometheusBuilder;
 use std::fs;
 
-/// Values that are recorded; at eight bytes each they are 32 MB.
-const VALUES: u64 = 4_000_000;
-/// Values between two calls of upkeep: five seconds of a busy entry.
-const BETWEEN: u64 = 100_000;
+/// Number of recorded values; 32 MB at eight bytes each.
+const RECORDED_VALUES: u64 = 4_000_000;
+/// Values recorded between upkeep calls: five seconds on a busy entry.
+const VALUES_PER_UPKEEP: u64 = 100_000;
 
-/// Resident memory of this process, in kilobytes.
+/// Resident set size of this process, in kilobytes.
 fn resident_kb() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").expect("Linux");
+    let status = fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let digits: String = line
-        .expect("a line for it")
+        .expect("a VmRSS line")
         .chars()
         .filter(char::is_ascii_digit)
         .collect();
     digits.parse().expect("a number")
 }
 
-/// Symptom: a process whose metrics nobody reads grows with every request. Sequence: histograms keep each
-/// value until they are rendered or kept up. Cause guarded against: a recorder without upkeep.
+/// Guards against a process whose memory grows with every request while its metrics are never scraped:
+/// histograms buffer each value until the metrics are rendered or `run_upkeep` is called.
 #[test]
-fn values_are_not_kept() {
+fn upkeep_bounds_memory_of_unread_histograms() {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
     metrics::with_local_recorder(&recorder, || {
         let before_kb = resident_kb();
-        for number in 0..VALUES {
+        for number in 0..RECORDED_VALUES {
             metrics::histogram!("seconds").record(number as f64);
-            if number % BETWEEN == 0 {
+            if number % VALUES_PER_UPKEEP == 0 {
                 handle.run_upkeep();
             }
         }
         let grown_kb = resident_kb().saturating_sub(before_kb);
         assert!(grown_kb < 8_000, "{grown_kb} kB");
     });
-    assert!(handle.render().contains(&VALUES.to_string()));
+    assert!(handle.render().contains(&RECORDED_VALUES.to_string()));
 }
