--- a/crates/strict/src/closing.rs
+++ b/crates/strict/src/closing.rs
@@ -1,8 +1,8 @@
-//! Connections that were given up, until their other end has let go of them.
+//! Tracking of abandoned connections until the peer has closed them.
 //!
-//! Dropping a connection cancels the request on it, but only once the other end has noticed: until
-//! then it may still work on the request. The connection is therefore closed for writing, which is
-//! what tells the other end, and read until the other end closes it as well.
+//! Dropping a connection cancels its request, but only once the peer notices: until then it may still
+//! be executing the request. The connection is therefore shut down for writing, which notifies the
+//! peer, and read until the peer closes its end.
 
 use std::{
     sync::{
@@ -26,34 +26,35 @@
     },
 };
 
-/// Longest that a connection is kept only to see its end.
-const LONGEST: Duration = Duration::from_secs(30);
-/// Most that is read of an answer that nobody waits for. Whoever sends more is reset.
-const UNREAD_BYTES: usize = 64 << 10;
-/// Length of one read.
-const READ_BYTES: usize = 4 << 10;
-/// Time for a reset to reach the other end.
-const RESET: Duration = Duration::from_millis(5);
+/// Maximum time to wait for the peer to close an abandoned connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of bytes read and discarded from an abandoned connection; beyond it, the connection
+/// is reset.
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// Time allowed for a reset to reach the peer.
+const RESET_DELAY: Duration = Duration::from_millis(5);
 
-/// The given-up connections of one client that are not closed by their other end yet.
+/// Abandoned connections of one client that the peer hasn't closed yet.
 #[derive(Clone, Debug, Default)]
 pub struct Closing {
     open: Arc<Mutex<Vec<watch::Receiver<()>>>>,
 }
 
 impl Closing {
-    /// Ends when all connections that were given up before the call are closed.
+    /// Waits until all connections abandoned before the call are closed.
     pub async fn closed(&self) {
         let open = self.lock().clone();
         for mut connection in open {
-            // Its sender says nothing and is dropped at the end.
+            // The sender never sends a value; it is dropped when the connection is closed.
             let _ = connection.changed().await;
         }
     }
 
-    /// Closes `stream` and watches for its end.
+    /// Closes `stream` in the background and tracks it until then.
     pub(crate) fn close(&self, stream: TcpStream) {
-        // Without a runtime the process ends, and its connections with it.
+        // Without a runtime the process is exiting, which closes its connections.
         let Ok(runtime) = Handle::try_current() else {
             return;
         };
@@ -63,8 +64,8 @@
         open.push(watched);
         drop(open);
         runtime.spawn(async move {
-            // Running out of time is an end, too.
-            let _ = timeout(LONGEST, read_to_end(stream)).await;
+            // A timeout counts as closed.
+            let _ = timeout(CLOSE_TIMEOUT, shut_down_and_drain(stream)).await;
             drop(end);
         });
     }
@@ -74,18 +75,18 @@
     }
 }
 
-/// Says that nothing more is wanted, and reads until the other end closes.
-async fn read_to_end(mut stream: TcpStream) {
+/// Shuts down the write side and discards incoming data until the peer closes its end.
+async fn shut_down_and_drain(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut unread_bytes = 0;
-    let mut buf = [0; READ_BYTES];
+    let mut discarded_bytes = 0;
+    let mut buf = [0; READ_BUFFER_BYTES];
     while let Ok(read_bytes @ 1..) = stream.read(&mut buf).await {
-        unread_bytes += read_bytes;
-        if unread_bytes > UNREAD_BYTES {
+        discarded_bytes += read_bytes;
+        if discarded_bytes > MAX_DISCARDED_BYTES {
             drop(stream);
-            sleep(RESET).await;
+            sleep(RESET_DELAY).await;
             return;
         }
     }
--- a/crates/strict/src/lib.rs
+++ b/crates/strict/src/lib.rs
@@ -1,17 +1,17 @@
-//! HTTP clients that tell a cut answer from a whole one.
+//! HTTP client connector that detects truncated responses.
 //!
-//! awc ends a body without an error when the connection closes early, both for a declared length
-//! and for chunks, as long as what came could be parsed. A caller would take half an answer for a
-//! whole one, and nothing would show it. Here the end of a connection is an error, so that a body
-//! ends well only by its own framing. An answer framed by nothing but the end of its connection
-//! is refused along with the cut ones: no one can tell whether it is whole.
+//! awc ends a body without an error when the connection closes early, both with `Content-Length` and
+//! with chunked encoding, as long as the bytes received so far could be parsed. A caller would take a
+//! truncated response for a complete one. Here end of file on a connection is an error, so a body only
+//! ends successfully by its own framing. A response delimited only by the end of its connection is
+//! rejected as well, because its completeness can't be checked.
 //!
-//! A connection that is given up in the middle of a request is a cancellation. [`Closing`] tells when
-//! it has arrived: whoever may not send more until the other end has stopped waits for that.
+//! Dropping a connection in the middle of a request cancels the request. [`Closing`] reports when the
+//! peer has closed its end; a client that must not send more until the peer has stopped waits for this.
 //!
-//! Invariant: no answer that a client of [`strict_connector`] calls whole lacks a byte that its
-//! sender declared. Whoever needs a client for HTTP starts here and adds limits and timeouts of his
-//! own; the entry's are in the daemon's `connection`, the platform's in `plat`.
+//! Invariant: a response that a client with [`strict_connector`] reports as complete contains every byte
+//! that its sender declared. All HTTP clients of the workspace use this connector and add their own
+//! limits and timeouts: the entry's are in the daemon's `connection`, the platform client's in `plat`.
 
 mod closing;
 mod socket;
--- a/crates/strict/src/socket.rs
+++ b/crates/strict/src/socket.rs
@@ -1,4 +1,4 @@
-//! Options of every connection, to callers, upstreams and the platform.
+//! Socket options of all connections: to callers, upstreams and the platform.
 
 use socket2::{
     SockRef,
@@ -10,29 +10,29 @@
 };
 use tokio::net::TcpStream;
 
-/// Time after which bytes that nobody acknowledged end a connection, and first wait of its probes.
+/// Idle time before the first keepalive probe; with [`KEEPALIVE_INTERVAL`] added, also the limit on
+/// unacknowledged data.
 ///
-/// What goes wrong without it: something between the ends loses track of a connection, nothing ever
-/// arrives again, and no error comes. One would notice as requests that hang until their deadlines
-/// on the same connections again and again.
-const SILENCE: Duration = Duration::from_secs(2);
-/// Wait between probes of an idle connection.
-const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Probes without an answer that end it.
-const PROBES: u32 = 2;
+/// Without it, a connection whose state a middlebox has lost receives nothing more and reports no
+/// error, so requests on it repeatedly hang until their deadlines.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// Interval between keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of unanswered probes after which the connection is closed.
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Sets up a connection: no delay of small writes, and an end to silent ones.
+/// Sets `TCP_NODELAY`, `TCP_USER_TIMEOUT` and keepalive on a connection.
 ///
 /// # Errors
 ///
-/// The connection has ended already.
+/// The connection is already closed.
 pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(SILENCE + PROBE_INTERVAL))?;
+    socket.set_tcp_user_timeout(Some(KEEPALIVE_IDLE + KEEPALIVE_INTERVAL))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(SILENCE)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/strict/src/stream.rs
+++ b/crates/strict/src/stream.rs
@@ -1,4 +1,4 @@
-//! The stream and the connector.
+//! TCP stream that reports end of file as an error, and its awc connectors.
 
 use crate::{
     socket::set_options,
@@ -38,22 +38,22 @@
     ReadBuf, //
 };
 
-/// A TCP stream whose end is an error.
+/// TCP stream that reports end of file as an error.
 #[derive(Debug)]
 pub struct StrictStream {
-    /// Present until the drop.
+    /// `None` only once the stream is being dropped.
     tcp: Option<TcpStream>,
-    /// Who watches for the end of the connection once it is dropped.
+    /// Tracks the connection after the drop until the peer has closed it.
     closing: Option<Closing>,
 }
 
 impl StrictStream {
     fn tcp(&self) -> &TcpStream {
-        self.tcp.as_ref().expect("present until the drop")
+        self.tcp.as_ref().expect("the stream isn't dropped")
     }
 
     fn tcp_mut(&mut self) -> Pin<&mut TcpStream> {
-        Pin::new(self.tcp.as_mut().expect("present until the drop"))
+        Pin::new(self.tcp.as_mut().expect("the stream isn't dropped"))
     }
 }
 
@@ -65,10 +65,10 @@
     }
 }
 
-/// The connector of every awc client here: a connection that ends within an answer breaks it.
+/// Creates the connector for awc clients, which turns a connection closed during a response into an error.
 ///
-/// The answer's body then gives an error, or the request does when no answer had come. Connections
-/// are without delay: a small request on a warm one must not wait for the other end's delayed
+/// The response body yields the error, or the request does if no response head has arrived. Connections set
+/// `TCP_NODELAY`: a small request on an established connection must not wait for the peer's delayed
 /// acknowledgement.
 pub fn strict_connector() -> Connector<
     impl Service<ConnectInfo<Uri>, Response = Connection<Uri, StrictStream>, Error = ConnectError>
@@ -77,7 +77,7 @@
     connector(None)
 }
 
-/// The same, with connections that are watched by `closing` once they are dropped.
+/// Like [`strict_connector`], with dropped connections tracked by `closing`.
 pub fn watched_connector(
     closing: Closing,
 ) -> Connector<
@@ -96,7 +96,7 @@
     let tcp = TcpConnector::default().service();
     let strict = tcp.map(move |connection: Connection<Uri, TcpStream>| {
         let (tcp, connection) = connection.replace_io(());
-        // A connection that has ended already says so at its first use.
+        // If the connection is already closed, its first use reports the error.
         let _ = set_options(&tcp);
         let stream = StrictStream {
             tcp: Some(tcp),
@@ -156,7 +156,7 @@
 
 impl ActixStream for StrictStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        // Of the trait: the stream has an inherent method of this name with another result.
+        // Fully qualified because the stream has an inherent method of this name with another result type.
         ActixStream::poll_read_ready(self.tcp(), cx)
     }
 
--- a/crates/strict/tests/closing.rs
+++ b/crates/strict/tests/closing.rs
@@ -1,4 +1,4 @@
-//! When a cancellation has arrived, over real connections.
+//! Tracking of abandoned connections, over real TCP connections.
 
 use actix_rt::{
     net::TcpStream,
@@ -20,61 +20,61 @@
     net::TcpListener, //
 };
 
-/// Long enough that only a wait without end runs into it.
-const FOREVER: Duration = Duration::from_secs(60);
+/// Long enough that only a wait that never ends exceeds it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits that end while something is still open would be seen within this time.
-const WHILE: Duration = Duration::from_millis(50);
+/// Time within which a wait that ends too early, while a connection is still open, would end.
+const PENDING_TIME: Duration = Duration::from_millis(50);
 
-/// A request on its way to an upstream of the test's own, and the upstream's end of it.
+/// Starts a request to a listener of the test; returns its task and the upstream's end of the connection.
 async fn request(closing: &Closing) -> (JoinHandle<()>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let url = format!("http://{}/", listener.local_addr().unwrap());
     let connector = watched_connector(closing.clone());
     let client = Client::builder().connector(connector).finish();
-    let sent = actix_rt::spawn(async move {
+    let request_task = actix_rt::spawn(async move {
         let _ = client.get(url).send().await;
     });
     let (mut upstream, _) = listener.accept().await.unwrap();
     assert!(upstream.read(&mut [0; 1024]).await.unwrap() > 0);
-    (sent, upstream)
+    (request_task, upstream)
 }
 
-/// Reads what comes until the end of the connection.
+/// Reads until end of file.
 async fn read_to_end(upstream: &mut TcpStream) -> io::Result<()> {
     while upstream.read(&mut [0; 1024]).await? > 0 {}
     Ok(())
 }
 
-/// Symptom: a slot is used while its upstream still works on a request that was given up on.
-/// Sequence: a caller goes away in the middle of a request; the upstream notices later. Cause: the
-/// end of one side of a connection says nothing about the other side.
+/// Guards against reusing a slot while its upstream still executes a cancelled request: the caller
+/// disconnects in the middle of a request, and the upstream notices later. One side closing a connection
+/// doesn't mean that the other side has.
 #[test]
-fn a_cancellation_has_arrived_when_the_other_end_closes() {
+fn closed_waits_until_peer_closes_abandoned_connection() {
     System::new().block_on(async {
         let closing = Closing::default();
-        let (sent, mut upstream) = request(&closing).await;
-        sent.abort();
-        timeout(FOREVER, read_to_end(&mut upstream))
+        let (request_task, mut upstream) = request(&closing).await;
+        request_task.abort();
+        timeout(HANG_TIMEOUT, read_to_end(&mut upstream))
             .await
-            .expect("the upstream is told")
+            .expect("the upstream sees the shutdown")
             .unwrap();
-        let early = timeout(WHILE, closing.closed()).await;
+        let early = timeout(PENDING_TIME, closing.closed()).await;
         assert!(early.is_err(), "the upstream still has the request");
         drop(upstream);
-        let closed = timeout(FOREVER, closing.closed()).await;
+        let closed = timeout(HANG_TIMEOUT, closing.closed()).await;
         assert!(closed.is_ok(), "the upstream has closed");
     });
 }
 
-/// Symptom: slots stay taken for as long as somebody else's request is being cancelled. Sequence:
-/// nothing was given up yet. Cause: a wait for connections that were not given up.
+/// Guards against slots that stay occupied because the wait includes connections that were not
+/// abandoned.
 #[test]
-fn requests_on_their_way_are_not_waited_for() {
+fn closed_ignores_connections_in_use() {
     System::new().block_on(async {
         let closing = Closing::default();
         let (_sent, _upstream) = request(&closing).await;
-        let closed = timeout(FOREVER, closing.closed()).await;
+        let closed = timeout(HANG_TIMEOUT, closing.closed()).await;
         assert!(closed.is_ok());
     });
 }
