--- a/crates/conf/src/cursor.rs
+++ b/crates/conf/src/cursor.rs
@@ -1,4 +1,4 @@
-//! Typed reading of a document, field by field, that gathers findings as it goes.
+//! Typed access to the fields of a document, collecting findings.
 
 use crate::{
     nearest::nearest,
@@ -23,38 +23,38 @@
     time::Duration, //
 };
 
-/// Digits after the point of a percentage that is read to parts per million.
+/// Number of decimals of a percentage with a resolution of one part per million.
 const PPM_DECIMALS: usize = 4;
 
-/// Parsed file with the findings so far.
+/// Parsed file and the findings recorded so far.
 #[derive(Debug)]
 pub struct Document {
     /// Name of the file.
     file: ByteString,
-    /// Root, unless the syntax was wrong.
+    /// Root node; `None` after a syntax error.
     root: Option<Node>,
-    /// Findings so far; behind a cell so that cursors at several depths can add to it.
-    found: RefCell<Vec<Finding>>,
+    /// Findings so far; in a cell so that nested maps and fields can add to them.
+    findings: RefCell<Vec<Finding>>,
 }
 
 impl Document {
-    /// Parses `text`; mistakes of syntax, repeated keys and aliases become findings.
+    /// Parses `text`; syntax errors, duplicate keys, anchors, aliases and tags become findings.
     ///
-    /// `file` only names the file in findings.
+    /// `file` is the file name used in findings.
     pub fn parse(file: &str, text: &str) -> Self {
         let tree = Tree::parse(text);
         let document = Self {
             file: file.into(),
             root: tree.root,
-            found: RefCell::default(),
+            findings: RefCell::default(),
         };
-        for (mark, message) in tree.found {
-            document.find(mark, message);
+        for (mark, message) in tree.findings {
+            document.report_at(mark, message);
         }
         document
     }
 
-    /// The root as a field without a name.
+    /// Returns the root as an unnamed field.
     pub fn root(&self) -> Field<'_> {
         Field {
             document: self,
@@ -64,51 +64,51 @@
         }
     }
 
-    /// The root as a mapping; `None`, with a finding, if it is something else.
+    /// Returns the root as a mapping; any other node is a finding.
     pub fn map(&self) -> Option<Map<'_>> {
         self.root().map()
     }
 
     /// Records a finding at `place`.
     pub fn fail(&self, place: Place, message: impl Into<String>) {
-        self.found.borrow_mut().push(Finding {
+        self.findings.borrow_mut().push(Finding {
             place,
             message: message.into(),
         });
     }
 
-    /// Number of findings so far; tells whether reading a part added any.
+    /// Number of findings so far; a caller compares counts to detect whether reading a part added any.
     pub fn found(&self) -> usize {
-        self.found.borrow().len()
+        self.findings.borrow().len()
     }
 
-    /// Gives the value if there were no findings.
+    /// Returns the value if there are no findings.
     ///
     /// # Errors
     ///
-    /// All findings. A missing value without any finding is a finding of its own, so that a reader
-    /// that forgot to record one can't pass for success.
+    /// All findings. A missing value without a finding yields a generic finding, so that a reader that
+    /// failed to record one doesn't appear to succeed.
     pub fn finish<T>(self, value: Option<T>) -> Result<T, Findings> {
-        let mut found = self.found.into_inner();
+        let mut findings = self.findings.into_inner();
         match value {
-            Some(value) if found.is_empty() => return Ok(value),
-            None if found.is_empty() => found.push(Finding {
-                place: place_at(&self.file, Mark::START),
+            Some(value) if findings.is_empty() => return Ok(value),
+            None if findings.is_empty() => findings.push(Finding {
+                place: location_at(&self.file, Mark::START),
                 message: "the document can't be read".to_owned(),
             }),
             _ => {}
         }
-        Err(found.into())
+        Err(findings.into())
     }
 
-    /// Records a finding at a mark of this document.
-    fn find(&self, mark: Mark, message: impl Into<String>) {
-        self.fail(place_at(&self.file, mark), message);
+    /// Records a finding at a position in this document.
+    fn report_at(&self, mark: Mark, message: impl Into<String>) {
+        self.fail(location_at(&self.file, mark), message);
     }
 }
 
-/// Place of a mark in the named file.
-fn place_at(file: &ByteString, mark: Mark) -> Place {
+/// Returns the source location of `mark` in `file`.
+fn location_at(file: &ByteString, mark: Mark) -> Place {
     Place {
         file: file.clone(),
         line: mark.line,
@@ -116,31 +116,31 @@
     }
 }
 
-/// Mapping that is being read; reports the fields that nobody asked for when it is dropped.
+/// Mapping that is being read; reports fields that were not requested when it is dropped.
 #[derive(Debug)]
 pub struct Map<'a> {
-    /// Document that the mapping is part of.
+    /// Document that contains the mapping.
     document: &'a Document,
-    /// Where the mapping starts.
+    /// Start of the mapping.
     mark: Mark,
-    /// Its fields in the order of the file.
+    /// Fields in file order.
     pairs: &'a [Pair],
-    /// Names that were asked for.
+    /// Names that were requested.
     known: Vec<&'a str>,
 }
 
 impl<'a> Map<'a> {
-    /// Asks for a field; its absence is a finding.
+    /// Returns a field; its absence is a finding.
     pub fn required(&mut self, name: &'a str) -> Field<'a> {
         let field = self.optional(name);
         if field.is_absent() {
             self.document
-                .find(self.mark, format!("missing field `{name}`"));
+                .report_at(self.mark, format!("missing field `{name}`"));
         }
         field
     }
 
-    /// Asks for a field that may be absent; an absent one yields `None` without a finding.
+    /// Returns a field that may be absent; reading an absent one yields `None` without a finding.
     pub fn optional(&mut self, name: &'a str) -> Field<'a> {
         self.known.push(name);
         let pair = self.pairs.iter().find(|pair| pair.key == name);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// All fields by name, for a mapping whose names are free; none of them is unknown afterwards.
+    /// Returns all fields, for a mapping with arbitrary names, and marks them as known.
     pub fn entries(&mut self) -> Vec<(&'a str, Place, Field<'a>)> {
         let document = self.document;
         let pairs = self.pairs;
@@ -167,22 +167,22 @@
                     mark: pair.value.mark,
                     node: Some(&pair.value),
                 };
-                (&*pair.key, place_at(&document.file, pair.mark), field)
+                (&*pair.key, location_at(&document.file, pair.mark), field)
             })
             .collect()
     }
 
-    /// Where the mapping starts.
+    /// Location of the start of the mapping.
     pub fn place(&self) -> Place {
-        place_at(&self.document.file, self.mark)
+        location_at(&self.document.file, self.mark)
     }
 
     /// Records a finding at the start of the mapping.
     pub fn fail(&self, message: impl Into<String>) {
-        self.document.find(self.mark, message);
+        self.document.report_at(self.mark, message);
     }
 
-    /// Ends reading: reports the fields that nobody asked for, as dropping it does.
+    /// Ends reading: drops the mapping, which reports fields that were not requested.
     pub fn finish(self) {}
 }
 
@@ -198,29 +198,29 @@
         for pair in unknown {
             let hint = suggestion(nearest(&pair.key, absent.iter().copied()));
             let message = format!("unknown field `{}`{hint}", pair.key);
-            self.document.find(pair.mark, message);
+            self.document.report_at(pair.mark, message);
         }
     }
 }
 
-/// End of a message that suggests a name.
+/// Formats the suggestion at the end of a message.
 fn suggestion(name: Option<&str>) -> String {
     name.map_or_else(String::new, |name| format!(", did you mean `{name}`?"))
 }
 
-/// Value of a field, which may be absent.
+/// Field of a mapping, which may be absent.
 ///
-/// Each reading method takes the field, records a finding if the value is not what it asks for,
-/// and then yields `None`, as it does without a finding for an absent field.
+/// Each read method consumes the field. It returns `None` and records a finding if the value is invalid;
+/// for an absent field it returns `None` without a finding.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a> {
-    /// Document that the field is part of.
+    /// Document that contains the field.
     document: &'a Document,
-    /// Name for messages; empty for the root.
+    /// Name used in messages; empty for the root.
     name: &'a str,
-    /// Where the value starts, or the mapping that lacks it.
+    /// Start of the value, or of the mapping if the field is absent.
     mark: Mark,
-    /// The value, unless absent.
+    /// Value; `None` if the field is absent.
     node: Option<&'a Node>,
 }
 
@@ -230,9 +230,9 @@
         self.node.is_none()
     }
 
-    /// Where the value starts, or the mapping that lacks it.
+    /// Location of the value, or of the mapping if the field is absent.
     pub fn place(&self) -> Place {
-        place_at(&self.document.file, self.mark)
+        location_at(&self.document.file, self.mark)
     }
 
     /// Records a finding about this field.
@@ -242,15 +242,15 @@
             name => format!("`{name}`"),
         };
         self.document
-            .find(self.mark, format!("{subject} {message}"));
+            .report_at(self.mark, format!("{subject} {message}"));
     }
 
-    /// Reads text; numbers and truth values count as the text they are written with.
+    /// Reads text; numbers and booleans are read as they are written.
     pub fn text(self) -> Option<ByteString> {
         self.scalar("text").map(ByteString::from)
     }
 
-    /// Reads text and converts it; `expected` says in findings what was wanted.
+    /// Reads text and parses it; `expected` describes the valid values in findings.
     pub fn parse<T: FromStr>(self, expected: &str) -> Option<T> {
         let text = self.scalar(expected)?;
         match text.parse() {
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Reads an integer of the range; `unit` is said in findings and may be empty.
+    /// Reads an integer within the range; `unit` is used in findings and may be empty.
     pub fn integer<T>(self, range: RangeInclusive<T>, unit: &str) -> Option<T>
     where
         T: Copy + Display + PartialOrd + TryFrom<i128>,
@@ -280,34 +280,37 @@
             let (low, high) = range.into_inner();
             self.fail(format_args!(
                 "must be between {low} and {high}{}, found {number}",
-                spaced(unit)
+                unit_suffix(unit)
             ));
         }
         value
     }
 
-    /// Reads whole milliseconds of the range into a duration.
+    /// Reads a duration in whole milliseconds within the range.
     pub fn duration_ms(self, range_ms: RangeInclusive<u64>) -> Option<Duration> {
         self.integer(range_ms, "ms").map(Duration::from_millis)
     }
 
-    /// Reads whole seconds of the range into a duration.
+    /// Reads a duration in whole seconds within the range.
     pub fn duration_s(self, range_s: RangeInclusive<u64>) -> Option<Duration> {
         self.integer(range_s, "s").map(Duration::from_secs)
     }
 
-    /// Reads a percentage such as `99.95` exactly, to parts per million within the range.
+    /// Reads a percentage such as `99.95` exactly, in parts per million within the range.
     pub fn percent_ppm(self, range_ppm: RangeInclusive<u32>) -> Option<u32> {
         let expected = "a percentage of at most 4 decimals, written without the unit";
         let text = self.plain(expected)?;
-        let Some(number) = scalar::fixed(text, PPM_DECIMALS) else {
+        let Some(number) = scalar::fixed_point(text, PPM_DECIMALS) else {
             return self.mismatch(expected, &format!("`{text}`"));
         };
         let value = u32::try_from(number)
             .ok()
             .filter(|value| range_ppm.contains(value));
         if value.is_none() {
-            let (low, high) = (ppm_text(*range_ppm.start()), ppm_text(*range_ppm.end()));
+            let (low, high) = (
+                format_percent(*range_ppm.start()),
+                format_percent(*range_ppm.end()),
+            );
             self.fail(format_args!(
                 "must be between {low} and {high} percent, found {text}"
             ));
@@ -325,7 +328,7 @@
         }
     }
 
-    /// Reads one of the given names and yields what stands beside it.
+    /// Reads one of the given names and returns the value paired with it.
     pub fn choice<T: Clone>(self, choices: &[(&str, T)]) -> Option<T> {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -338,16 +341,16 @@
         chosen.map(|(_, value)| value.clone())
     }
 
-    /// Reads a sequence; one that is absent or wrong is empty.
+    /// Reads a sequence; an absent or invalid one yields an empty list.
     pub fn list(self) -> Vec<Field<'a>> {
         self.try_list().unwrap_or_default()
     }
 
-    /// Reads a sequence, and tells one that is absent or wrong from an empty one.
+    /// Reads a sequence; an absent or invalid one yields `None`.
     pub fn try_list(self) -> Option<Vec<Field<'a>>> {
         let node = self.present("a list")?;
         let Data::List(items) = &node.data else {
-            return self.mismatch("a list", kind(node));
+            return self.mismatch("a list", kind_name(node));
         };
         let items = items.iter().map(|item| Field {
             document: self.document,
@@ -362,7 +365,7 @@
     pub fn map(self) -> Option<Map<'a>> {
         let node = self.present("a mapping")?;
         let Data::Map(pairs) = &node.data else {
-            return self.mismatch("a mapping", kind(node));
+            return self.mismatch("a mapping", kind_name(node));
         };
         Some(Map {
             document: self.document,
@@ -372,54 +375,54 @@
         })
     }
 
-    /// The node, unless absent; null where a value is wanted is a finding.
+    /// Returns the node unless absent; null is a finding.
     fn present(&self, expected: &str) -> Option<&'a Node> {
         let node = self.node?;
         match node.data {
-            Data::Refused => None,
+            Data::Rejected => None,
             Data::Null => self.mismatch(expected, "nothing"),
             _ => Some(node),
         }
     }
 
-    /// Text of a scalar, quoted or not.
+    /// Returns the text of a scalar, quoted or not.
     fn scalar(&self, expected: &str) -> Option<&'a str> {
         let node = self.present(expected)?;
         match &node.data {
             Data::Plain(text) | Data::Quoted(text) => Some(text),
-            _ => self.mismatch(expected, kind(node)),
+            _ => self.mismatch(expected, kind_name(node)),
         }
     }
 
-    /// Text of a scalar without quotes, for what is not text.
+    /// Returns the text of an unquoted scalar, for types other than text.
     fn plain(&self, expected: &str) -> Option<&'a str> {
         let node = self.present(expected)?;
         match &node.data {
             Data::Plain(text) => Some(text),
             Data::Quoted(_) => self.mismatch(expected, "quoted text"),
-            _ => self.mismatch(expected, kind(node)),
+            _ => self.mismatch(expected, kind_name(node)),
         }
     }
 
-    /// Records that something else was expected.
+    /// Records a type or format mismatch.
     fn mismatch<T>(&self, expected: &str, found: &str) -> Option<T> {
         self.fail(format_args!("must be {expected}, found {found}"));
         None
     }
 }
 
-/// What a node is, for messages.
-fn kind(node: &Node) -> &'static str {
+/// Returns the kind of a node, for messages.
+fn kind_name(node: &Node) -> &'static str {
     match node.data {
-        Data::Refused | Data::Null => "nothing",
+        Data::Rejected | Data::Null => "nothing",
         Data::Plain(_) | Data::Quoted(_) => "text",
         Data::List(_) => "a list",
         Data::Map(_) => "a mapping",
     }
 }
 
-/// Unit with a space before it, or nothing.
-fn spaced(unit: &str) -> String {
+/// Formats the unit with a leading space; empty if there is none.
+fn unit_suffix(unit: &str) -> String {
     if unit.is_empty() {
         String::new()
     } else {
@@ -427,8 +430,8 @@
     }
 }
 
-/// Parts per million as a percentage without needless digits.
-fn ppm_text(ppm: u32) -> String {
+/// Formats parts per million as a percentage without trailing zeros.
+fn format_percent(ppm: u32) -> String {
     let text = format!("{}.{:04}", ppm / 10_000, ppm % 10_000);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
--- a/crates/conf/src/place.rs
+++ b/crates/conf/src/finding.rs
@@ -1,4 +1,4 @@
-//! Places in files, and what was found there.
+//! Errors found in a file and their source locations.
 
 use bytestring::ByteString;
 use std::{
@@ -6,10 +6,10 @@
     fmt, //
 };
 
-/// Place in a file, for a person to go to.
+/// Source location in a file.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Place {
-    /// Name of the file as it was given.
+    /// Name of the file as given by the caller.
     pub file: ByteString,
     /// Line, counted from 1.
     pub line: u32,
@@ -23,12 +23,12 @@
     }
 }
 
-/// One mistake in a file.
+/// One error in a file.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
-    /// Where it is.
+    /// Location of the error.
     pub place: Place,
-    /// What it is, in one line.
+    /// Description, on one line.
     pub message: String,
 }
 
@@ -38,15 +38,15 @@
     }
 }
 
-/// All mistakes of a file, sorted by place and without repeats.
+/// All errors in a file, sorted by location and without duplicates.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Findings {
-    /// Sorted, each once.
+    /// Sorted and deduplicated.
     list: Vec<Finding>,
 }
 
 impl Findings {
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
@@ -56,7 +56,7 @@
         self.list.len()
     }
 
-    /// The findings in order of place.
+    /// Iterates over the findings in order of location.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.list.iter()
     }
--- a/crates/conf/src/nearest.rs
+++ b/crates/conf/src/nearest.rs
@@ -1,15 +1,15 @@
-//! The known name that a misspelt one most likely meant.
+//! Suggestions for misspelt names.
 
 use std::mem;
 
-/// Finds the known name nearest to `name`, if any is near enough to be meant.
+/// Returns the known name with the smallest edit distance to `name`, if it is close enough.
 ///
-/// Near enough is an edit distance of at most a third of the longer name, or of one where names
-/// are longer than that.
+/// The edit distance must be at most a third of the length of the longer name, or one for short names,
+/// and smaller than that length.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
-        .map(|candidate| (distance(name, candidate), candidate))
+        .map(|candidate| (edit_distance(name, candidate), candidate))
         .filter(|(distance, candidate)| {
             let longer = name.chars().count().max(candidate.chars().count());
             *distance <= (longer / 3).max(1) && *distance < longer
@@ -18,21 +18,21 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Longest name that is compared; longer ones are not misspellings of ours.
-const LONGEST: usize = 64;
+/// Maximum number of characters compared; longer names are not misspellings of known names.
+const MAX_COMPARED_CHARS: usize = 64;
 
-/// Levenshtein's edit distance in characters.
-fn distance(a: &str, b: &str) -> usize {
-    let b: Vec<char> = b.chars().take(LONGEST).collect();
-    let mut above: Vec<usize> = (0..=b.len()).collect();
-    let mut row = above.clone();
-    for (i, x) in a.chars().take(LONGEST).enumerate() {
+/// Levenshtein distance in characters.
+fn edit_distance(a: &str, b: &str) -> usize {
+    let b: Vec<char> = b.chars().take(MAX_COMPARED_CHARS).collect();
+    let mut previous_row: Vec<usize> = (0..=b.len()).collect();
+    let mut row = previous_row.clone();
+    for (i, x) in a.chars().take(MAX_COMPARED_CHARS).enumerate() {
         row[0] = i + 1;
         for (j, y) in b.iter().enumerate() {
-            let replaced = above[j] + usize::from(x != *y);
-            row[j + 1] = replaced.min(above[j + 1] + 1).min(row[j] + 1);
+            let replaced = previous_row[j] + usize::from(x != *y);
+            row[j + 1] = replaced.min(previous_row[j + 1] + 1).min(row[j] + 1);
         }
-        mem::swap(&mut above, &mut row);
+        mem::swap(&mut previous_row, &mut row);
     }
-    above[b.len()]
+    previous_row[b.len()]
 }
--- a/crates/conf/src/scalar.rs
+++ b/crates/conf/src/scalar.rs
@@ -1,11 +1,11 @@
-//! Plain scalars: what their text means, and when text must be quoted.
+//! Interpretation of plain scalars, and quoting of text.
 
-/// Whether the plain text stands for nothing.
+/// Whether a plain scalar is null in YAML's core schema.
 pub(crate) fn is_null(text: &str) -> bool {
     matches!(text, "" | "~" | "null" | "Null" | "NULL")
 }
 
-/// Reads a truth value of YAML's core schema.
+/// Parses a boolean of YAML's core schema.
 pub(crate) fn boolean(text: &str) -> Option<bool> {
     match text {
         "true" | "True" | "TRUE" => Some(true),
@@ -14,7 +14,7 @@
     }
 }
 
-/// Reads a decimal integer; `_` may group its digits.
+/// Parses a decimal integer; `_` may separate groups of digits.
 pub(crate) fn integer(text: &str) -> Option<i128> {
     let (sign, digits) = match text.strip_prefix('-') {
         Some(digits) => (-1, digits),
@@ -30,10 +30,10 @@
     Some(sign * magnitude)
 }
 
-/// Reads a decimal fraction exactly, in units of `10^-decimals`.
+/// Parses a non-negative decimal fraction exactly, in units of `10^-decimals`.
 ///
-/// More digits than that are refused instead of being rounded.
-pub(crate) fn fixed(text: &str, decimals: usize) -> Option<i128> {
+/// More than `decimals` fractional digits are rejected rather than rounded.
+pub(crate) fn fixed_point(text: &str, decimals: usize) -> Option<i128> {
     let (whole, fraction) = text.split_once('.').unwrap_or((text, ""));
     let exact = fraction.len() <= decimals && fraction.chars().all(|c| c.is_ascii_digit());
     if !exact || whole.starts_with('-') {
@@ -42,7 +42,7 @@
     integer(&format!("{whole}{fraction:0<decimals$}"))
 }
 
-/// Writes text as a YAML scalar of one line, quoted only where it must be.
+/// Formats text as a single-line YAML scalar, quoted only if necessary.
 pub fn quote(text: &str) -> String {
     let plain = !text.is_empty()
         && text.starts_with(|c: char| c.is_ascii_alphanumeric())
--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -1,8 +1,8 @@
-//! The document as a tree of located nodes, built from the parser's events.
+//! Tree of located nodes, built from the parser's events.
 //!
-//! The parser's own tree keeps a mapping's last value when a key stands twice, and copies what an
-//! alias names. So the tree is built here: a repeated key and an alias are findings. The stack of
-//! open collections is on the heap and bounded, so that no text exhausts the thread's stack.
+//! The parser's own tree keeps the last value of a duplicate key and copies the target of an alias.
+//! This tree reports duplicate keys and aliases as findings instead. The stack of open collections is
+//! on the heap and bounded, so that no input overflows the thread's stack.
 
 use crate::scalar;
 use base::FastMap;
@@ -13,10 +13,10 @@
     ScalarStyle, //
 };
 
-/// Deepest nesting of collections.
+/// Maximum nesting depth of collections.
 const MAX_DEPTH: usize = 32;
 
-/// Line and column, both counted from 1.
+/// Position in the document; line and column are counted from 1.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Mark {
     /// Line.
@@ -30,7 +30,7 @@
     pub(crate) const START: Self = Self { line: 1, column: 1 };
 
     /// Converts the parser's marker, whose columns count from 0.
-    fn of(marker: &Marker) -> Self {
+    fn from_marker(marker: &Marker) -> Self {
         let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Self {
             line: number(marker.line()).max(1),
@@ -39,67 +39,67 @@
     }
 }
 
-/// Node of the tree and where it starts.
+/// Node of the tree and its position.
 #[derive(Debug)]
 pub(crate) struct Node {
-    /// Where the node starts.
+    /// Start of the node.
     pub(crate) mark: Mark,
-    /// What the node holds.
+    /// Content of the node.
     pub(crate) data: Data,
 }
 
-/// What a node holds.
+/// Content of a node.
 #[derive(Debug)]
 pub(crate) enum Data {
-    /// Refused when the tree was built; already a finding.
-    Refused,
-    /// Null, or nothing at all.
+    /// Rejected when the tree was built; the finding is already recorded.
+    Rejected,
+    /// Null or empty.
     Null,
-    /// Text without quotes, whose meaning depends on the field.
+    /// Unquoted scalar, whose type depends on the field.
     Plain(String),
-    /// Text in quotes.
+    /// Quoted scalar.
     Quoted(String),
     /// Sequence.
     List(Vec<Node>),
-    /// Mapping, in the order of the file, each key once.
+    /// Mapping in file order, with unique keys.
     Map(Vec<Pair>),
 }
 
-/// Key of a mapping with its value.
+/// Key and value of a mapping.
 #[derive(Debug)]
 pub(crate) struct Pair {
     /// Text of the key.
     pub(crate) key: String,
-    /// Where the key starts.
+    /// Start of the key.
     pub(crate) mark: Mark,
-    /// What the key maps to.
+    /// Value of the key.
     pub(crate) value: Node,
 }
 
-/// Result of reading a text: a tree unless the syntax was wrong, and what was found.
+/// Result of parsing a text: the root node unless the syntax was invalid, and the findings.
 #[derive(Debug)]
 pub(crate) struct Tree {
-    /// Root of the only document.
+    /// Root of the document.
     pub(crate) root: Option<Node>,
-    /// Mistakes found while building.
-    pub(crate) found: Vec<(Mark, String)>,
+    /// Errors found while building.
+    pub(crate) findings: Vec<(Mark, String)>,
 }
 
 impl Tree {
-    /// Reads the only document of `text`.
+    /// Parses `text`, which must hold a single document.
     pub(crate) fn parse(text: &str) -> Self {
         let mut builder = Builder::default();
         let mut parser = Parser::new_from_str(text);
         while let Some(event) = parser.next_event() {
             match event {
                 Ok((event, span)) => {
-                    if !builder.take(event, Mark::of(&span.start)) {
+                    if !builder.handle_event(event, Mark::from_marker(&span.start)) {
                         break;
                     }
                 }
                 Err(error) => {
-                    builder.stop(
-                        Mark::of(error.marker()),
+                    builder.abort(
+                        Mark::from_marker(error.marker()),
                         format!("syntax: {}", error.info()),
                     );
                     break;
@@ -110,63 +110,63 @@
     }
 }
 
-/// Collection whose end has not been read yet.
-enum Open {
-    /// Sequence with its items so far.
+/// Collection whose end event hasn't been read yet.
+enum OpenCollection {
+    /// Sequence with the items read so far.
     List(Mark, Vec<Node>),
-    /// Mapping with its pairs so far.
-    Map(Mark, OpenMap),
+    /// Mapping with the pairs read so far.
+    Map(Mark, OpenMapping),
 }
 
-/// Mapping whose end has not been read yet.
+/// Mapping whose end event hasn't been read yet.
 #[derive(Default)]
-struct OpenMap {
-    /// Pairs so far, each key once.
+struct OpenMapping {
+    /// Pairs read so far, with unique keys.
     pairs: Vec<Pair>,
-    /// Key whose value comes next.
+    /// Key whose value is read next.
     key: Option<Key>,
-    /// Line of each key that was read.
-    lines: FastMap<String, u32>,
+    /// Line of each key read so far.
+    key_lines: FastMap<String, u32>,
 }
 
-/// What stands in a key's place.
+/// Key of a mapping that awaits its value.
 enum Key {
-    /// New key.
-    Fresh(String, Mark),
-    /// Repeated or unreadable key, whose value is dropped.
-    Dropped,
+    /// Unique key so far.
+    New(String, Mark),
+    /// Duplicate or invalid key, whose value is ignored.
+    Ignored,
 }
 
 /// Builds the tree from events.
 #[derive(Default)]
 struct Builder {
-    /// Collections around the current event, the outermost first.
-    open: Vec<Open>,
-    /// Root, once it is whole.
+    /// Collections that enclose the current event, outermost first.
+    open: Vec<OpenCollection>,
+    /// Root, once complete.
     root: Option<Node>,
-    /// Number of documents that started.
+    /// Number of documents started.
     documents: u32,
-    /// Whether reading stopped before the end.
-    stopped: bool,
-    /// Mistakes so far.
-    found: Vec<(Mark, String)>,
+    /// Whether parsing was aborted before the end.
+    aborted: bool,
+    /// Errors found so far.
+    findings: Vec<(Mark, String)>,
 }
 
 impl Builder {
-    /// Takes the next event; false once reading has to stop.
-    fn take(&mut self, event: Event<'_>, mark: Mark) -> bool {
+    /// Handles the next event; returns false once parsing is aborted.
+    fn handle_event(&mut self, event: Event<'_>, mark: Mark) -> bool {
         match event {
             Event::Nothing | Event::StreamStart | Event::StreamEnd | Event::DocumentEnd => {}
             Event::DocumentStart(_) => self.start_document(mark),
             Event::Alias(_) => {
-                self.find(mark, "aliases are not supported");
+                self.report(mark, "aliases are not supported");
                 self.add(Node {
                     mark,
-                    data: Data::Refused,
+                    data: Data::Rejected,
                 });
             }
             Event::Scalar(text, style, anchor, tag) => {
-                self.refuse_extras(mark, anchor, tag.is_some());
+                self.reject_anchor_and_tag(mark, anchor, tag.is_some());
                 let data = match style {
                     ScalarStyle::Plain if scalar::is_null(&text) => Data::Null,
                     ScalarStyle::Plain => Data::Plain(text.into_owned()),
@@ -175,64 +175,64 @@
                 self.add(Node { mark, data });
             }
             Event::SequenceStart(anchor, tag) => {
-                self.refuse_extras(mark, anchor, tag.is_some());
-                self.open(mark, Open::List(mark, Vec::new()));
+                self.reject_anchor_and_tag(mark, anchor, tag.is_some());
+                self.open(mark, OpenCollection::List(mark, Vec::new()));
             }
             Event::MappingStart(anchor, tag) => {
-                self.refuse_extras(mark, anchor, tag.is_some());
-                self.open(mark, Open::Map(mark, OpenMap::default()));
+                self.reject_anchor_and_tag(mark, anchor, tag.is_some());
+                self.open(mark, OpenCollection::Map(mark, OpenMapping::default()));
             }
             Event::SequenceEnd | Event::MappingEnd => self.close(),
         }
-        !self.stopped
+        !self.aborted
     }
 
-    /// Records a mistake.
-    fn find(&mut self, mark: Mark, message: impl Into<String>) {
-        self.found.push((mark, message.into()));
+    /// Records a finding.
+    fn report(&mut self, mark: Mark, message: impl Into<String>) {
+        self.findings.push((mark, message.into()));
     }
 
-    /// Records a mistake after which the rest can't be read.
-    fn stop(&mut self, mark: Mark, message: String) {
-        self.found.push((mark, message));
-        self.stopped = true;
+    /// Records a finding that aborts parsing.
+    fn abort(&mut self, mark: Mark, message: String) {
+        self.findings.push((mark, message));
+        self.aborted = true;
     }
 
-    /// Counts documents; only the first is read.
+    /// Counts documents; a second one aborts parsing.
     fn start_document(&mut self, mark: Mark) {
         self.documents += 1;
         if self.documents > 1 {
-            self.stop(mark, "only one document is read from a file".to_owned());
+            self.abort(mark, "only one document is read from a file".to_owned());
         }
     }
 
-    /// Refuses anchors and tags.
-    fn refuse_extras(&mut self, mark: Mark, anchor: usize, tagged: bool) {
+    /// Records findings for an anchor and a tag.
+    fn reject_anchor_and_tag(&mut self, mark: Mark, anchor: usize, tagged: bool) {
         if anchor != 0 {
-            self.find(mark, "anchors are not supported");
+            self.report(mark, "anchors are not supported");
         }
         if tagged {
-            self.find(mark, "tags are not supported");
+            self.report(mark, "tags are not supported");
         }
     }
 
     /// Opens a collection.
-    fn open(&mut self, mark: Mark, open: Open) {
+    fn open(&mut self, mark: Mark, collection: OpenCollection) {
         if self.open.len() == MAX_DEPTH {
-            self.stop(mark, format!("nested deeper than {MAX_DEPTH} levels"));
+            self.abort(mark, format!("nested deeper than {MAX_DEPTH} levels"));
             return;
         }
-        self.open.push(open);
+        self.open.push(collection);
     }
 
     /// Closes the innermost collection.
     fn close(&mut self) {
         let node = match self.open.pop() {
-            Some(Open::List(mark, items)) => Node {
+            Some(OpenCollection::List(mark, items)) => Node {
                 mark,
                 data: Data::List(items),
             },
-            Some(Open::Map(mark, map)) => Node {
+            Some(OpenCollection::Map(mark, map)) => Node {
                 mark,
                 data: Data::Map(map.pairs),
             },
@@ -241,59 +241,59 @@
         self.add(node);
     }
 
-    /// Adds a whole node to the collection around it.
+    /// Adds a complete node to the innermost open collection.
     fn add(&mut self, node: Node) {
         match self.open.last_mut() {
             None => self.root = Some(node),
-            Some(Open::List(_, items)) => items.push(node),
-            Some(Open::Map(_, map)) => match map.key.take() {
-                Some(Key::Fresh(key, mark)) => map.pairs.push(Pair {
+            Some(OpenCollection::List(_, items)) => items.push(node),
+            Some(OpenCollection::Map(_, map)) => match map.key.take() {
+                Some(Key::New(key, mark)) => map.pairs.push(Pair {
                     key,
                     mark,
                     value: node,
                 }),
-                Some(Key::Dropped) => {}
+                Some(Key::Ignored) => {}
                 None => self.add_key(node),
             },
         }
     }
 
-    /// Takes a node that stands in a key's place of the innermost mapping.
+    /// Adds a node as the next key of the innermost mapping.
     fn add_key(&mut self, node: Node) {
         let mark = node.mark;
-        let Some(Open::Map(_, map)) = self.open.last_mut() else {
+        let Some(OpenCollection::Map(_, map)) = self.open.last_mut() else {
             return;
         };
         let (key, message) = match node.data {
-            Data::Plain(text) | Data::Quoted(text) => match map.lines.get(&text) {
+            Data::Plain(text) | Data::Quoted(text) => match map.key_lines.get(&text) {
                 Some(line) => {
                     let message = format!("duplicate field `{text}`, first on line {line}");
-                    (Key::Dropped, Some(message))
+                    (Key::Ignored, Some(message))
                 }
                 None => {
-                    map.lines.insert(text.clone(), mark.line);
-                    (Key::Fresh(text, mark), None)
+                    map.key_lines.insert(text.clone(), mark.line);
+                    (Key::New(text, mark), None)
                 }
             },
-            Data::Refused => (Key::Dropped, None),
+            Data::Rejected => (Key::Ignored, None),
             Data::Null | Data::List(_) | Data::Map(_) => {
-                (Key::Dropped, Some("a field's name must be text".to_owned()))
+                (Key::Ignored, Some("a field's name must be text".to_owned()))
             }
         };
         map.key = Some(key);
         if let Some(message) = message {
-            self.find(mark, message);
+            self.report(mark, message);
         }
     }
 
-    /// Gives the tree, without root if reading stopped before the end.
+    /// Returns the tree, without a root if parsing was aborted.
     fn finish(mut self) -> Tree {
-        if self.root.is_none() && !self.stopped {
-            self.find(Mark::START, "the document is empty");
+        if self.root.is_none() && !self.aborted {
+            self.report(Mark::START, "the document is empty");
         }
         Tree {
-            root: self.root.filter(|_| !self.stopped),
-            found: self.found,
+            root: self.root.filter(|_| !self.aborted),
+            findings: self.findings,
         }
     }
 }
