--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that an entry writes to its log.
+//! All events that an entry logs.
 
 use crate::request::{
     RequestEnded,
@@ -17,25 +17,22 @@
     Serialize, //
 };
 
-/// How much attention a line asks for.
+/// Severity of an event.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// A fault that an operator has to look at.
+    /// Failure that needs an operator's attention.
     Error,
-    /// Something that should not be.
+    /// Unexpected condition.
     Warn,
-    /// A decision or a change of state.
+    /// Decision or state change.
     Info,
 }
 
-/// One event.
+/// Log event.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "event")]
-#[expect(
-    missing_docs,
-    reason = "fields are named after what they hold, with their unit"
-)]
+#[expect(missing_docs, reason = "the field names state their content and unit")]
 pub enum Event {
     /// The process has started.
     Started {
@@ -43,53 +40,54 @@
         failure_domain: DomainId,
         callers_addr: String,
     },
-    /// The traffic thread could not serve its ports; the process ends.
+    /// The traffic thread could not listen on its ports; the process exits.
     PortsNotServed { error: String },
-    /// A signal asked for the settings to be read again.
+    /// A signal requested a reload of the settings.
     ReloadAsked,
-    /// Changed settings are in force, but for these fields, which need a restart.
+    /// Changed settings are in force, except for the fields in `after_restart`, which need a restart.
     SettingsInForce { after_restart: String },
-    /// Changed settings have findings; those before stay in force.
+    /// Changed settings are invalid; the previous settings stay in force.
     SettingsRefused { findings: Vec<String> },
-    /// The planned stop has begun.
+    /// A planned stop has begun.
     Stopping { under_way: usize },
-    /// The process ends; requests that are still under way are cut.
+    /// The process exits; requests that are still in progress are aborted.
     Stopped { under_way: usize, took_ms: u64 },
 
-    /// Calls for a table of the store fail.
+    /// Store calls for a table have started to fail.
     StoreLost { table: String, error: String },
-    /// They succeed again.
+    /// Store calls for a table succeed again.
     StoreRegained { table: String, outage_ms: u64 },
-    /// A whole table was read.
+    /// A complete table was read.
     TableRead {
         table: String,
         rows: usize,
         position: u64,
     },
-    /// The store has forgotten the changes that were to come next: the table is read anew.
+    /// The store no longer has the changes after `position`: the complete table is read again.
     HistoryGone { table: String, position: u64 },
-    /// A row can't be read. One of operators leaves what was known in force; one of an upstream names none.
+    /// A row can't be parsed. For an operators' row, the last known value stays in force; an upstream's row is
+    /// treated as listing no upstream.
     RowUnreadable { row: String, findings: Vec<String> },
-    /// This entry's row could not be removed at its planned stop; others remove it later.
+    /// This entry could not remove its own row during its planned stop; other entries remove it later.
     OwnRowNotRemoved,
-    /// The row of an entry that is long lost was to be removed.
+    /// This entry tried to remove the row of another entry that has been lost for a long time.
     LostEntryRow { row: String, outcome: String },
 
     /// A version of the routes is in force.
     RoutesInForce { version: Version, from: String },
-    /// An operator began or ended the evacuation of a failure domain.
+    /// An operator started or ended the evacuation of a failure domain.
     Evacuation {
         failure_domain: DomainId,
         on: bool,
         row_version: u64,
     },
-    /// Evacuations ended whose rows were gone when the table was read anew.
+    /// Evacuations ended because their rows were missing when the complete table was read again.
     EvacuationsEnded { position: u64 },
-    /// Another entry told of evacuations that changed the picture.
+    /// Evacuations received from another entry changed this entry's state.
     EvacuationsHeard { from: InstanceId },
-    /// Another entry told of upstreams that changed the picture.
+    /// Upstreams received from another entry changed this entry's state.
     UpstreamsHeard { from: InstanceId },
-    /// The store lists an upstream.
+    /// The store lists a new or changed upstream.
     UpstreamListed {
         upstream: UpstreamId,
         service: ServiceId,
@@ -97,30 +95,30 @@
         cold_left_ms: u64,
         row_version: u64,
     },
-    /// The store lists an upstream no more.
+    /// The store no longer lists an upstream.
     UpstreamRemoved {
         upstream: UpstreamId,
         row_version: u64,
         after_outage: bool,
     },
-    /// Leases of cold upstreams were claimed: who holds one sends to it, and nobody else. The version is that of the
-    /// rows if they were granted.
+    /// This entry claimed leases of cold upstreams; only the holder of a lease sends requests to the upstream.
+    /// `row_version` is the version of the rows if the leases were granted.
     ColdLeases {
         outcome: String,
         upstreams: Vec<UpstreamId>,
         row_version: u64,
         took_ms: u64,
     },
-    /// Rows of leases that nobody has renewed for long were to be removed.
+    /// This entry tried to remove rows of leases that have not been renewed for a long time.
     ColdLeasesRemoved { rows: usize, outcome: String },
-    /// An upstream failed and gets nothing for a while.
+    /// An upstream failed and receives no requests for `away_ms`.
     UpstreamPassedOver {
         upstream: UpstreamId,
         service: ServiceId,
         away_ms: u64,
         not_there: bool,
     },
-    /// An upstream that was passed over has answered.
+    /// An upstream that was excluded after a failure has responded.
     UpstreamBack {
         upstream: UpstreamId,
         service: ServiceId,
@@ -145,44 +143,44 @@
         service: ServiceId,
         limit_per_s: Option<f64>,
     },
-    /// An upstream said that it leaves, or another one has its address.
+    /// An upstream announced that it is leaving, or its address belongs to another upstream.
     UpstreamClosed {
         upstream: UpstreamId,
         service: ServiceId,
         why: String,
     },
-    /// The budget of sends beyond a request's first is spent; said once a second and service.
+    /// The retry budget of a service is exhausted; logged at most once per second and service.
     RetriesSpent { service: ServiceId },
 
-    /// The rows of the entries could not be read.
+    /// The rows of the entries could not be read from the store.
     EntriesNotRead { error: String },
-    /// The port for other entries could not be opened.
+    /// The port for peer entries could not be opened.
     NoPeersPort { error: String },
-    /// A session to another entry stands.
+    /// A session with another entry was established.
     EntryConnected { entry: InstanceId, incarnation: u64 },
-    /// A session to another entry has ended.
+    /// A session with another entry has ended.
     EntryLost { entry: InstanceId, why: String },
-    /// A connection to the port for other entries did not prove itself.
+    /// A connection to the port for peer entries failed to authenticate.
     StrangerRefused { addr: String, why: String },
-    /// A new entry has taken its hub's picture in the place of the first whole tables.
+    /// A new entry has taken its initial state from its hub instead of reading the complete tables.
     PictureTaken {
         from: InstanceId,
         routes_version: Version,
         upstreams: usize,
         position: u64,
     },
-    /// A hub can't read a table of the store, and forwards nothing of it.
+    /// A hub can't read a table of the store and forwards no rows of it.
     HubNotReading { hub: InstanceId, table: String },
-    /// A message of another entry can't be read.
+    /// A message from another entry can't be parsed.
     MessageUnreadable { from: InstanceId, error: String },
-    /// A message could not be written.
+    /// A message could not be serialised.
     MessageUnwritable { error: String },
 
     /// A request has ended.
     Request(Box<RequestEnded>),
-    /// A send gave no answer for the caller.
+    /// An attempt to send a request yielded no response for the caller.
     SendFailed(Box<SendFailed>),
-    /// A long answer ended before it was whole.
+    /// A streamed response ended before it was complete.
     AnswerCut {
         id: String,
         upstream: UpstreamId,
@@ -190,23 +188,23 @@
         sent_bytes: u64,
         took_ms: u64,
     },
-    /// What a caller sent could not be read as a request.
+    /// A caller's input could not be parsed as a request.
     RequestNotRead { why: String, status: u16 },
-    /// A connection of a caller could not be accepted.
+    /// A caller's connection could not be accepted.
     AcceptFailed { error: String },
-    /// A caller's connection was closed at once: there are as many as this process may hold.
+    /// A caller's connection was closed immediately because `most` connections are open.
     CallerTurnedAway { most: usize },
 
-    /// Lines about requests beyond the bound of a second.
+    /// Lines about requests were omitted because they exceeded the limit per second.
     LinesLeftOut { lines: u64 },
-    /// Lines that found the queue full: nobody reads the output fast enough.
+    /// Lines were dropped because the queue was full: the output is read too slowly.
     LinesDropped { lines: u64, since_start: u64 },
-    /// Something that a library says.
+    /// Message logged by a library.
     Text { text: String },
 }
 
 impl Event {
-    /// How much attention it asks for.
+    /// Severity at which the event is logged.
     pub fn severity(&self) -> Severity {
         match self {
             Self::PortsNotServed { .. }
@@ -230,7 +228,7 @@
         }
     }
 
-    /// Id of the request that it is about.
+    /// Id of the request that the event is about, if any.
     pub fn request_id(&self) -> Option<&str> {
         match self {
             Self::Request(ended) => Some(&ended.id),
--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -1,15 +1,15 @@
-//! What an entry writes to its log.
+//! Typed log events of an entry.
 //!
-//! Start with [`Event`], which lists everything that is ever written, as types: whoever reads a log
-//! (`explain`, `jasminectl explain`) reads the same types that [`emit`] wrote. A log is lines of JSON on
-//! standard output; [`Line`] is one of them, with the time and the instance.
+//! [`Event`] defines every event that is logged. Log readers (`explain`, `jasminectl explain`) parse the
+//! same types that [`emit`] serialises. A log is a sequence of JSON lines on standard output; a [`Line`]
+//! adds the time and the instance to an event.
 //!
-//! - `event` lists the events; `request` holds those about one request.
-//! - `writer` hands lines to a thread of its own through a bounded queue.
-//! - `line` reads them.
+//! - `event` defines the events; `request` defines those about a single request.
+//! - `writer` passes lines to a logging thread through a bounded queue.
+//! - `line` parses log lines.
 //!
-//! Invariants: [`emit`] never waits. A line that finds the queue full is dropped and counted
-//! ([`take_dropped`]), and the process ends in time even if nobody reads its output.
+//! Invariants: [`emit`] never blocks. If the queue is full, a line is dropped and counted
+//! ([`take_dropped`]), and the process exits in time even if nothing reads its output.
 
 mod event;
 mod line;
--- a/crates/event/src/line.rs
+++ b/crates/event/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of a log.
+//! Log lines.
 
 use crate::event::{
     Event,
@@ -9,32 +9,32 @@
     Serialize, //
 };
 
-/// One line, as it is written and read.
+/// Log line, as it is written and parsed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Line {
-    /// Time of day, in milliseconds since the Unix epoch; it may jump.
+    /// Wall-clock time, in milliseconds since the Unix epoch; not monotonic.
     pub time_ms: u64,
-    /// How much attention it asks for.
+    /// Severity of the event.
     pub level: Severity,
-    /// The instance that wrote it.
+    /// Instance that wrote the line.
     pub instance: String,
-    /// Time since the process's start, in milliseconds; it never jumps.
+    /// Monotonic time since the start of the process, in milliseconds.
     #[serde(default)]
     pub up_ms: u64,
-    /// What happened.
+    /// The event itself.
     #[serde(flatten)]
     pub event: Event,
 }
 
 impl Line {
-    /// Reads a line; what stands before its first brace was added by whoever collected it. `None` for
-    /// a line without one, which no entry wrote.
+    /// Parses a line, ignoring any prefix before the first brace, such as one added by a log collector.
+    /// Returns `None` for a line without a brace, which no entry wrote.
     ///
     /// # Errors
     ///
-    /// The line holds an object that is no event: it is cut, or another release's.
+    /// The object isn't a known event: it is truncated or from another release.
     pub fn parse(text: &str) -> Option<Result<Self, serde_json::Error>> {
-        let begin = text.find('{')?;
-        Some(serde_json::from_str(&text[begin..]))
+        let start = text.find('{')?;
+        Some(serde_json::from_str(&text[start..]))
     }
 }
--- a/crates/event/src/request.rs
+++ b/crates/event/src/request.rs
@@ -1,4 +1,4 @@
-//! Events about one request.
+//! Events about a single request.
 
 use balance::UpstreamCounts;
 use base::{
@@ -15,36 +15,36 @@
 };
 use std::fmt;
 
-/// How a request ended; also the label `outcome` of the metrics.
+/// How a request ended; also the `outcome` label of the metrics.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An upstream's answer was passed on.
+    /// An upstream's response was passed on.
     Answered,
-    /// An upstream's own failure was passed on.
+    /// An upstream's error response was passed on.
     UpstreamError,
-    /// It did not run, and the caller was told when to come back.
+    /// It was not executed, and the caller was told when to retry.
     Refused,
-    /// It was sent and may have run; there is no answer.
+    /// It was sent and may have been executed; there is no response.
     Failed,
-    /// It was sent and may have run; there was no answer before the deadline.
+    /// It was sent and may have been executed; there was no response before the deadline.
     TimedOut,
-    /// The caller left before the answer.
+    /// The caller disconnected before the response.
     Cancelled,
-    /// The entry is about to end, and the caller was told to use another one.
+    /// The entry is shutting down, and the caller was told to use another entry.
     Closing,
-    /// The entry knows no routes yet.
+    /// The entry has no routes yet.
     NoRoutes,
-    /// No route has its host and path.
+    /// No route matches its host and path.
     NoSuchRoute,
     /// It had no request id.
     NoRequestId,
-    /// Its route has no service with any weight.
+    /// Its route has no service with a non-zero weight.
     NoService,
 }
 
 impl Outcome {
-    /// Its name.
+    /// Serialised name of the outcome.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -68,22 +68,22 @@
     }
 }
 
-/// Why the entry itself ended a request.
+/// Why the entry ended a request without an upstream's response.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Every upstream that may do it would answer too late.
+    /// Every eligible upstream would respond too late.
     #[default]
     NoSlotInTime,
-    /// All upstreams of the service are closed, cold beyond their allowance, failing or tried already.
+    /// All upstreams of the service are closed, cold with their allowance used up, failing or already tried.
     NoUpstreamOpen,
-    /// The service has no upstream at all.
+    /// The service has no upstreams.
     NoUpstreamListed,
-    /// The upstream stated that it did not run it, and it can't be sent again.
+    /// The upstream stated that it did not execute the request, which can't be retried.
     UpstreamRefused,
-    /// A send failed, and it can't be sent again.
+    /// A send failed, and the request can't be retried.
     SendFailed,
-    /// Its body was sent once and is not kept.
+    /// Its body has been sent and was not buffered, so it can't be retried.
     BodySpent,
     /// It is quarantined because of the number of upstreams it crashed.
     Quarantined,
@@ -103,104 +103,104 @@
     }
 }
 
-/// What was expected of an upstream when a decision was made.
+/// Estimates for an upstream at the time of a routing decision.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Expected {
-    /// Wait for a slot there, in milliseconds.
+    /// Wait for a slot, in milliseconds.
     pub wait_ms: u64,
-    /// The way there and back, the wait and the work, in milliseconds.
+    /// Time to the response (round trip, wait and execution), in milliseconds.
     pub answer_ms: u64,
 }
 
-/// The upstream that a request was sent to last, and what was known of it then.
+/// Upstream that a request was last sent to, and its known state at that time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Sent {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: UpstreamId,
-    /// Its region.
+    /// Region of the upstream.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub failure_domain: DomainId,
     /// Hash of the request's affinity key, in hexadecimal, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// Requests that it had, as far as known.
+    /// Estimated number of requests at the upstream.
     pub load: f64,
-    /// Requests that it works on at a time.
+    /// Number of requests that the upstream executes concurrently.
     pub slots: u32,
-    /// Age of what it last said of its load, in milliseconds.
+    /// Age of the upstream's last load report, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub report_age_ms: Option<u64>,
-    /// It had the request's affinity key lately.
+    /// Whether the upstream recently handled the request's affinity key.
     pub warm: bool,
-    /// What was expected of it.
+    /// Estimates for the upstream.
     pub expected: Expected,
 }
 
-/// The picture that a decision was made from.
+/// Snapshot of the state that a routing decision was based on.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Picture {
-    /// Version of the routes; zero before the first.
+    /// Version of the routes; zero before the first version.
     pub routes: Version,
-    /// Number of the snapshot.
+    /// Sequence number of the snapshot.
     pub number: u64,
-    /// Its age in milliseconds.
+    /// Age of the snapshot, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A request's final answer, or that its caller left.
+/// End of a request: its final response, or the caller's disconnection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RequestEnded {
-    /// Its id; empty if it had none.
+    /// Id of the request; empty if it had none.
     pub id: String,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// Status of the answer, if there was one.
+    /// HTTP status of the response, if there was one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Why this entry ended it, if it did.
+    /// Why the entry ended the request, if it did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<Reason>,
-    /// Its route.
+    /// Route of the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub route: Option<ByteString>,
-    /// The service that was to do it.
+    /// Service selected for the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceId>,
-    /// Sends that reached an upstream.
+    /// Number of sends that reached an upstream.
     #[serde(default)]
     pub sends: u32,
-    /// Whether it may have run.
+    /// Whether the request may have been executed.
     #[serde(default)]
     pub may_have_run: bool,
     /// Fingerprint of the request, in hexadecimal, if it failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fingerprint: Option<String>,
-    /// Where it was sent last.
+    /// Upstream that the request was last sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sent: Option<Sent>,
-    /// How the upstreams stood, if it was refused.
+    /// Number of upstreams in each state, if the request was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub census: Option<UpstreamCounts>,
-    /// What was expected of the best of them, if it was refused.
+    /// Estimates for the best upstream, if the request was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<Expected>,
-    /// When the caller was told to come back, in milliseconds.
+    /// Delay after which the caller was told to retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// From its head to now, in milliseconds.
+    /// Time since the request head was received, in milliseconds.
     pub took_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency target, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ms: Option<u64>,
-    /// Time that the caller waits, in milliseconds.
+    /// Deadline of the request, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// What it was decided from.
+    /// Snapshot that the decision was based on.
     pub picture: Picture,
 }
 
-/// A send that gave no answer for the caller.
+/// Send that yielded no response for the caller.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SendFailed {
     /// Id of the request.
@@ -208,15 +208,15 @@
     /// Fingerprint of the request, in hexadecimal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fingerprint: Option<String>,
-    /// The service.
+    /// Service of the request.
     pub service: ServiceId,
-    /// Where it was sent.
+    /// Upstream that the request was sent to.
     #[serde(flatten)]
     pub sent: Sent,
-    /// The upstream stated, or it is proved, that it did not run.
+    /// Whether the request is known not to have been executed: the upstream stated so, or it is proved.
     pub not_run: bool,
-    /// What happened.
+    /// Cause of the failure.
     pub why: String,
-    /// From the request's head to now, in milliseconds.
+    /// Time since the request head was received, in milliseconds.
     pub after_ms: u64,
 }
--- a/crates/event/src/writer.rs
+++ b/crates/event/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing lines, by a thread of the log's own.
+//! Writing of log lines on a separate thread.
 
 use crate::event::{
     Event,
@@ -46,60 +46,60 @@
     },
 };
 
-/// Lines that may wait. At three quarters of a kilobyte each they stay under one megabyte.
+/// Capacity of the queue in lines: less than 1 MB at 0.75 kB per line.
 const QUEUE_LINES: usize = 1200;
-/// Longest wait for the queue at the end of the process. A reader that lives has taken all by then.
-const END_WAIT: Duration = Duration::from_millis(200);
+/// Maximum time to wait for the queue to be flush_count at exit; an active reader has read everything by then.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// When the log was set up, about the start of the process.
-static START: OnceLock<Instant> = OnceLock::new();
-/// Lines that were lost since they were last asked for.
+/// Time at which the log was initialised, shortly after the start of the process.
+static LOG_START: OnceLock<Instant> = OnceLock::new();
+/// Number of lines dropped since the last call of [`take_dropped`].
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// How often the queue was written out whole.
-static FLUSHED: Mutex<u64> = Mutex::new(0);
-/// It was written out whole once more.
-static FLUSH: Condvar = Condvar::new();
+/// Number of completed flush_counter of the queue.
+static FLUSH_COUNT: Mutex<u64> = Mutex::new(0);
+/// Signals a completed flush.
+static FLUSH_DONE: Condvar = Condvar::new();
 
-/// Sets up the process's log; each line names `instance`.
+/// Initialises the process's log; each line contains `instance`.
 ///
 /// # Errors
 ///
-/// The log's thread can't be started.
+/// The logger or its thread can't be created.
 pub fn init_log(instance: &str) -> eyre::Result<()> {
-    START.get_or_init(Instant::now);
-    let instance = serde_json::to_string(instance).wrap_err("the instance's name")?;
+    LOG_START.get_or_init(Instant::now);
+    let instance = serde_json::to_string(instance).wrap_err("can't serialise the instance name")?;
     let stdout = StdStreamSink::builder()
         .stdout()
-        .formatter(Lines { instance })
-        .error_handler(note_lost)
+        .formatter(JsonFormatter { instance })
+        .error_handler(count_dropped)
         .build_arc()?;
-    let flushes = Arc::new(Flushes(SinkProp::default()));
+    let flush_counter = Arc::new(FlushCounter(SinkProp::default()));
     let capacity = QUEUE_LINES.try_into()?;
     let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
     let queue = AsyncPoolSink::builder()
         .sink(stdout)
-        .sink(flushes)
+        .sink(flush_counter)
         .overflow_policy(OverflowPolicy::DropIncoming)
-        .error_handler(note_lost)
+        .error_handler(count_dropped)
         .thread_pool(pool)
         .build_arc()?;
     let logger = Logger::builder()
         .sink(queue)
         .level_filter(LevelFilter::MoreSevereEqual(Level::Info))
-        .error_handler(note_lost)
+        .error_handler(count_dropped)
         .build_arc()?;
     spdlog::set_default_logger(logger);
     Ok(())
 }
 
-/// Writes an event, unless the queue is full.
+/// Logs an event; drops it if the queue is full.
 pub fn emit(event: &Event) {
     let Ok(json) = serde_json::to_string(event) else {
         DROPPED.fetch_add(1, Ordering::Relaxed);
         return;
     };
-    let up_ms = START.get_or_init(Instant::now).elapsed().as_millis();
-    // The object's own brace gives way to the fields that stand before its own.
+    let up_ms = LOG_START.get_or_init(Instant::now).elapsed().as_millis();
+    // Strip the opening brace, as the fields of the line are written before those of the event.
     let fields = json.get(1..).unwrap_or_default();
     match event.severity() {
         Severity::Error => spdlog::error!("{{\"up_ms\":{up_ms},{fields}"),
@@ -108,60 +108,62 @@
     }
 }
 
-/// Lines that were lost since the last call: the queue was full, or the output closed.
+/// Returns the number of lines dropped since the last call because the queue was full, the output was
+/// closed or an event could not be serialised.
 pub fn take_dropped() -> u64 {
     DROPPED.swap(0, Ordering::Relaxed)
 }
 
-/// Writes out what waits, and lets go of the log.
+/// FlushCounter the queue and abandons the logger.
 ///
-/// What goes wrong without it: at the end of a process the library waits for its thread, and that one
-/// for whoever reads the output. With a reader that has stopped, the process never ends, and a planned
-/// stop ends by force. So the wait here is bounded, and the library is left nothing to wait for.
+/// At exit, the logging library joins its thread, which blocks while the output isn't read. If the reader has
+/// stopped, the process would never exit, and a planned stop would end in a forced kill. Therefore the wait here
+/// is bounded, and the logger is leaked so that the library has nothing to join.
 pub fn end_log() {
-    let flushed = || FLUSHED.lock().unwrap_or_else(PoisonError::into_inner);
-    let before = *flushed();
+    let flush_count = || FLUSH_COUNT.lock().unwrap_or_else(PoisonError::into_inner);
+    let count_before = *flush_count();
     spdlog::default_logger().flush();
-    // Whether it came to that or the time ran out, the process ends now.
-    let _ = FLUSH.wait_timeout_while(flushed(), END_WAIT, |count| *count == before);
-    if let Ok(silent) = Logger::builder().build_arc() {
-        mem::forget(spdlog::swap_default_logger(silent));
+    // The process exits now, whether the flush completed or timed out.
+    let _ =
+        FLUSH_DONE.wait_timeout_while(flush_count(), FLUSH_TIMEOUT, |count| *count == count_before);
+    if let Ok(empty_logger) = Logger::builder().build_arc() {
+        mem::forget(spdlog::swap_default_logger(empty_logger));
     }
 }
 
-fn note_lost(_: spdlog::Error) {
+fn count_dropped(_: spdlog::Error) {
     DROPPED.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Takes part in the queue only to learn when it was written out.
-struct Flushes(SinkProp);
+/// Sink that only counts flush_counter of the queue.
+struct FlushCounter(SinkProp);
 
-impl GetSinkProp for Flushes {
+impl GetSinkProp for FlushCounter {
     fn prop(&self) -> &SinkProp {
         &self.0
     }
 }
 
-impl Sink for Flushes {
+impl Sink for FlushCounter {
     fn log(&self, _: &Record<'_>) -> spdlog::Result<()> {
         Ok(())
     }
 
     fn flush(&self) -> spdlog::Result<()> {
-        *FLUSHED.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        FLUSH.notify_all();
+        *FLUSH_COUNT.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        FLUSH_DONE.notify_all();
         Ok(())
     }
 }
 
-/// Lines of JSON: an event is an object already, and whatever else comes becomes one.
+/// Formats records as JSON lines; a payload that isn't an event is wrapped in a `text` event.
 #[derive(Clone)]
-struct Lines {
-    /// Name of the instance, as JSON.
+struct JsonFormatter {
+    /// Name of the instance as a JSON string.
     instance: String,
 }
 
-impl Formatter for Lines {
+impl Formatter for JsonFormatter {
     fn format(
         &self,
         record: &Record<'_>,
@@ -173,8 +175,8 @@
             Level::Warn => "warn",
             _ => "info",
         };
-        let since = record.time().duration_since(UNIX_EPOCH);
-        let time_ms = since.map_or(0, |since| since.as_millis());
+        let since_epoch = record.time().duration_since(UNIX_EPOCH);
+        let time_ms = since_epoch.map_or(0, |since_epoch| since_epoch.as_millis());
         let instance = &self.instance;
         let written = write!(
             dest,
--- a/crates/event/tests/lines.rs
+++ b/crates/event/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Every event is read back as it was written, with its line's own fields beside it.
+//! Round trip of every event through a log line.
 
 use event::{
     Event,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Names a test for each event.
+/// Declares a test for each event.
 macro_rules! read_back {
     ($($name:ident: $event:expr;)*) => {
         $(
@@ -77,8 +77,8 @@
     };
 }
 
-/// What goes wrong: a field of an event that has the name of one of the line's makes a line that can't be
-/// read. It shows only in that event's lines.
+/// Guards against an event field with the same name as a field of the line: such a line can't be parsed,
+/// and only lines of that event are affected.
 fn check(event: &Event) {
     let line = Line {
         time_ms: 1_770_974_084_016,
@@ -87,11 +87,11 @@
         up_ms: 8_207,
         event: event.clone(),
     };
-    let text = serde_json::to_string(&line).expect("plain data");
+    let text = serde_json::to_string(&line).expect("the line can be serialised");
     let collected = format!("2026-12-03 moshi-1 {text}");
     let read = Line::parse(&collected)
-        .expect("an object")
-        .expect("an event");
+        .expect("a JSON object")
+        .expect("a known event");
     assert_eq!(read, line, "{text}");
 }
 
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn what_is_no_event_is_told_from_a_cut_one() {
+fn parse_distinguishes_other_text_from_truncated_event() {
     assert!(Line::parse("starting up").is_none());
     assert!(matches!(
         Line::parse("x {\"time_ms\":1,\"lev"),
