--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -37,7 +37,7 @@
 //!     findings.to_string(),
 //!     "a.yaml:1:1: missing field `listen`\n\
 //!      a.yaml:1:1: unknown field `listn`, did you mean `listen`?\n\
-//!      a.yaml:2:14: `timeout_ms` must be between 1 and 60000 ms, found 0"
+//!      a.yaml:2:13: `timeout_ms` must be between 1 and 60000 ms, found 0"
 //! );
 //! ```
 //!
--- a/crates/event/src/event.rs
+++ b/crates/event/src/event.rs
@@ -87,7 +87,7 @@
     EvacuationsHeard { from: InstanceId },
     /// Upstreams received from another entry changed this entry's state.
     UpstreamsHeard { from: InstanceId },
-    /// The store lists a new or changed upstream.
+    /// A row of the store lists an upstream.
     UpstreamListed {
         upstream: UpstreamId,
         service: ServiceId,
--- a/crates/metric/tests/upkeep.rs
+++ b/crates/metric/tests/upkeep.rs
@@ -10,7 +10,7 @@
 
 /// Resident set size of this process, in kilobytes.
 fn resident_kb() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
+    let status = fs::read_to_string("/proc/self/status").expect("the process status is readable");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let digits: String = line
         .expect("a VmRSS line")
