--- a/crates/conf/src/cursor.rs
+++ b/crates/conf/src/cursor.rs
@@ -12,7 +12,7 @@
     },
     Finding,
     Findings,
-    Place, //
+    SourceLocation, //
 };
 use bytestring::ByteString;
 use std::{
@@ -70,15 +70,15 @@
     }
 
     /// Records a finding at `place`.
-    pub fn fail(&self, place: Place, message: impl Into<String>) {
+    pub fn report(&self, place: SourceLocation, message: impl Into<String>) {
         self.findings.borrow_mut().push(Finding {
-            place,
+            location: place,
             message: message.into(),
         });
     }
 
     /// Number of findings so far; a caller compares counts to detect whether reading a part added any.
-    pub fn found(&self) -> usize {
+    pub fn finding_count(&self) -> usize {
         self.findings.borrow().len()
     }
 
@@ -93,7 +93,7 @@
         match value {
             Some(value) if findings.is_empty() => return Ok(value),
             None if findings.is_empty() => findings.push(Finding {
-                place: location_at(&self.file, Mark::START),
+                location: location_at(&self.file, Mark::START),
                 message: "the document can't be read".to_owned(),
             }),
             _ => {}
@@ -103,13 +103,13 @@
 
     /// Records a finding at a position in this document.
     fn report_at(&self, mark: Mark, message: impl Into<String>) {
-        self.fail(location_at(&self.file, mark), message);
+        self.report(location_at(&self.file, mark), message);
     }
 }
 
 /// Returns the source location of `mark` in `file`.
-fn location_at(file: &ByteString, mark: Mark) -> Place {
-    Place {
+fn location_at(file: &ByteString, mark: Mark) -> SourceLocation {
+    SourceLocation {
         file: file.clone(),
         line: mark.line,
         column: mark.column,
@@ -153,7 +153,7 @@
     }
 
     /// Returns all fields, for a mapping with arbitrary names, and marks them as known.
-    pub fn entries(&mut self) -> Vec<(&'a str, Place, Field<'a>)> {
+    pub fn entries(&mut self) -> Vec<(&'a str, SourceLocation, Field<'a>)> {
         let document = self.document;
         let pairs = self.pairs;
         self.known
@@ -173,12 +173,12 @@
     }
 
     /// Location of the start of the mapping.
-    pub fn place(&self) -> Place {
+    pub fn location(&self) -> SourceLocation {
         location_at(&self.document.file, self.mark)
     }
 
     /// Records a finding at the start of the mapping.
-    pub fn fail(&self, message: impl Into<String>) {
+    pub fn report(&self, message: impl Into<String>) {
         self.document.report_at(self.mark, message);
     }
 
@@ -231,12 +231,12 @@
     }
 
     /// Location of the value, or of the mapping if the field is absent.
-    pub fn place(&self) -> Place {
+    pub fn location(&self) -> SourceLocation {
         location_at(&self.document.file, self.mark)
     }
 
     /// Records a finding about this field.
-    pub fn fail(&self, message: impl Display) {
+    pub fn report(&self, message: impl Display) {
         let subject = match self.name {
             "" => "the document".to_owned(),
             name => format!("`{name}`"),
@@ -278,7 +278,7 @@
             .filter(|value| range.contains(value));
         if value.is_none() {
             let (low, high) = range.into_inner();
-            self.fail(format_args!(
+            self.report(format_args!(
                 "must be between {low} and {high}{}, found {number}",
                 unit_suffix(unit)
             ));
@@ -311,7 +311,7 @@
                 format_percent(*range_ppm.start()),
                 format_percent(*range_ppm.end()),
             );
-            self.fail(format_args!(
+            self.report(format_args!(
                 "must be between {low} and {high} percent, found {text}"
             ));
         }
@@ -336,7 +336,7 @@
         let chosen = choices.iter().find(|(name, _)| *name == text);
         if chosen.is_none() {
             let hint = suggestion(nearest(text, names.iter().copied()));
-            self.fail(format_args!("must be {expected}, found `{text}`{hint}"));
+            self.report(format_args!("must be {expected}, found `{text}`{hint}"));
         }
         chosen.map(|(_, value)| value.clone())
     }
@@ -406,7 +406,7 @@
 
     /// Records a type or format mismatch.
     fn mismatch<T>(&self, expected: &str, found: &str) -> Option<T> {
-        self.fail(format_args!("must be {expected}, found {found}"));
+        self.report(format_args!("must be {expected}, found {found}"));
         None
     }
 }
--- a/crates/conf/src/finding.rs
+++ b/crates/conf/src/finding.rs
@@ -8,7 +8,7 @@
 
 /// Source location in a file.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct SourceLocation {
     /// Name of the file as given by the caller.
     pub file: ByteString,
     /// Line, counted from 1.
@@ -17,7 +17,7 @@
     pub column: u32,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SourceLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -27,14 +27,14 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
     /// Location of the error.
-    pub place: Place,
+    pub location: SourceLocation,
     /// Description, on one line.
     pub message: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.message)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -62,7 +62,7 @@
 pub use finding::{
     Finding,
     Findings,
-    Place, //
+    SourceLocation, //
 };
 pub use nearest::nearest;
 pub use scalar::quote;
--- a/crates/ctl/src/command/routes.rs
+++ b/crates/ctl/src/command/routes.rs
@@ -21,9 +21,9 @@
 use plat::{
     Check,
     Commit,
+    FailureReason,
     HttpPlatform,
     Outcome,
-    Reason,
     Row,
     Table,
     Txn,
@@ -118,7 +118,7 @@
         }
     }
 
-    fn not_done(&self, reason: &Reason) -> Failure {
+    fn not_done(&self, reason: &FailureReason) -> Failure {
         Failure::Refused(format!("{}: {reason}; nothing was changed", self.url))
     }
 }
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -19,8 +19,8 @@
     time::Duration, //
 };
 use strict::{
-    watched_connector,
-    Closing, //
+    tracking_connector,
+    ClosingConnections, //
 };
 
 /// Time after which an idle connection is closed.
@@ -31,7 +31,7 @@
 pub(crate) struct Channel {
     pub(crate) client: Client,
     /// Connections given up, until the peer has closed them.
-    pub(crate) closing: Closing,
+    pub(crate) closing: ClosingConnections,
 }
 
 /// HTTP clients of one traffic thread, one per address.
@@ -74,8 +74,8 @@
 
 impl Channel {
     fn new(connect_timeout: Duration) -> Self {
-        let closing = Closing::default();
-        let connector = watched_connector(closing.clone())
+        let closing = ClosingConnections::default();
+        let connector = tracking_connector(closing.clone())
             .timeout(connect_timeout)
             .conn_keep_alive(KEEP_ALIVE)
             .limit(0);
--- a/crates/daemon/src/process/control/claims.rs
+++ b/crates/daemon/src/process/control/claims.rs
@@ -35,9 +35,9 @@
 use plat::{
     Check,
     Commit,
+    FailureReason,
     HttpPlatform,
     Outcome,
-    Reason,
     Table,
     Txn,
     Write, //
@@ -249,7 +249,7 @@
 async fn read_row(platform: &HttpPlatform, key: ByteString) -> ClaimEvent {
     match platform.read(&[key]).await {
         Ok(rows) => ClaimEvent::Read(rows.into_iter().next().flatten().map(to_row)),
-        Err(error) if matches!(error.0, Reason::NotConnected(_)) => ClaimEvent::Down,
+        Err(error) if matches!(error.0, FailureReason::NotConnected(_)) => ClaimEvent::Down,
         Err(_) => ClaimEvent::Lost,
     }
 }
--- a/crates/daemon/src/process/control/config/accept/run.rs
+++ b/crates/daemon/src/process/control/config/accept/run.rs
@@ -5,9 +5,9 @@
 use bytestring::ByteString;
 use op::Refusal;
 use plat::{
+    FailureReason,
     Objects as _,
     Outcome,
-    Reason,
     Table as _,
     Txn, //
 };
@@ -89,7 +89,7 @@
     }
 
     fn answer<T>(&mut self, what: &str, outcome: Outcome<T>) -> Answer<T> {
-        let mut failed = |why: Reason| self.last_failure = format!("{what}: {why}");
+        let mut failed = |why: FailureReason| self.last_failure = format!("{what}: {why}");
         match outcome {
             Outcome::Done(done) => Answer::Done(done),
             Outcome::NotDone(why) => {
--- a/crates/daemon/src/process/metric.rs
+++ b/crates/daemon/src/process/metric.rs
@@ -61,6 +61,6 @@
          `jasmine-router --metrics-page`, one after the other; a test checks that they agree. All start \
          at zero with the process: instances keep nothing. Histograms are exported as buckets.\n\n\
          ## `jasmined`\n\n{}",
-        metric::page_table(METRICS)
+        metric::markdown_table(METRICS)
     )
 }
--- a/crates/daemon/src/process/pool/permit.rs
+++ b/crates/daemon/src/process/pool/permit.rs
@@ -12,7 +12,7 @@
     sync::Arc,
     time::Duration, //
 };
-use strict::Closing;
+use strict::ClosingConnections;
 use tokio::time::{
     timeout_at,
     Instant, //
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Cancellation {
     /// Abandoned connections, the one of the request among them.
-    closing: Closing,
+    closing: ClosingConnections,
     /// Time at which the upstream stops by itself.
     deadline: Instant,
 }
@@ -50,7 +50,7 @@
     /// busy machine, and a long one withholds slots from callers with short timeouts, who then
     /// retry. The upstream closing its end of the connection is the reliable signal.
     async fn upstream_stopped(self) {
-        let _ = timeout_at(self.deadline + STOP_GRACE, self.closing.closed()).await;
+        let _ = timeout_at(self.deadline + STOP_GRACE, self.closing.wait_closed()).await;
     }
 }
 
@@ -103,7 +103,7 @@
     }
 
     /// Records that the request is being sent, on a connection that `closing` tracks.
-    pub(crate) fn mark_sent(&self, closing: &Closing, deadline: Instant) {
+    pub(crate) fn mark_sent(&self, closing: &ClosingConnections, deadline: Instant) {
         self.state.replace(RequestState::Sent(Cancellation {
             closing: closing.clone(),
             deadline,
--- a/crates/daemon/src/process/settings.rs
+++ b/crates/daemon/src/process/settings.rs
@@ -210,8 +210,8 @@
     // region, so beyond loopback a key is required.
     if operator_addr.is_some_and(|addr| !addr.ip().is_loopback()) && operator_key_field.is_absent()
     {
-        document.fail(
-            operator.place(),
+        document.report(
+            operator.location(),
             "`operator_addr` is not loopback, which needs `operator_key`",
         );
     }
@@ -244,7 +244,7 @@
         host.parse::<SocketAddr>().is_ok()
     });
     if !plain {
-        field.fail("must be `http://` and an address such as 127.0.0.1:7000");
+        field.report("must be `http://` and an address such as 127.0.0.1:7000");
     }
     plain.then(|| text.trim_end_matches('/').into())
 }
@@ -252,7 +252,7 @@
 fn secret(field: Field<'_>) -> Option<Secret> {
     let text = field.text()?;
     if text.len() < KEY_MIN_BYTES {
-        field.fail(format_args!("must have at least {KEY_MIN_BYTES} bytes"));
+        field.report(format_args!("must have at least {KEY_MIN_BYTES} bytes"));
         return None;
     }
     Some(Secret(text))
@@ -311,12 +311,14 @@
 /// Validates the relations between terms.
 fn check_terms(map: &Map<'_>, terms: &Terms) {
     if terms.lease_renew * 2 > terms.lease {
-        map.fail("`lease_renew_ms` must be at most half of `lease_ms`, or one lost renewal lapses");
+        map.report(
+            "`lease_renew_ms` must be at most half of `lease_ms`, or one lost renewal lapses",
+        );
     }
     if terms.lease > terms.lease_floor {
-        map.fail("`lease_floor_ms` must not be shorter than `lease_ms`");
+        map.report("`lease_floor_ms` must not be shorter than `lease_ms`");
     }
     if terms.beat * 2 > terms.beat_silent {
-        map.fail("`beat_silent_ms` must be at least twice `beat_ms`");
+        map.report("`beat_silent_ms` must be at least twice `beat_ms`");
     }
 }
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -52,7 +52,7 @@
 };
 use event::{
     emit,
-    take_dropped,
+    take_dropped_lines,
     Event, //
 };
 use lease::Leases;
@@ -351,7 +351,7 @@
 
     /// Logs how many log lines were dropped since the last call and returns their number.
     fn report_dropped_lines(&self, dropped_before: u64) -> u64 {
-        let lines = take_dropped();
+        let lines = take_dropped_lines();
         if lines > 0 {
             metrics::counter!(crate::metric::LOG_LINES_LEFT_OUT, "reason" => "queue full")
                 .increment(lines);
--- a/crates/entry/src/metric.rs
+++ b/crates/entry/src/metric.rs
@@ -41,6 +41,6 @@
 pub fn metrics_page() -> String {
     format!(
         "\n## `jasmine-entry` and `jasmine-router`\n\n{}",
-        metric::page_table(METRICS)
+        metric::markdown_table(METRICS)
     )
 }
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -24,7 +24,7 @@
 use arc_swap::ArcSwap;
 use event::{
     emit,
-    end_log,
+    shutdown_log,
     Event, //
 };
 use eyre::{
@@ -144,7 +144,7 @@
         stop_requested.await?;
         stop(&control, &shared).await;
         traffic.stop();
-        end_log();
+        shutdown_log();
         Ok(())
     })
 }
@@ -152,7 +152,7 @@
 /// Runs the metrics recorder's upkeep periodically, which drains the samples that it buffers.
 async fn run_metrics_upkeep(metrics: PrometheusHandle) {
     loop {
-        tokio::time::sleep(::metric::UPKEEP).await;
+        tokio::time::sleep(::metric::UPKEEP_INTERVAL).await;
         metrics.run_upkeep();
     }
 }
--- a/crates/entry/src/traffic/placement.rs
+++ b/crates/entry/src/traffic/placement.rs
@@ -13,8 +13,8 @@
 };
 use bytestring::ByteString;
 use event::{
-    Expected,
     Reason,
+    ResponseEstimate,
     UpstreamCounts, //
 };
 use relay::Target;
@@ -76,7 +76,7 @@
     /// Failure domain of the upstream.
     pub(super) failure_domain: DomainId,
     /// Expected wait and response time.
-    pub(super) expected: Expected,
+    pub(super) expected: ResponseEstimate,
 }
 
 /// Why a request is rejected, with the data behind the decision.
@@ -86,7 +86,7 @@
     /// Time after which the caller should retry.
     pub(super) retry_after: Duration,
     /// Expected wait and response time of the upstream that would have responded first.
-    pub(super) expected: Expected,
+    pub(super) expected: ResponseEstimate,
     /// Counts of the service's upstreams by state.
     pub(super) upstream_counts: UpstreamCounts,
 }
@@ -112,8 +112,8 @@
 }
 
 /// Converts an expectation to its form in log lines.
-pub(super) fn logged_expectation(expected: Expectation) -> Expected {
-    Expected {
+pub(super) fn logged_expectation(expected: Expectation) -> ResponseEstimate {
+    ResponseEstimate {
         wait_ms: millis(expected.wait),
         answer_ms: millis(expected.response_time),
     }
--- a/crates/entry/src/traffic/request_log.rs
+++ b/crates/entry/src/traffic/request_log.rs
@@ -30,10 +30,10 @@
     emit,
     Event,
     Outcome,
-    Picture,
     RequestEnded,
     SendFailed,
-    Sent, //
+    SendTarget, //
+    SnapshotInfo,
 };
 use relay::{
     CallerResponse,
@@ -129,7 +129,7 @@
             took_ms: millis(received.elapsed()),
             target_ms: None,
             deadline_ms: None,
-            picture: Picture {
+            picture: SnapshotInfo {
                 routes: snapshot.routes.as_ref().map_or(0, |table| table.version()),
                 number: snapshot.number,
                 age_ms: millis(self.now().saturating_sub(snapshot.created_at)),
@@ -190,7 +190,7 @@
         })));
     }
 
-    fn last_sent(&self, progress: &Progress) -> Option<Sent> {
+    fn last_sent(&self, progress: &Progress) -> Option<SendTarget> {
         let placement = progress.placement.as_ref()?;
         Some(sent(progress.upstream()?, placement))
     }
@@ -236,8 +236,8 @@
     pub(super) progress: &'a Progress,
 }
 
-fn sent(upstream: &UpstreamId, placement: &Placement) -> Sent {
-    Sent {
+fn sent(upstream: &UpstreamId, placement: &Placement) -> SendTarget {
+    SendTarget {
         upstream: upstream.clone(),
         region: placement.region.clone(),
         failure_domain: placement.failure_domain.clone(),
--- a/crates/entry/tests/support/store.rs
+++ b/crates/entry/tests/support/store.rs
@@ -13,11 +13,11 @@
     Changes,
     Check,
     Commit,
+    FailureReason,
     Feed,
     FeedRow,
     Outcome,
     ReadError,
-    Reason,
     Row,
     Rows,
     Table,
@@ -177,9 +177,9 @@
             .expect("no test panics while it holds the lock")
     }
 
-    fn check_available(&self) -> Result<(), Reason> {
+    fn check_available(&self) -> Result<(), FailureReason> {
         if self.down.load(Ordering::Relaxed) {
-            return Err(Reason::Refused);
+            return Err(FailureReason::Refused);
         }
         Ok(())
     }
@@ -245,7 +245,7 @@
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, ReadError> {
         self.check_available().map_err(ReadError)?;
         if self.scans_refused.load(Ordering::Relaxed) {
-            return Err(ReadError(Reason::Refused));
+            return Err(ReadError(FailureReason::Refused));
         }
         self.scans.fetch_add(1, Ordering::Relaxed);
         let keys: Vec<String> = self.lock().rows.keys().cloned().collect();
--- a/crates/event/src/lib.rs
+++ b/crates/event/src/lib.rs
@@ -9,7 +9,7 @@
 //! - `line` parses log lines.
 //!
 //! Invariants: [`emit`] never blocks. If the queue is full, a line is dropped and counted
-//! ([`take_dropped`]), and the process exits in time even if nothing reads its output.
+//! ([`take_dropped_lines`]), and the process exits in time even if nothing reads its output.
 
 mod event;
 mod line;
@@ -23,17 +23,17 @@
 };
 pub use line::Line;
 pub use request::{
-    Expected,
     Outcome,
-    Picture,
     Reason,
     RequestEnded,
+    ResponseEstimate,
     SendFailed,
-    Sent, //
+    SendTarget, //
+    SnapshotInfo,
 };
 pub use writer::{
     emit,
-    end_log,
     init_log,
-    take_dropped, //
+    shutdown_log,
+    take_dropped_lines, //
 };
--- a/crates/event/src/request.rs
+++ b/crates/event/src/request.rs
@@ -105,7 +105,7 @@
 
 /// Estimates for an upstream at the time of a routing decision.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Expected {
+pub struct ResponseEstimate {
     /// Wait for a slot, in milliseconds.
     pub wait_ms: u64,
     /// Time to the response (round trip, wait and execution), in milliseconds.
@@ -114,7 +114,7 @@
 
 /// Upstream that a request was last sent to, and its known state at that time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Sent {
+pub struct SendTarget {
     /// Id of the upstream.
     pub upstream: UpstreamId,
     /// Region of the upstream.
@@ -134,12 +134,12 @@
     /// Whether the upstream recently handled the request's affinity key.
     pub warm: bool,
     /// Estimates for the upstream.
-    pub expected: Expected,
+    pub expected: ResponseEstimate,
 }
 
 /// Snapshot of the state that a routing decision was based on.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Picture {
+pub struct SnapshotInfo {
     /// Version of the routes; zero before the first version.
     pub routes: Version,
     /// Sequence number of the snapshot.
@@ -178,13 +178,13 @@
     pub fingerprint: Option<String>,
     /// Upstream that the request was last sent to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub sent: Option<Sent>,
+    pub sent: Option<SendTarget>,
     /// Number of upstreams in each state, if the request was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub census: Option<UpstreamCounts>,
     /// Estimates for the best upstream, if the request was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub expected: Option<Expected>,
+    pub expected: Option<ResponseEstimate>,
     /// Delay after which the caller was told to retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
@@ -197,7 +197,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
     /// Snapshot that the decision was based on.
-    pub picture: Picture,
+    pub picture: SnapshotInfo,
 }
 
 /// Send that yielded no response for the caller.
@@ -212,7 +212,7 @@
     pub service: ServiceId,
     /// Upstream that the request was sent to.
     #[serde(flatten)]
-    pub sent: Sent,
+    pub sent: SendTarget,
     /// Whether the request is known not to have been executed: the upstream stated so, or it is proved.
     pub not_run: bool,
     /// Cause of the failure.
--- a/crates/event/src/writer.rs
+++ b/crates/event/src/writer.rs
@@ -53,7 +53,7 @@
 
 /// Time at which the log was initialised, shortly after the start of the process.
 static LOG_START: OnceLock<Instant> = OnceLock::new();
-/// Number of lines dropped since the last call of [`take_dropped`].
+/// Number of lines dropped since the last call of [`take_dropped_lines`].
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 /// Number of completed flush_counter of the queue.
 static FLUSH_COUNT: Mutex<u64> = Mutex::new(0);
@@ -110,7 +110,7 @@
 
 /// Returns the number of lines dropped since the last call because the queue was full, the output was
 /// closed or an event could not be serialised.
-pub fn take_dropped() -> u64 {
+pub fn take_dropped_lines() -> u64 {
     DROPPED.swap(0, Ordering::Relaxed)
 }
 
@@ -119,7 +119,7 @@
 /// At exit, the logging library joins its thread, which blocks while the output isn't read. If the reader has
 /// stopped, the process would never exit, and a planned stop would end in a forced kill. Therefore the wait here
 /// is bounded, and the logger is leaked so that the library has nothing to join.
-pub fn end_log() {
+pub fn shutdown_log() {
     let flush_count = || FLUSH_COUNT.lock().unwrap_or_else(PoisonError::into_inner);
     let count_before = *flush_count();
     spdlog::default_logger().flush();
--- a/crates/event/tests/lines.rs
+++ b/crates/event/tests/lines.rs
@@ -2,20 +2,20 @@
 
 use event::{
     Event,
-    Expected,
     Line,
     Outcome,
-    Picture,
     Reason,
     RequestEnded,
+    ResponseEstimate,
     SendFailed,
-    Sent,
+    SendTarget,
     Severity, //
+    SnapshotInfo,
     UpstreamCounts,
 };
 
-fn sent() -> Sent {
-    Sent {
+fn sent() -> SendTarget {
+    SendTarget {
         upstream: "u-1".into(),
         region: "moshi".into(),
         failure_domain: "moshi-a".into(),
@@ -24,7 +24,7 @@
         slots: 9,
         report_age_ms: Some(120),
         warm: true,
-        expected: Expected {
+        expected: ResponseEstimate {
             wait_ms: 20,
             answer_ms: 180,
         },
@@ -49,7 +49,7 @@
             cold: 0,
             failing: 2,
         }),
-        expected: Some(Expected {
+        expected: Some(ResponseEstimate {
             wait_ms: 400,
             answer_ms: 520,
         }),
@@ -57,7 +57,7 @@
         took_ms: 1,
         target_ms: Some(300),
         deadline_ms: Some(2000),
-        picture: Picture {
+        picture: SnapshotInfo {
             routes: 7,
             number: 12,
             age_ms: 40,
--- a/crates/explain/src/summary.rs
+++ b/crates/explain/src/summary.rs
@@ -16,7 +16,7 @@
     Line,
     Outcome,
     RequestEnded,
-    Sent, //
+    SendTarget, //
 };
 use serde::Serialize;
 use std::{
@@ -110,7 +110,7 @@
 }
 
 /// Boundary between an entry and its upstream, and what was known of the upstream's warmth.
-fn way(location: Option<(&RegionId, &DomainId)>, sent: Option<&Sent>) -> String {
+fn way(location: Option<(&RegionId, &DomainId)>, sent: Option<&SendTarget>) -> String {
     let Some(sent) = sent else {
         return "not sent".to_owned();
     };
--- a/crates/explain/src/text.rs
+++ b/crates/explain/src/text.rs
@@ -4,7 +4,7 @@
     Event,
     RequestEnded,
     SendFailed,
-    Sent, //
+    SendTarget, //
 };
 
 /// An event as people read it.
@@ -114,7 +114,7 @@
     )
 }
 
-fn text_of_sent(sent: &Sent) -> String {
+fn text_of_sent(sent: &SendTarget) -> String {
     let report = match sent.report_age_ms {
         Some(age_ms) => format!("reported {age_ms} ms before"),
         None => "never reported".to_owned(),
--- a/crates/explain/tests/causes.rs
+++ b/crates/explain/tests/causes.rs
@@ -2,15 +2,15 @@
 
 use event::{
     Event,
-    Expected,
     Line,
     Outcome,
-    Picture,
     Reason,
     RequestEnded,
+    ResponseEstimate,
     SendFailed,
-    Sent,
+    SendTarget,
     Severity, //
+    SnapshotInfo,
     UpstreamCounts,
 };
 use explain::{
@@ -21,8 +21,8 @@
 /// Time of the request's end in each log.
 const END_MS: u64 = 100_000;
 
-fn sent() -> Sent {
-    Sent {
+fn sent() -> SendTarget {
+    SendTarget {
         upstream: "u-1".into(),
         region: "moshi".into(),
         failure_domain: "moshi-a".into(),
@@ -31,7 +31,7 @@
         slots: 9,
         report_age_ms: Some(80),
         warm: true,
-        expected: Expected {
+        expected: ResponseEstimate {
             wait_ms: 0,
             answer_ms: 150,
         },
@@ -56,7 +56,7 @@
         took_ms: 100,
         target_ms: Some(400),
         deadline_ms: Some(2000),
-        picture: Picture::default(),
+        picture: SnapshotInfo::default(),
     }
 }
 
@@ -69,7 +69,7 @@
         fingerprint: None,
         sent: None,
         census: Some(census),
-        expected: Some(Expected {
+        expected: Some(ResponseEstimate {
             wait_ms: 380,
             answer_ms: 520,
         }),
@@ -175,7 +175,7 @@
     answered_in_time: [(0, request(ended(Outcome::Answered)))] => None, "";
     late_behind_others: [(0, request(RequestEnded {
         took_ms: 600,
-        sent: Some(Sent { expected: Expected { wait_ms: 300, answer_ms: 450 }, ..sent() }),
+        sent: Some(SendTarget { expected: ResponseEstimate { wait_ms: 300, answer_ms: 450 }, ..sent() }),
         ..ended(Outcome::Answered)
     }))] => Queued, "450 ms, 300 of them waiting";
     late_by_a_slow_upstream: [(0, request(RequestEnded {
@@ -184,14 +184,14 @@
     }))] => UpstreamSlow, "900 ms for a target of 400 ms";
     late_without_its_key: [(0, request(RequestEnded {
         took_ms: 480,
-        sent: Some(Sent { warm: false, ..sent() }),
+        sent: Some(SendTarget { warm: false, ..sent() }),
         ..ended(Outcome::Answered)
     }))] => ColdCache, "";
     late_from_another_region: [(0, request(RequestEnded {
         took_ms: 420,
-        sent: Some(Sent {
+        sent: Some(SendTarget {
             region: "dar".into(),
-            expected: Expected { wait_ms: 0, answer_ms: 380 },
+            expected: ResponseEstimate { wait_ms: 0, answer_ms: 380 },
             ..sent()
         }),
         ..ended(Outcome::Answered)
--- a/crates/load/src/scene/plan.rs
+++ b/crates/load/src/scene/plan.rs
@@ -91,10 +91,10 @@
     let scene = scene(map)?;
     let known = |name: &RegionId| scene.regions.iter().any(|region| region.name == *name);
     if !focus.as_ref().is_none_or(known) {
-        focus_field.fail("names no region of this scene");
+        focus_field.report("names no region of this scene");
     }
     if back_at_ms.is_some() && focus.is_none() {
-        back_field.fail("needs `focus` to say which region is back");
+        back_field.report("needs `focus` to say which region is back");
     }
     Some(Plan {
         scene,
--- a/crates/load/src/scene/read.rs
+++ b/crates/load/src/scene/read.rs
@@ -92,7 +92,7 @@
     let mut names = BTreeSet::new();
     for (field, item) in &items {
         if !names.insert(name(item).clone()) {
-            field.fail(format_args!("names `{}` twice", name(item)));
+            field.report(format_args!("names `{}` twice", name(item)));
         }
     }
     items.into_iter().map(|(_, item)| item).collect()
@@ -106,7 +106,7 @@
     let share = number(map.optional("share"));
     let one_way_ms = map.optional("one_way_ms").integer(0..=LONGEST_MS, "ms");
     if block.as_ref().is_some_and(|b| first_address(b).is_none()) {
-        block_field.fail("must be an IPv4 block as in 10.1.0.0/16");
+        block_field.report("must be an IPv4 block as in 10.1.0.0/16");
     }
     Some(CallerRegion {
         name: name?,
@@ -139,7 +139,7 @@
     let tries = map.optional("tries").integer(1..=MOST_TRIES, "");
     let attempt_ms = map.optional("attempt_ms").integer(1..=LONGEST_MS, "ms");
     if filing != FilingWay::None && work.is_some_and(|work| work != Work::Echo) {
-        work_field.fail("of a filing must be echo");
+        work_field.report("of a filing must be echo");
     }
     Some(ClassLoad {
         name: name?,
@@ -169,14 +169,14 @@
     let factor = number(map.required("factor"));
     let known = |name: &ClassId| classes.iter().any(|(_, class)| class.name == *name);
     if !class.as_ref().is_none_or(known) {
-        class_field.fail("names no class of this scene");
+        class_field.report("names no class of this scene");
     }
     let known = |name: &RegionId| regions.iter().any(|(_, region)| region.name == *name);
     if !region.as_ref().is_none_or(known) {
-        region_field.fail("names no region of this scene");
+        region_field.report("names no region of this scene");
     }
     if to_ms? <= from_ms? {
-        to_field.fail("must be after `from_ms`");
+        to_field.report("must be after `from_ms`");
     }
     Some(Burst {
         class,
@@ -199,14 +199,14 @@
     let leaves = texts(map.optional("leaves"));
     let returns = texts(map.optional("returns"));
     if path.as_ref().is_some_and(|path| !path.starts_with('/')) {
-        path_field.fail("must start with `/`");
+        path_field.report("must start with `/`");
     }
     if body.as_ref().is_some_and(|body| !is_json(body)) {
-        body_field.fail("must be JSON");
+        body_field.report("must be JSON");
     }
     let has_place = path.as_ref().is_some_and(|path| path.contains(EACH_ID));
     if path.is_some() && has_place == each_field.is_absent() {
-        path_field.fail(format_args!(
+        path_field.report(format_args!(
             "must have `{EACH_ID}` exactly if there is `each`"
         ));
     }
@@ -244,6 +244,6 @@
     if value.is_finite() && value >= 0.0 {
         return Some(value);
     }
-    field.fail("must be a number of 0 or more");
+    field.report("must be a number of 0 or more");
     None
 }
--- a/crates/metric/src/lib.rs
+++ b/crates/metric/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A program declares each metric once with [`table!`]; the metrics endpoint, `docs/METRICS.md` and the
 //! instrumented code all take the name from that declaration. [`install`] installs the process's recorder
-//! and registers the help texts; [`UPKEEP`] is the interval at which the caller must call `run_upkeep`.
+//! and registers the help texts; [`UPKEEP_INTERVAL`] is the interval at which the caller must call `run_upkeep`.
 
 use eyre::WrapErr;
 use metrics_exporter_prometheus::{
@@ -19,7 +19,7 @@
 /// Without these calls, the recorder buffers each histogram value until the metrics are rendered, so the
 /// memory of a process that is never scraped grows with every request and drops at the first scrape. At 5 s,
 /// several thousand values are buffered.
-pub const UPKEEP: Duration = Duration::from_secs(5);
+pub const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Upper bounds of the histogram buckets for durations, in seconds: each two to 2.5 times the previous one,
 /// from the latency within a failure domain to the longest deadline.
@@ -102,7 +102,7 @@
 }
 
 /// Formats the table as Markdown.
-pub fn page_table(table: &[Metric]) -> String {
+pub fn markdown_table(table: &[Metric]) -> String {
     let mut page = String::from(
         "| name | kind | unit | labels | meaning |\n| --- | --- | --- | --- | --- |\n",
     );
--- a/crates/plat/src/caller.rs
+++ b/crates/plat/src/caller.rs
@@ -1,9 +1,9 @@
 //! An HTTP client with a deadline per call, independent of the protocol on top of it.
 
 use crate::outcome::{
+    FailureReason, //
     Outcome,
     ReadError,
-    Reason, //
 };
 use awc::{
     body::{
@@ -82,9 +82,9 @@
 #[derive(Clone, Debug)]
 pub enum CallError {
     /// Nothing was sent.
-    NotSent(Reason),
+    NotSent(FailureReason),
     /// Some or all of the request may have been sent.
-    MaybeSent(Reason),
+    MaybeSent(FailureReason),
 }
 
 /// Sends requests to one platform; must be used on one thread, inside an actix system.
@@ -141,7 +141,7 @@
                 .body()
                 .limit(MAX_RESPONSE_BYTES)
                 .await
-                .map_err(|error| CallError::MaybeSent(Reason::Broken(error.to_string())))?;
+                .map_err(|error| CallError::MaybeSent(FailureReason::Broken(error.to_string())))?;
             Ok(HttpResponse {
                 status: response.status(),
                 body,
@@ -155,7 +155,7 @@
                 // over it are affected and each would cost another deadline, so all idle
                 // connections are closed, too.
                 self.client.replace(new_client());
-                Err(CallError::MaybeSent(Reason::Timeout))
+                Err(CallError::MaybeSent(FailureReason::Timeout))
             }
         }
     }
@@ -163,7 +163,7 @@
 
 impl CallError {
     /// The reason, whether or not the request was sent.
-    pub fn into_reason(self) -> Reason {
+    pub fn into_reason(self) -> FailureReason {
         match self {
             Self::NotSent(reason) | Self::MaybeSent(reason) => reason,
         }
@@ -206,11 +206,11 @@
     let text = error.to_string();
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
-            CallError::MaybeSent(Reason::Broken(text))
+            CallError::MaybeSent(FailureReason::Broken(text))
         }
         SendRequestError::Url(_) | SendRequestError::Connect(_) => {
-            CallError::NotSent(Reason::NotConnected(text))
+            CallError::NotSent(FailureReason::NotConnected(text))
         }
-        _ => CallError::MaybeSent(Reason::Broken(text)),
+        _ => CallError::MaybeSent(FailureReason::Broken(text)),
     }
 }
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -7,9 +7,9 @@
         HttpResponse,
     },
     outcome::{
+        FailureReason, //
         Outcome,
         ReadError,
-        Reason, //
     },
     types::{
         Commit,
@@ -90,7 +90,7 @@
         deadline: Duration,
     ) -> Result<HttpResponse, CallError> {
         let body = serde_json::to_vec(request)
-            .map_err(|error| CallError::NotSent(Reason::Malformed(error.to_string())))?;
+            .map_err(|error| CallError::NotSent(FailureReason::Malformed(error.to_string())))?;
         self.caller
             .call(
                 Method::POST,
@@ -169,7 +169,7 @@
 
 impl Objects for HttpPlatform {
     async fn get(&self, name: &str) -> Result<Option<Bytes>, ReadError> {
-        let path = object_path(name).ok_or(ReadError(Reason::BadName))?;
+        let path = object_path(name).ok_or(ReadError(FailureReason::BadName))?;
         let response = self.get_path(&path).await?;
         match response.status {
             StatusCode::NOT_FOUND => Ok(None),
@@ -179,7 +179,7 @@
 
     async fn put(&self, name: &str, body: Bytes) -> Outcome<()> {
         let Some(path) = object_path(name) else {
-            return Outcome::NotDone(Reason::BadName);
+            return Outcome::NotDone(FailureReason::BadName);
         };
         let content_type = "application/octet-stream";
         let called = self
@@ -189,7 +189,7 @@
         match called {
             Ok(response) if response.status == StatusCode::OK => Outcome::Done(()),
             Ok(response) if response.status == StatusCode::CONFLICT => {
-                Outcome::NotDone(Reason::OtherBody)
+                Outcome::NotDone(FailureReason::OtherBody)
             }
             Ok(response) => write_error(response.status),
             Err(error) => error.into(),
@@ -204,8 +204,8 @@
     }
 }
 
-impl From<Reason> for ReadError {
-    fn from(reason: Reason) -> Self {
+impl From<FailureReason> for ReadError {
+    fn from(reason: FailureReason) -> Self {
         Self(reason)
     }
 }
@@ -213,28 +213,28 @@
 /// Outcome of a write for a status that the call gives no meaning of its own.
 fn write_error<T>(status: StatusCode) -> Outcome<T> {
     match status {
-        StatusCode::SERVICE_UNAVAILABLE => Outcome::NotDone(Reason::Refused),
-        status => Outcome::Unknown(Reason::Status(status.as_u16())),
+        StatusCode::SERVICE_UNAVAILABLE => Outcome::NotDone(FailureReason::Refused),
+        status => Outcome::Unknown(FailureReason::Status(status.as_u16())),
     }
 }
 
 /// Returns the body of a response with status 200, and an error for any other status.
-fn ok_body(response: HttpResponse) -> Result<Bytes, Reason> {
+fn ok_body(response: HttpResponse) -> Result<Bytes, FailureReason> {
     match response.status {
         StatusCode::OK => Ok(response.body),
-        StatusCode::SERVICE_UNAVAILABLE => Err(Reason::Refused),
-        status => Err(Reason::Status(status.as_u16())),
+        StatusCode::SERVICE_UNAVAILABLE => Err(FailureReason::Refused),
+        status => Err(FailureReason::Status(status.as_u16())),
     }
 }
 
 /// Parses the JSON body of a complete response.
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reason> {
-    serde_json::from_slice(body).map_err(|error| Reason::Malformed(error.to_string()))
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, FailureReason> {
+    serde_json::from_slice(body).map_err(|error| FailureReason::Malformed(error.to_string()))
 }
 
 /// Reason for a response with the wrong number of rows.
-fn row_count_mismatch(expected: usize, actual: usize) -> Reason {
-    Reason::Malformed(format!("expected {expected} rows, got {actual}"))
+fn row_count_mismatch(expected: usize, actual: usize) -> FailureReason {
+    FailureReason::Malformed(format!("expected {expected} rows, got {actual}"))
 }
 
 /// Path of an object, or `None` if its name would need escaping; the digests used as names need none.
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -31,9 +31,9 @@
 };
 pub use http::HttpPlatform;
 pub use outcome::{
+    FailureReason, //
     Outcome,
     ReadError,
-    Reason, //
 };
 pub use types::{
     Changes,
--- a/crates/plat/src/outcome.rs
+++ b/crates/plat/src/outcome.rs
@@ -7,7 +7,7 @@
 
 /// Why a call returned no usable response.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum FailureReason {
     /// The connection could not be established; nothing was sent.
     NotConnected(String),
     /// The platform refused the request before it had any effect, for example with status 503.
@@ -26,7 +26,7 @@
     Malformed(String),
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotConnected(error) => write!(f, "no connection to the platform: {error}"),
@@ -47,16 +47,16 @@
     /// The platform executed the call, with this result.
     Done(T),
     /// The call has had no effect and never will: it can be retried.
-    NotDone(Reason),
+    NotDone(FailureReason),
     /// The call may have taken effect or may still do so: read the state before retrying.
-    Unknown(Reason),
+    Unknown(FailureReason),
 }
 
 /// The error of a failed read; reads have no side effects and can be retried.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReadError(
     /// Why the read failed.
-    pub Reason,
+    pub FailureReason,
 );
 
 impl fmt::Display for ReadError {
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -4,12 +4,12 @@
 use plat::{
     Check,
     Commit,
+    FailureReason,
     HttpPlatform,
     Listing,
     Objects,
     Outcome,
     ReadError,
-    Reason,
     Table,
     Txn,
     Write, //
@@ -334,7 +334,7 @@
     assert_eq!(client.get("absent").await.unwrap(), None);
     assert_eq!(
         client.put("../list", Bytes::new()).await,
-        Outcome::NotDone(Reason::BadName)
+        Outcome::NotDone(FailureReason::BadName)
     );
     set_fault(addr, Kind::Stale).await;
     send(addr, "DELETE", "/list/upstreams/u", "").await;
@@ -368,13 +368,13 @@
     });
     let client = client(addr, SHORT_TIMEOUT);
     let read = || client.scan("k");
-    assert_eq!(read().await, Err(ReadError(Reason::Timeout)));
+    assert_eq!(read().await, Err(ReadError(FailureReason::Timeout)));
     actix_web::rt::time::sleep(4 * SHORT_TIMEOUT).await;
     // Retries until a response arrives in time on a busy machine; a wrong response always fails.
     loop {
         match read().await {
             Ok(rows) => return assert_ne!(rows[0].version, 0),
-            Err(ReadError(reason)) => assert_eq!(reason, Reason::Timeout),
+            Err(ReadError(reason)) => assert_eq!(reason, FailureReason::Timeout),
         }
     }
 }
@@ -394,7 +394,7 @@
     assert_eq!(relay.counters().connections, 3);
     relay.set_fault(link::Kind::SilentOld);
     let first = client.read(&keys).await;
-    assert_eq!(first, Err(ReadError(Reason::Timeout)));
+    assert_eq!(first, Err(ReadError(FailureReason::Timeout)));
     assert!(client.read(&keys).await.is_ok());
     assert_eq!(relay.counters().connections, 4);
 }
--- a/crates/relay/src/caller.rs
+++ b/crates/relay/src/caller.rs
@@ -49,7 +49,7 @@
         Instant, //
     },
 };
-use strict::set_options;
+use strict::set_socket_options;
 use tokio::{
     net::{
         tcp::OwnedReadHalf,
@@ -127,7 +127,7 @@
 
 /// Serves a caller's connection until it ends.
 pub async fn serve<H: Handler>(stream: TcpStream, handler: Rc<H>) {
-    if set_options(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         // The caller has already closed the connection.
         return;
     }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -29,7 +29,7 @@
         Instant, //
     },
 };
-use strict::set_options;
+use strict::set_socket_options;
 use tokio::{
     io::{
         AsyncReadExt,
@@ -287,7 +287,7 @@
             ))
         }
     };
-    set_options(&stream).map_err(|error| Failure::NotSent(error.to_string()))?;
+    set_socket_options(&stream).map_err(|error| Failure::NotSent(error.to_string()))?;
     Ok(stream)
 }
 
--- a/crates/route/src/parse.rs
+++ b/crates/route/src/parse.rs
@@ -22,7 +22,7 @@
     Field,
     Findings,
     Map,
-    Place, //
+    SourceLocation, //
 };
 use std::time::Duration;
 
@@ -43,18 +43,20 @@
     let mut locations = FastMap::default();
     let routes = document.map().and_then(|map| routes(map, &mut locations));
     // References are checked only if all fields could be read, since missing parts would cause further findings.
-    if let Some(routes) = routes.as_ref().filter(|_| document.found() == 0) {
+    if let Some(routes) = routes.as_ref().filter(|_| document.finding_count() == 0) {
         for finding in verify(routes) {
             let location = locations.get(&finding.location);
-            let location = location.cloned().unwrap_or_else(|| document.root().place());
-            document.fail(location, finding.to_string());
+            let location = location
+                .cloned()
+                .unwrap_or_else(|| document.root().location());
+            document.report(location, finding.to_string());
         }
     }
     document.finish(routes)
 }
 
 /// Position in the file of each service and route, by its location in findings.
-type Locations = FastMap<String, Place>;
+type Locations = FastMap<String, SourceLocation>;
 
 fn routes(mut map: Map<'_>, locations: &mut Locations) -> Option<Routes> {
     let version = map.required("version").integer(1..=u64::MAX, "");
@@ -90,7 +92,7 @@
 }
 
 fn service(field: Field<'_>, locations: &mut Locations) -> Option<Service> {
-    let location = field.place();
+    let location = field.location();
     let mut map = field.map()?;
     let id = map.required("id").text();
     let health_path = map.required("health_path").text();
@@ -126,7 +128,7 @@
 }
 
 fn route(field: Field<'_>, host: &str, locations: &mut Locations) -> Option<Route> {
-    let location = field.place();
+    let location = field.location();
     let mut map = field.map()?;
     let id = map.required("id").text();
     let prefix = map.required("prefix").text();
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -148,7 +148,7 @@
     let host = text.strip_prefix("http://");
     let plain = host.is_some_and(|host| host.trim_end_matches('/').parse::<SocketAddr>().is_ok());
     if !plain {
-        field.fail("must be `http://` and an address such as 127.0.0.1:7000");
+        field.report("must be `http://` and an address such as 127.0.0.1:7000");
     }
     plain.then(|| text.trim_end_matches('/').into())
 }
--- a/crates/router/src/store.rs
+++ b/crates/router/src/store.rs
@@ -16,6 +16,7 @@
 use plat::{
     Changes,
     Commit,
+    FailureReason,
     Feed,
     FeedRow,
     HttpPlatform,
@@ -23,7 +24,6 @@
     Listing,
     Outcome,
     ReadError,
-    Reason,
     Row,
     Rows,
     Table,
@@ -200,5 +200,5 @@
 }
 
 fn malformed(why: String) -> ReadError {
-    ReadError(Reason::Malformed(why))
+    ReadError(FailureReason::Malformed(why))
 }
--- a/crates/spec/src/parse.rs
+++ b/crates/spec/src/parse.rs
@@ -24,7 +24,7 @@
     Field,
     Findings,
     Map,
-    Place, //
+    SourceLocation, //
 };
 use std::{
     collections::{
@@ -54,7 +54,7 @@
 #[derive(Default)]
 struct Reader {
     /// Where each part was read.
-    places: BTreeMap<Subject, Place>,
+    places: BTreeMap<Subject, SourceLocation>,
     /// Parts that have a finding already.
     failed: BTreeSet<Subject>,
 }
@@ -98,7 +98,7 @@
         field: Field<'a>,
         read: impl FnOnce(Field<'a>) -> Option<T>,
     ) -> Option<T> {
-        self.places.insert(subject, field.place());
+        self.places.insert(subject, field.location());
         let value = read(field);
         if value.is_none() {
             self.failed.insert(subject);
@@ -225,11 +225,11 @@
 
     /// Brings the verifier's faults to their places.
     fn verify(&self, document: &Document, config: &Config) {
-        let whole = document.root().place();
+        let whole = document.root().location();
         for fault in crate::verify(config) {
             if !self.is_of_stand_in(fault.subject) {
                 let place = self.places.get(&fault.subject).unwrap_or(&whole);
-                document.fail(place.clone(), fault.message);
+                document.report(place.clone(), fault.message);
             }
         }
     }
--- a/crates/spec/src/version/proposal.rs
+++ b/crates/spec/src/version/proposal.rs
@@ -24,7 +24,7 @@
 use conf::{
     Finding,
     Findings,
-    Place, //
+    SourceLocation, //
 };
 use std::{
     collections::BTreeSet,
@@ -110,7 +110,7 @@
 /// Errors with their places.
 fn findings(file: &str, errors: Vec<LineError>) -> Findings {
     let finding = |error: LineError| Finding {
-        place: Place {
+        location: SourceLocation {
             file: file.into(),
             line: error.line,
             column: 1,
--- a/crates/strict/src/closing.rs
+++ b/crates/strict/src/closing.rs
@@ -38,13 +38,13 @@
 
 /// Abandoned connections of one client that the peer hasn't closed yet.
 #[derive(Clone, Debug, Default)]
-pub struct Closing {
+pub struct ClosingConnections {
     open: Arc<Mutex<Vec<watch::Receiver<()>>>>,
 }
 
-impl Closing {
+impl ClosingConnections {
     /// Waits until all connections abandoned before the call are closed.
-    pub async fn closed(&self) {
+    pub async fn wait_closed(&self) {
         let open = self.lock().clone();
         for mut connection in open {
             // The sender never sends a value; it is dropped when the connection is closed.
--- a/crates/strict/src/lib.rs
+++ b/crates/strict/src/lib.rs
@@ -6,7 +6,7 @@
 //! ends successfully by its own framing. A response delimited only by the end of its connection is
 //! rejected as well, because its completeness can't be checked.
 //!
-//! Dropping a connection in the middle of a request cancels the request. [`Closing`] reports when the
+//! Dropping a connection in the middle of a request cancels the request. [`ClosingConnections`] reports when the
 //! peer has closed its end; a client that must not send more until the peer has stopped waits for this.
 //!
 //! Invariant: a response that a client with [`strict_connector`] reports as complete contains every byte
@@ -17,10 +17,10 @@
 mod socket;
 mod stream;
 
-pub use closing::Closing;
-pub use socket::set_options;
+pub use closing::ClosingConnections;
+pub use socket::set_socket_options;
 pub use stream::{
     strict_connector,
-    watched_connector,
+    tracking_connector,
     StrictStream, //
 };
--- a/crates/strict/src/socket.rs
+++ b/crates/strict/src/socket.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// The connection is already closed.
-pub fn set_options(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(KEEPALIVE_IDLE + KEEPALIVE_INTERVAL))?;
--- a/crates/strict/src/stream.rs
+++ b/crates/strict/src/stream.rs
@@ -1,8 +1,8 @@
 //! TCP stream that reports end of file as an error, and its awc connectors.
 
 use crate::{
-    socket::set_options,
-    Closing, //
+    socket::set_socket_options,
+    ClosingConnections, //
 };
 use actix_rt::net::{
     ActixStream,
@@ -44,7 +44,7 @@
     /// `None` only once the stream is being dropped.
     tcp: Option<TcpStream>,
     /// Tracks the connection after the drop until the peer has closed it.
-    closing: Option<Closing>,
+    closing: Option<ClosingConnections>,
 }
 
 impl StrictStream {
@@ -78,8 +78,8 @@
 }
 
 /// Like [`strict_connector`], with dropped connections tracked by `closing`.
-pub fn watched_connector(
-    closing: Closing,
+pub fn tracking_connector(
+    closing: ClosingConnections,
 ) -> Connector<
     impl Service<ConnectInfo<Uri>, Response = Connection<Uri, StrictStream>, Error = ConnectError>
         + Clone,
@@ -88,7 +88,7 @@
 }
 
 fn connector(
-    closing: Option<Closing>,
+    closing: Option<ClosingConnections>,
 ) -> Connector<
     impl Service<ConnectInfo<Uri>, Response = Connection<Uri, StrictStream>, Error = ConnectError>
         + Clone,
@@ -97,7 +97,7 @@
     let strict = tcp.map(move |connection: Connection<Uri, TcpStream>| {
         let (tcp, connection) = connection.replace_io(());
         // If the connection is already closed, its first use reports the error.
-        let _ = set_options(&tcp);
+        let _ = set_socket_options(&tcp);
         let stream = StrictStream {
             tcp: Some(tcp),
             closing: closing.clone(),
--- a/crates/strict/tests/closing.rs
+++ b/crates/strict/tests/closing.rs
@@ -12,8 +12,8 @@
     time::Duration, //
 };
 use strict::{
-    watched_connector,
-    Closing, //
+    tracking_connector,
+    ClosingConnections, //
 };
 use tokio::{
     io::AsyncReadExt,
@@ -27,10 +27,10 @@
 const PENDING_TIME: Duration = Duration::from_millis(50);
 
 /// Starts a request to a listener of the test; returns its task and the upstream's end of the connection.
-async fn request(closing: &Closing) -> (JoinHandle<()>, TcpStream) {
+async fn request(closing: &ClosingConnections) -> (JoinHandle<()>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let url = format!("http://{}/", listener.local_addr().unwrap());
-    let connector = watched_connector(closing.clone());
+    let connector = tracking_connector(closing.clone());
     let client = Client::builder().connector(connector).finish();
     let request_task = actix_rt::spawn(async move {
         let _ = client.get(url).send().await;
@@ -52,17 +52,17 @@
 #[test]
 fn closed_waits_until_peer_closes_abandoned_connection() {
     System::new().block_on(async {
-        let closing = Closing::default();
+        let closing = ClosingConnections::default();
         let (request_task, mut upstream) = request(&closing).await;
         request_task.abort();
         timeout(HANG_TIMEOUT, read_to_end(&mut upstream))
             .await
             .expect("the upstream sees the shutdown")
             .unwrap();
-        let early = timeout(PENDING_TIME, closing.closed()).await;
+        let early = timeout(PENDING_TIME, closing.wait_closed()).await;
         assert!(early.is_err(), "the upstream still has the request");
         drop(upstream);
-        let closed = timeout(HANG_TIMEOUT, closing.closed()).await;
+        let closed = timeout(HANG_TIMEOUT, closing.wait_closed()).await;
         assert!(closed.is_ok(), "the upstream has closed");
     });
 }
@@ -72,9 +72,9 @@
 #[test]
 fn closed_ignores_connections_in_use() {
     System::new().block_on(async {
-        let closing = Closing::default();
+        let closing = ClosingConnections::default();
         let (_sent, _upstream) = request(&closing).await;
-        let closed = timeout(HANG_TIMEOUT, closing.closed()).await;
+        let closed = timeout(HANG_TIMEOUT, closing.wait_closed()).await;
         assert!(closed.is_ok());
     });
 }
