--- a/crates/daemon/src/process/operator/mod.rs
+++ b/crates/daemon/src/process/operator/mod.rs
@@ -262,13 +262,13 @@
 
 async fn method_not_allowed(request: HttpRequest) -> HttpResponse {
     refusal_response(&Refusal::BadRequest {
-        detail: format!("{} does not support {}", request.path(), request.method()),
+        detail: format!("{} has no {}", request.path(), request.method()),
     })
 }
 
 async fn unknown_path(request: HttpRequest) -> HttpResponse {
     refusal_response(&Refusal::NotFound {
-        detail: format!("no such path on the operators' port: {}", request.path()),
+        detail: format!("the operators' port has no {}", request.path()),
     })
 }
 
--- a/crates/plat/src/outcome.rs
+++ b/crates/plat/src/outcome.rs
@@ -31,12 +31,12 @@
         match self {
             Self::NotConnected(error) => write!(f, "no connection to the platform: {error}"),
             Self::Refused => f.write_str("the platform refused"),
-            Self::OtherBody => f.write_str("an object of this name exists with a different body"),
-            Self::BadName => f.write_str("invalid object name"),
+            Self::OtherBody => f.write_str("the object exists with another body"),
+            Self::BadName => f.write_str("no name of an object"),
             Self::Timeout => f.write_str("the platform did not answer in time"),
             Self::Broken(error) => write!(f, "lost the connection to the platform: {error}"),
             Self::Status(status) => write!(f, "unexpected status {status} from the platform"),
-            Self::Malformed(error) => write!(f, "malformed response from the platform: {error}"),
+            Self::Malformed(error) => write!(f, "malformed answer of the platform: {error}"),
         }
     }
 }
