--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -1,9 +1,9 @@
-//! The configuration's types and the edits that operators make without a file.
+//! The types of the configuration, and the edits that operators make without a file.
 
 use crate::{
     verify,
     DrainTarget,
-    Fault, //
+    Violation, //
 };
 use base::{
     ClassId,
@@ -17,28 +17,28 @@
 
 /// The operators' configuration, in canonical order.
 ///
-/// Each list is sorted by id and holds each id once, so that equal configurations are equal values
-/// whatever order their files had. [`crate::parse()`] and the edits keep that; whoever builds one by
-/// hand calls [`Config::canonical`].
+/// Each list is sorted by id and contains each id once, so that equal configurations are equal
+/// values regardless of the order in their files. [`crate::parse()`] and the edits preserve this
+/// order; code that builds a configuration itself calls [`Config::canonical`].
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Config {
-    /// Name of the deployment, for people.
+    /// Name of the deployment, for display only.
     pub name: ByteString,
     /// Regions with their failure domains.
     pub regions: Vec<Region>,
-    /// Services that upstreams of the platform's list may name.
+    /// Services that the upstreams in the platform's list may belong to.
     pub services: Vec<ServiceId>,
     /// Classes of work with their targets.
     pub classes: Vec<Class>,
     /// Cap of each ordered pair of regions.
     pub caps: Vec<Cap>,
-    /// What is being drained.
+    /// Drains in force.
     pub drains: Vec<Drain>,
-    /// Client blocks stated in the file; they go before those of the block table.
+    /// Client blocks stated in the file; they take precedence over the block table.
     pub block_rules: Vec<BlockRule>,
 }
 
-/// A region and the parts of it that fail as one.
+/// A region and its failure domains.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Region {
     /// Name.
@@ -56,50 +56,51 @@
     pub service: ServiceId,
     /// Whether running a request twice does no harm.
     pub idempotent: bool,
-    /// Rank when work must be refused; 0 is refused last.
+    /// Priority when requests must be refused; 0 is refused last.
     pub priority: u8,
-    /// Latency that all but few requests should stay below, seen by the entry.
+    /// Latency at the entry that all but a few requests should stay below.
     pub latency_target: Duration,
-    /// Part of a region's slots that this class leaves free for bursts, in percent.
+    /// Percentage of a region's slots that this class leaves free for bursts.
     pub headroom_pct: u8,
-    /// Time after which a caller is answered for good; he may ask for less, not for more.
+    /// Time within which a caller gets the final answer; a request may ask for less, but not for
+    /// more.
     pub deadline: Duration,
-    /// Requests that should be answered whole and within the latency target, per million.
+    /// Requests per million that should be answered completely and within the latency target.
     pub success_target_ppm: u32,
 }
 
-/// Limit of what one region may send to another.
+/// Limits on the traffic from one region to another.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Cap {
-    /// Region that sends.
+    /// Region that sends the requests.
     pub from: RegionId,
-    /// Region that receives.
+    /// Region that receives the requests.
     pub to: RegionId,
-    /// Bytes per second in both directions together.
+    /// Bytes per second, both directions added.
     pub bytes_per_s: u64,
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
-    /// Requests in flight that a shift may add per second.
+    /// Maximum number of requests in flight that a shift adds per second.
     pub growth_per_s: u32,
 }
 
 /// A drain in force.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Drain {
-    /// What gets no new work.
+    /// Part of the fleet that gets no new work.
     pub target: DrainTarget,
 }
 
-/// Preference of the callers of one client block.
+/// Preferred regions of the callers in one client block.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BlockRule {
     /// Addresses of the callers.
     pub block: Block,
-    /// Regions, the home first.
+    /// Regions in order of preference; the first is the home region.
     pub regions: Vec<RegionId>,
 }
 
-/// New targets of a class; what is `None` stays as it is.
+/// New targets of a class; a target that is `None` stays unchanged.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Target {
     /// Latency target.
@@ -108,14 +109,14 @@
     pub headroom_pct: Option<u8>,
     /// Deadline.
     pub deadline: Option<Duration>,
-    /// Rank when work must be refused.
+    /// Priority when requests must be refused.
     pub priority: Option<u8>,
     /// Success target per million.
     pub success_target_ppm: Option<u32>,
 }
 
 impl Config {
-    /// Brings every list into canonical order.
+    /// Sorts every list into canonical order.
     pub fn canonical(mut self) -> Self {
         for region in &mut self.regions {
             region.failure_domains.sort();
@@ -129,64 +130,65 @@
         self
     }
 
-    /// The region of that name.
+    /// The region with this name.
     pub fn region(&self, id: &str) -> Option<&Region> {
         self.regions.iter().find(|region| region.id == id)
     }
 
-    /// The class of that name.
+    /// The class with this name.
     pub fn class(&self, id: &str) -> Option<&Class> {
         self.classes.iter().find(|class| class.id == id)
     }
 
-    /// The cap of that ordered pair.
+    /// The cap of this ordered pair of regions.
     pub fn cap(&self, from: &str, to: &str) -> Option<&Cap> {
         self.caps
             .iter()
             .find(|cap| cap.from == from && cap.to == to)
     }
 
-    /// Whether the target is named by a drain; drains that contain it don't count.
+    /// Whether a drain names exactly this target; a drain of a region or failure domain that
+    /// contains the target doesn't count.
     pub fn has_drain(&self, target: &DrainTarget) -> bool {
         self.drains.iter().any(|drain| drain.target == *target)
     }
 
-    /// Starts a drain; one that is in force already changes nothing.
+    /// Adds a drain; a drain that is already in force changes nothing.
     ///
     /// # Errors
     ///
-    /// What the verifier says of the result, such as an unknown region.
-    pub fn with_drain(&self, target: &DrainTarget) -> Result<Self, Vec<Fault>> {
+    /// The rules that the result violates, such as a reference to an unknown region.
+    pub fn with_drain(&self, target: &DrainTarget) -> Result<Self, Vec<Violation>> {
         let mut config = self.clone();
         if !config.has_drain(target) {
             config.drains.push(Drain {
                 target: target.clone(),
             });
         }
-        config.checked()
+        config.verified()
     }
 
-    /// Stops a drain; one that is not in force changes nothing.
+    /// Removes a drain; a drain that is not in force changes nothing.
     ///
     /// # Errors
     ///
-    /// What the verifier says of the result.
-    pub fn without_drain(&self, target: &DrainTarget) -> Result<Self, Vec<Fault>> {
+    /// The rules that the result violates.
+    pub fn without_drain(&self, target: &DrainTarget) -> Result<Self, Vec<Violation>> {
         let mut config = self.clone();
         config.drains.retain(|drain| drain.target != *target);
-        config.checked()
+        config.verified()
     }
 
-    /// Revises the targets of a class.
+    /// Changes the targets of a class.
     ///
     /// # Errors
     ///
-    /// When there is no such class, or what the verifier says of the result.
-    pub fn with_target(&self, class: &str, target: &Target) -> Result<Self, Vec<Fault>> {
+    /// If there is no such class, or the rules that the result violates.
+    pub fn with_target(&self, class: &str, target: &Target) -> Result<Self, Vec<Violation>> {
         let mut config = self.clone();
         let Some(class) = config.classes.iter_mut().find(|c| c.id == class) else {
-            let known = self.classes.iter().map(|class| &*class.id);
-            return Err(vec![Fault::unknown_class(class, known)]);
+            let known_classes = self.classes.iter().map(|class| &*class.id);
+            return Err(vec![Violation::unknown_class(class, known_classes)]);
         };
         class.latency_target = target.latency_target.unwrap_or(class.latency_target);
         class.headroom_pct = target.headroom_pct.unwrap_or(class.headroom_pct);
@@ -195,17 +197,17 @@
         class.success_target_ppm = target
             .success_target_ppm
             .unwrap_or(class.success_target_ppm);
-        config.checked()
+        config.verified()
     }
 
-    /// The configuration in canonical order if the verifier has nothing to say.
-    fn checked(self) -> Result<Self, Vec<Fault>> {
+    /// Returns the configuration in canonical order if it violates no rule.
+    fn verified(self) -> Result<Self, Vec<Violation>> {
         let config = self.canonical();
-        let faults = verify(&config);
-        if faults.is_empty() {
+        let violations = verify(&config);
+        if violations.is_empty() {
             Ok(config)
         } else {
-            Err(faults)
+            Err(violations)
         }
     }
 }
--- a/crates/spec/src/diff.rs
+++ b/crates/spec/src/diff.rs
@@ -1,4 +1,4 @@
-//! Difference of two configurations, for an operator to read.
+//! Difference of two configurations in a form for operators.
 
 use crate::{
     item::{
@@ -13,23 +13,23 @@
     fmt, //
 };
 
-/// One step from one configuration to another.
+/// One change from one configuration to another.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Change {
-    /// Part that changes.
+    /// Item that changes.
     pub item: Item,
-    /// How it changes.
+    /// Kind of the change.
     pub kind: ChangeKind,
 }
 
-/// How a part of a configuration changes.
+/// Kind of a change to an item.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ChangeKind {
-    /// Only the later configuration has it.
+    /// Only the later configuration has the item.
     Added,
-    /// Only the earlier configuration has it.
+    /// Only the earlier configuration has the item.
     Removed,
-    /// Both have it with another value of a field.
+    /// Both configurations have the item, with different values of a field.
     Set {
         /// Name of the field, as in the file.
         field: &'static str,
@@ -54,18 +54,20 @@
     }
 }
 
-/// Steps from `before` to `after`, sorted by item; empty if they are equal.
+/// Returns the changes from `before` to `after`, sorted by item; empty if they are equal.
 pub fn diff(before: &Config, after: &Config) -> Vec<Change> {
     let before: BTreeMap<Item, Fields> = items(before).into_iter().collect();
     let mut after: BTreeMap<Item, Fields> = items(after).into_iter().collect();
     let mut changes = Vec::new();
-    for (item, fields) in before {
+    for (item, before_fields) in before {
         match after.remove(&item) {
             None => changes.push(Change {
                 item,
                 kind: ChangeKind::Removed,
             }),
-            Some(later) => changes.extend(set_fields(&item, fields, later)),
+            Some(after_fields) => {
+                changes.extend(changed_fields(&item, before_fields, after_fields))
+            }
         }
     }
     changes.extend(after.into_keys().map(|item| Change {
@@ -76,8 +78,8 @@
     changes
 }
 
-/// Steps between two values of one item.
-fn set_fields(item: &Item, before: Fields, after: Fields) -> Vec<Change> {
+/// Returns the changes between two values of one item.
+fn changed_fields(item: &Item, before: Fields, after: Fields) -> Vec<Change> {
     before
         .into_iter()
         .zip(after)
--- a/crates/spec/src/drain.rs
+++ b/crates/spec/src/drain.rs
@@ -1,4 +1,4 @@
-//! What a drain names, with its textual form and its form on the operators' port.
+//! The target of a drain, with its textual form and its JSON form on the operators' port.
 
 use base::{
     DomainId,
@@ -16,9 +16,9 @@
     str::FromStr, //
 };
 
-/// What gets no new work while a drain is in force.
+/// Part of the fleet that gets no new work while a drain is in force.
 ///
-/// Text: `upstream:ID`, `failure-domain:REGION/ID` or `region:ID`.
+/// Textual form: `upstream:ID`, `failure-domain:REGION/ID` or `region:ID`.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "Wire", try_from = "Wire")]
 pub enum DrainTarget {
@@ -30,20 +30,20 @@
     Region(RegionId),
 }
 
-/// Kind of a target, as the text and the operators' port name it.
+/// Kind of a drain target; both forms use the same names.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
     /// One upstream.
     Upstream,
-    /// A failure domain, which needs its region.
+    /// A failure domain of a region.
     FailureDomain,
     /// A region.
     Region,
 }
 
 impl Kind {
-    /// Text before the colon.
+    /// Names in the textual form, which stand before the colon.
     const NAMES: [(Self, &'static str); 3] = [
         (Self::Upstream, "upstream"),
         (Self::FailureDomain, "failure-domain"),
@@ -51,29 +51,29 @@
     ];
 }
 
-/// Form on the operators' port.
+/// JSON form on the operators' port.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Wire {
-    /// Which of the three.
+    /// Kind of the target.
     kind: Kind,
-    /// Region of a failure domain.
+    /// Region, only for a failure domain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     region: Option<RegionId>,
     /// Name of the target.
     id: ByteString,
 }
 
-/// Text or message that names no target of a drain.
+/// Error for a text or a JSON value that is not a drain target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct UnknownTarget;
+pub struct MalformedDrainTarget;
 
-impl fmt::Display for UnknownTarget {
+impl fmt::Display for MalformedDrainTarget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("not `upstream:ID`, `failure-domain:REGION/ID` or `region:ID`")
     }
 }
 
-impl Error for UnknownTarget {}
+impl Error for MalformedDrainTarget {}
 
 impl From<DrainTarget> for Wire {
     fn from(target: DrainTarget) -> Self {
@@ -87,17 +87,17 @@
 }
 
 impl TryFrom<Wire> for DrainTarget {
-    type Error = UnknownTarget;
+    type Error = MalformedDrainTarget;
 
     fn try_from(wire: Wire) -> Result<Self, Self::Error> {
         if wire.id.is_empty() {
-            return Err(UnknownTarget);
+            return Err(MalformedDrainTarget);
         }
         match (wire.kind, wire.region) {
             (Kind::Upstream, None) => Ok(Self::Upstream(wire.id)),
             (Kind::FailureDomain, Some(region)) => Ok(Self::FailureDomain(region, wire.id)),
             (Kind::Region, None) => Ok(Self::Region(wire.id)),
-            _ => Err(UnknownTarget),
+            _ => Err(MalformedDrainTarget),
         }
     }
 }
@@ -113,17 +113,17 @@
 }
 
 impl FromStr for DrainTarget {
-    type Err = UnknownTarget;
+    type Err = MalformedDrainTarget;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (name, id) = text.split_once(':').ok_or(UnknownTarget)?;
+        let (kind_name, id) = text.split_once(':').ok_or(MalformedDrainTarget)?;
         let (kind, _) = Kind::NAMES
             .into_iter()
-            .find(|(_, known)| *known == name)
-            .ok_or(UnknownTarget)?;
+            .find(|(_, name)| *name == kind_name)
+            .ok_or(MalformedDrainTarget)?;
         let (region, id) = match kind {
             Kind::FailureDomain => {
-                let (region, id) = id.split_once('/').ok_or(UnknownTarget)?;
+                let (region, id) = id.split_once('/').ok_or(MalformedDrainTarget)?;
                 (Some(region.into()), id)
             }
             Kind::Upstream | Kind::Region => (None, id),
--- a/crates/spec/src/item.rs
+++ b/crates/spec/src/item.rs
@@ -1,7 +1,7 @@
-//! Parts of a configuration, each under its own name with its fields as text.
+//! Items of a configuration: its parts, each with a name and with its fields as text.
 //!
-//! The canonical text and the difference of two configurations are both made from these fields, so
-//! that a field can't be printed and yet be forgotten when two versions are compared.
+//! The canonical text and the difference of two configurations are both built from these fields, so
+//! that a field that is printed can't be missing from a comparison.
 
 use crate::{
     BlockRule,
@@ -23,7 +23,7 @@
     time::Duration, //
 };
 
-/// Name of one part of a configuration.
+/// Name of an item of a configuration.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Item {
     /// The deployment as a whole.
@@ -34,11 +34,11 @@
     Service(ServiceId),
     /// A class.
     Class(ClassId),
-    /// The cap of an ordered pair.
+    /// The cap of an ordered pair of regions.
     Cap(RegionId, RegionId),
     /// A drain.
     Drain(DrainTarget),
-    /// A client block of the file.
+    /// A client block stated in the file.
     BlockRule(Block),
 }
 
@@ -56,10 +56,10 @@
     }
 }
 
-/// Fields of an item in the order of the canonical text, each as YAML.
+/// Names and YAML values of an item's fields, in the order of the canonical text.
 pub(crate) type Fields = Vec<(&'static str, String)>;
 
-/// All items of a configuration with their fields.
+/// Returns all items of a configuration with their fields.
 pub(crate) fn items(config: &Config) -> Vec<(Item, Fields)> {
     let mut items = vec![(Item::Deployment, vec![("name", quote(&config.name))])];
     items.extend(config.regions.iter().map(region));
@@ -126,18 +126,18 @@
     (Item::BlockRule(rule.block), fields)
 }
 
-/// Names as a YAML list on one line.
+/// Formats names as a YAML list on one line.
 fn list(names: &[bytestring::ByteString]) -> String {
     let names: Vec<String> = names.iter().map(|name| quote(name)).collect();
     format!("[{}]", names.join(", "))
 }
 
-/// Whole milliseconds.
+/// Formats a duration in whole milliseconds.
 fn millis(duration: Duration) -> String {
     duration.as_millis().to_string()
 }
 
-/// Parts per million as a percentage without needless digits.
+/// Formats parts per million as a percentage without trailing zeros.
 pub(crate) fn percent(ppm: u32) -> String {
     let text = format!("{}.{:04}", ppm / 10_000, ppm % 10_000);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,15 +1,15 @@
-//! The operators' configuration: classes, targets, caps, drains; checked whole, versioned, compared.
+//! The operators' configuration: classes, targets, caps and drains, with validation, versions and
+//! comparison.
 //!
-//! Operators say what they want of each class of work and what each link may carry; they never
-//! state weights or addresses. This crate has the words for that, and no clock, socket or
-//! randomness. It has three parts.
+//! Operators state the targets of each class of work and the capacity of each link; they never
+//! state weights or addresses. This crate uses no clock, socket or randomness. It has three parts.
 //!
-//! *What is configured.* [`Config`] is the value, [`parse()`] reads it from YAML and reports every
-//! finding at its place, [`verify()`] says what does not hold of a value whoever built it, `Display`
-//! prints the canonical text, and [`diff()`] compares two. Edits such as [`Config::with_drain`] give
-//! a new value. `examples/kilima.yaml` explains each field.
+//! *The configuration.* [`Config`] is the value, [`parse()`] reads it from YAML and reports every
+//! finding with its location, [`verify()`] returns the rules that a value violates, `Display`
+//! prints the canonical text, and [`diff()`] compares two configurations. Edits such as
+//! [`Config::with_drain`] return a new value. `examples/kilima.yaml` explains each field.
 //!
-//! *How a version is accepted.* [`Proposal`] holds a configuration with the objects to store, and
+//! *Accepting a version.* [`Proposal`] holds a configuration with the objects to store, and
 //! [`Accept`] is the state machine that stores them and moves the head by compare-and-set:
 //!
 //! ```
@@ -17,7 +17,7 @@
 //! # fn drive(proposal: Proposal) -> spec::AcceptOutcome {
 //! let (mut accept, mut action) = Accept::start(proposal, Guards::ALL);
 //! loop {
-//!     // Here a driver waits for `accept.pause()`, then asks the platform.
+//!     // A driver waits for `accept.pause()` here, then sends the request to the platform.
 //!     let event = match action {
 //!         AcceptAction::Store { .. } => AcceptEvent::Stored(Answer::Done(())),
 //!         AcceptAction::Read { keys } => AcceptEvent::Rows(Some(vec![None; keys.len()])),
@@ -26,22 +26,22 @@
 //!         }
 //!         AcceptAction::Finish(outcome) => return outcome,
 //!     };
-//!     action = accept.handle(event).expect("It is the answer to what was asked.");
+//!     action = accept.handle(event).expect("The event answers the last action.");
 //! }
 //! # }
 //! ```
 //!
-//! *How a daemon adopts it.* [`Adopt`] takes [`Head`]s from the table and from peers, asks for
-//! objects by [`Digest`], and gives an [`Adopted`] version once it is whole.
+//! *Adopting a version.* In a daemon, [`Adopt`] takes [`Head`]s from the table and from peers,
+//! requests objects by [`Digest`], and returns an [`Adopted`] version once it is complete.
 //!
-//! Invariants: equal configurations are equal values with equal texts; an operator is told
-//! "accepted" or "not accepted" only when it is true; a daemon's version only grows; a daemon is not
-//! ready before it has the highest version that any source it asked knows of. [`Guards`] switches
-//! the mechanisms behind them off one by one for the search in `model`, which runs these very
-//! machines.
+//! Invariants: equal configurations are equal values with equal texts; an accept reports "accepted"
+//! or "not accepted" only when that is certain; a daemon's version never decreases; a daemon is not
+//! ready before it has the highest version known to any source that it asked. [`Guards`] switches
+//! off the mechanisms behind these invariants one by one for the state search in `model`, which
+//! runs the same state machines.
 //!
-//! Where to go next: `conf` for reading YAML, `blocks` for client blocks,
-//! `docs/design/versions.md` for what was weighed.
+//! See `conf` for reading YAML, `blocks` for client blocks and `docs/design/versions.md` for the
+//! design decisions.
 
 mod config;
 mod diff;
@@ -69,15 +69,15 @@
 };
 pub use drain::{
     DrainTarget,
-    UnknownTarget, //
+    MalformedDrainTarget, //
 };
 pub use item::Item;
 pub use parse::parse;
 pub use verify::{
     verify,
-    Fault,
     Section,
-    Subject, //
+    Subject,
+    Violation, //
 };
 pub use version::{
     parse_blocks,
--- a/crates/spec/src/parse.rs
+++ b/crates/spec/src/parse.rs
@@ -1,8 +1,9 @@
-//! The parser: YAML to a configuration, with every finding at its place.
+//! The parser reads a configuration from YAML and reports every finding with its location.
 //!
-//! What a field must look like is checked here; what must hold between fields is the verifier's,
-//! whose faults are brought back to places. A field that could not be read gets a stand-in value,
-//! and faults about stand-ins are dropped: their finding is there already.
+//! It checks the format of each field. The rules between fields are checked by the verifier, whose
+//! violations are reported at the locations of their subjects. A field that can't be read gets a
+//! placeholder value, and violations that follow from placeholders are dropped, since the field has
+//! a finding already.
 
 use crate::{
     limits,
@@ -35,11 +36,11 @@
     time::Duration, //
 };
 
-/// Reads and checks an operators' configuration; `file` only names it in findings.
+/// Reads and checks an operators' configuration; `file` is only used as the name in findings.
 ///
 /// # Errors
 ///
-/// Every finding of the file: syntax, unknown or repeated fields, units, ranges, references.
+/// All findings in the file: syntax, unknown or repeated fields, units, ranges, references.
 pub fn parse(file: &str, text: &str) -> Result<Config, Findings> {
     let document = Document::parse(file, text);
     let mut reader = Reader::default();
@@ -50,24 +51,24 @@
     document.finish(config.map(Config::canonical))
 }
 
-/// Reading of one document.
+/// State of reading one document.
 #[derive(Default)]
 struct Reader {
-    /// Where each part was read.
-    places: BTreeMap<Subject, SourceLocation>,
-    /// Parts that have a finding already.
+    /// Location of each part that was read.
+    locations: BTreeMap<Subject, SourceLocation>,
+    /// Parts that could not be read and have a finding.
     failed: BTreeSet<Subject>,
 }
 
-/// One entry of a list while its fields are read.
+/// Entry of a list while its fields are read.
 struct Entry<'a, 'r> {
-    /// Reader that remembers places.
+    /// Reader that records locations and failures.
     reader: &'r mut Reader,
-    /// List and index.
+    /// List that contains the entry.
     section: Section,
     /// Index in the list.
     index: usize,
-    /// Fields of the entry; `None` if it is no mapping.
+    /// Fields of the entry; `None` if it is not a mapping.
     map: Option<Map<'a>>,
 }
 
@@ -91,25 +92,25 @@
         }
     }
 
-    /// Reads one value and remembers its place, and whether it failed.
+    /// Reads one value and records its location and whether it could be read.
     fn value<'a, T>(
         &mut self,
         subject: Subject,
         field: Field<'a>,
         read: impl FnOnce(Field<'a>) -> Option<T>,
     ) -> Option<T> {
-        self.places.insert(subject, field.location());
+        self.locations.insert(subject, field.location());
         let value = read(field);
         if value.is_none() {
             self.failed.insert(subject);
         } else {
-            // An entry that was left out had this index before.
+            // A skipped entry may have used the same index and failed.
             self.failed.remove(&subject);
         }
         value
     }
 
-    /// Entries of a list of the document.
+    /// Returns the entries of a list of the document.
     fn list<'a>(&mut self, map: &mut Map<'a>, section: Section, required: bool) -> Vec<Field<'a>> {
         let subject = Subject::section(section);
         let field = if required {
@@ -125,7 +126,7 @@
         fields.unwrap_or_default()
     }
 
-    /// Starts an entry that is a mapping.
+    /// Starts reading an entry, which must be a mapping.
     fn entry<'a>(&mut self, section: Section, index: usize, field: Field<'a>) -> Entry<'a, '_> {
         let subject = Subject::entry(section, index, "");
         let map = self.value(subject, field, Field::map);
@@ -195,7 +196,7 @@
         fields.into_iter().enumerate().map(read).collect()
     }
 
-    /// Reads the drains; one that can't be read is left out.
+    /// Reads the drains and skips those that can't be read.
     fn drains(&mut self, map: &mut Map<'_>) -> Vec<Drain> {
         let fields = self.list(map, Section::Drains, false);
         let mut drains = Vec::new();
@@ -208,7 +209,7 @@
         drains
     }
 
-    /// Reads the client blocks; one whose block can't be read is left out.
+    /// Reads the client blocks and skips those whose block can't be read.
     fn block_rules(&mut self, map: &mut Map<'_>) -> Vec<BlockRule> {
         let fields = self.list(map, Section::Blocks, false);
         let mut rules = Vec::new();
@@ -223,36 +224,40 @@
         rules
     }
 
-    /// Brings the verifier's faults to their places.
+    /// Reports the verifier's violations at the locations of their subjects.
     fn verify(&self, document: &Document, config: &Config) {
-        let whole = document.root().location();
-        for fault in crate::verify(config) {
-            if !self.is_of_stand_in(fault.subject) {
-                let place = self.places.get(&fault.subject).unwrap_or(&whole);
-                document.report(place.clone(), fault.message);
+        let document_location = document.root().location();
+        for violation in crate::verify(config) {
+            if !self.follows_from_placeholder(violation.subject) {
+                let location = self
+                    .locations
+                    .get(&violation.subject)
+                    .unwrap_or(&document_location);
+                document.report(location.clone(), violation.message);
             }
         }
     }
 
-    /// Whether a fault about `subject` would only follow from a stand-in value.
+    /// Whether a violation at `subject` may merely follow from a placeholder value.
     ///
-    /// A name that could not be read would make every reference to it "unknown", and a cap without
-    /// its regions would be missed as "no cap": findings that vanish once the first is mended.
-    fn is_of_stand_in(&self, subject: Subject) -> bool {
+    /// If a name can't be read, every reference to it would be reported as unknown, and a cap whose
+    /// regions can't be read would be reported as missing. Such findings disappear once the first
+    /// one is corrected.
+    fn follows_from_placeholder(&self, subject: Subject) -> bool {
         let names_failed = |section| {
             self.failed.iter().any(|failed| {
                 let names = ["", "id", "failure_domains", "from", "to"];
                 failed.section == section && names.contains(&failed.field)
             })
         };
-        let itself = self.failed.iter().any(|failed| {
+        let subject_failed = self.failed.iter().any(|failed| {
             let same_entry = (failed.section, failed.index) == (subject.section, subject.index);
             same_entry
                 && (failed.field == subject.field
                     || failed.field.is_empty()
                     || subject.field.is_empty())
         });
-        let referred = match (subject.section, subject.field) {
+        let reference_failed = match (subject.section, subject.field) {
             (Section::Caps, _) if subject.index.is_none() => {
                 names_failed(Section::Regions) || names_failed(Section::Caps)
             }
@@ -262,7 +267,7 @@
             (Section::Classes, "service") => names_failed(Section::Services),
             _ => false,
         };
-        itself || referred
+        subject_failed || reference_failed
     }
 }
 
@@ -278,12 +283,12 @@
         self.reader.value(subject, field, read)
     }
 
-    /// Reads text.
+    /// Reads a string.
     fn text(&mut self, name: &'static str) -> ByteString {
         self.value(name, Field::text).unwrap_or_default()
     }
 
-    /// Reads a list of text.
+    /// Reads a list of strings.
     fn texts(&mut self, name: &'static str) -> Vec<ByteString> {
         let read = |field: Field<'a>| {
             let items: Vec<_> = field.try_list()?.into_iter().map(Field::text).collect();
@@ -292,32 +297,32 @@
         self.value(name, read).unwrap_or_default()
     }
 
-    /// Reads a truth value.
+    /// Reads a boolean.
     fn boolean(&mut self, name: &'static str) -> bool {
         self.value(name, Field::boolean).unwrap_or_default()
     }
 
-    /// Reads an integer; the stand-in is the least of the range.
+    /// Reads an integer; the placeholder is the minimum of the range.
     fn integer<T>(&mut self, name: &'static str, range: RangeInclusive<T>, unit: &str) -> T
     where
         T: Copy + std::fmt::Display + PartialOrd + TryFrom<i128>,
     {
-        let low = *range.start();
+        let min = *range.start();
         self.value(name, |field| field.integer(range, unit))
-            .unwrap_or(low)
+            .unwrap_or(min)
     }
 
-    /// Reads milliseconds.
+    /// Reads a duration in milliseconds; the placeholder is the minimum of the range.
     fn duration_ms(&mut self, name: &'static str, range_ms: RangeInclusive<u64>) -> Duration {
-        let low = Duration::from_millis(*range_ms.start());
+        let min = Duration::from_millis(*range_ms.start());
         self.value(name, |field| field.duration_ms(range_ms))
-            .unwrap_or(low)
+            .unwrap_or(min)
     }
 
-    /// Reads a percentage.
+    /// Reads a percentage as parts per million; the placeholder is the minimum of the range.
     fn percent_ppm(&mut self, name: &'static str, range_ppm: RangeInclusive<u32>) -> u32 {
-        let low = *range_ppm.start();
+        let min = *range_ppm.start();
         self.value(name, |field| field.percent_ppm(range_ppm))
-            .unwrap_or(low)
+            .unwrap_or(min)
     }
 }
--- a/crates/spec/src/text.rs
+++ b/crates/spec/src/text.rs
@@ -1,4 +1,4 @@
-//! Canonical text of a configuration: YAML that reads back to the same value.
+//! Canonical text of a configuration: YAML that parses back to the same value.
 
 use crate::{
     item::{
@@ -14,19 +14,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut section = "";
         for (item, fields) in items(self) {
-            let next = section_of(&item);
-            if next != section && !next.is_empty() {
-                writeln!(f, "{next}:")?;
+            let item_section = section_of(&item);
+            if item_section != section && !item_section.is_empty() {
+                writeln!(f, "{item_section}:")?;
             }
-            section = next;
+            section = item_section;
             match item {
                 Item::Deployment => writeln!(f, "name: {}", fields[0].1)?,
                 Item::Service(id) => writeln!(f, "  - {}", quote(&id))?,
                 Item::Drain(target) => writeln!(f, "  - {}", quote(&target.to_string()))?,
                 _ => {
                     for (index, (name, value)) in fields.iter().enumerate() {
-                        let lead = if index == 0 { "-" } else { " " };
-                        writeln!(f, "  {lead} {name}: {value}")?;
+                        let marker = if index == 0 { "-" } else { " " };
+                        writeln!(f, "  {marker} {name}: {value}")?;
                     }
                 }
             }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Field of the document under which an item stands.
+/// Field of the document that contains the item; empty for the deployment's own fields.
 fn section_of(item: &Item) -> &'static str {
     match item {
         Item::Deployment => "",
--- a/crates/spec/src/version/accept.rs
+++ b/crates/spec/src/version/accept.rs
@@ -1,17 +1,20 @@
-//! An operator's accept: objects first, then the head by compare-and-set.
+//! An operator's accept: stores the objects first, then moves the head by compare-and-set.
 //!
-//! The machine takes what the platform answered and says what to ask next. All rows of an accept
-//! are written in one transaction: the head, the history's row, and a row under the accept id. The
-//! last one makes a repeat harmless and lets a lost answer be read back for certain:
+//! The state machine takes the platform's answers and returns the next request. All rows of an
+//! accept are written in one transaction: the head, the row of the history, and a row under the
+//! accept id. The row under the accept id makes a repeated request harmless, and shows whether a
+//! commit whose answer was lost took effect:
 //!
-//! - It is there: the accept took effect, whatever came after it.
-//! - It is absent and the head has moved: the commit was made on a head that is gone, so it can
-//!   never take effect. Another operator won.
-//! - It is absent and the head has not moved: the commit may still be on its way. So the very same
-//!   commit is sent again; both check the same head, so at most one takes effect.
+//! - The row exists: the accept took effect, even if later versions followed.
+//! - The row is absent and the head has moved: the commit's check of the head fails, so it can
+//!   never
+//!   take effect. Another operator's accept came first.
+//! - The row is absent and the head has not moved: the commit may still be in flight, so the same
+//!   commit is sent again. Both check the same head, so at most one takes effect.
 //!
-//! The commit checks the head's row alone: whoever writes the row of this accept id writes the
-//! head as well, so a head that has not moved since both were read vouches for both.
+//! The commit checks only the head's row. Every transaction that writes the row of an accept id
+//! also writes the head, so if the head has not moved since both rows were read, neither has
+//! changed.
 
 use crate::{
     AcceptId,
@@ -28,17 +31,17 @@
     time::Duration, //
 };
 
-/// Failed requests after which an accept gives up.
+/// Number of failed requests after which an accept gives up.
 const MAX_FAILURES: u8 = 6;
-/// Pause before the first repeat of a failed request; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff before the first retry of a failed request; it doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Row of the platform's table that versions use.
+/// Key of a row in the platform's table that versions use.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RowKey {
     /// The head of the version in force.
     Head,
-    /// The head of any version.
+    /// The head of one version, in the history.
     Version(Version),
     /// The head that an accept made.
     Accept(AcceptId),
@@ -54,110 +57,111 @@
     }
 }
 
-/// Row as the table gave it.
+/// Row as read from the table.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowValue {
-    /// The table's version of the row.
+    /// Version of the row in the table.
     pub row_version: u64,
-    /// Text.
+    /// Text of the row.
     pub value: ByteString,
 }
 
 /// Condition of a commit.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Check {
-    /// Row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The table's version that the row must have; `None` if it must be absent.
+    /// Version that the row must have in the table; `None` if the row must be absent.
     pub row_version: Option<u64>,
 }
 
-/// Write of a commit.
+/// Write to a row in a commit.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Write {
-    /// Row.
+    /// Key of the row.
     pub key: RowKey,
-    /// Text.
+    /// Text of the row.
     pub value: ByteString,
 }
 
-/// What became of a request that changes something.
+/// Outcome of a request that changes state in the platform.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Answer<T> {
-    /// It was carried out.
+    /// The request took effect.
     Done(T),
-    /// It was not and will not be.
+    /// The request did not take effect and never will.
     NotDone,
-    /// It may have been, or may yet be.
+    /// The request may have taken effect or may still do so.
     Unknown,
 }
 
-/// What the table said of a commit.
+/// The table's answer to a commit.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum CommitAnswer {
     /// All writes were made.
     Committed,
-    /// A check failed; nothing was written. What the checked rows hold is read next.
+    /// A check failed and nothing was written; the machine reads the rows next.
     Conflict,
 }
 
-/// What the driver of an accept does next.
+/// Next action for the driver of an accept.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AcceptAction {
-    /// Store an object under its digest, then tell [`AcceptEvent::Stored`].
+    /// Store an object under its digest, then pass [`AcceptEvent::Stored`].
     Store {
-        /// Name.
+        /// Digest of the object.
         digest: Digest,
-        /// Content.
+        /// Content of the object.
         bytes: Bytes,
     },
-    /// Read these rows at one time, then tell [`AcceptEvent::Rows`].
+    /// Read these rows in one consistent read, then pass [`AcceptEvent::Rows`].
     Read {
-        /// Rows.
+        /// Keys of the rows.
         keys: Vec<RowKey>,
     },
-    /// Make all writes if all checks hold, then tell [`AcceptEvent::Commit`].
+    /// Make all writes if all checks succeed, then pass [`AcceptEvent::Commit`].
     Commit {
-        /// Conditions.
+        /// Conditions of the commit.
         checks: Vec<Check>,
-        /// Writes.
+        /// Writes of the commit.
         writes: Vec<Write>,
     },
-    /// Answer the operator; there is nothing more to do.
+    /// Answer the operator; the accept has ended.
     Finish(AcceptOutcome),
 }
 
-/// What the platform answered.
+/// Answer of the platform to an action.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AcceptEvent {
     /// Answer to [`AcceptAction::Store`].
     Stored(Answer<()>),
-    /// Answer to [`AcceptAction::Read`], in the order of the keys; `None` if the read failed.
+    /// Answer to [`AcceptAction::Read`], with the rows in the order of the keys; `None` if the read
+    /// failed.
     Rows(Option<Vec<Option<RowValue>>>),
     /// Answer to [`AcceptAction::Commit`].
     Commit(Answer<CommitAnswer>),
 }
 
-/// What became of an accept.
+/// Outcome of an accept.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AcceptOutcome {
-    /// It is accepted as this version.
+    /// The proposal was accepted as this version.
     Accepted(Head),
-    /// An earlier request with this accept id was accepted already, as this version.
+    /// An earlier request with the same accept id was accepted as this version.
     AlreadyAccepted(Head),
-    /// Another accept came first: this one is not accepted, and never will be on this base.
+    /// Another accept came first; this one was not accepted and can't be on this base.
     Raced {
-        /// Head in force; `None` if there is none although the base was a version.
+        /// Head in force; `None` if there is no version although the proposal has a base.
         head: Option<Head>,
     },
-    /// This request changed nothing and never will. An earlier request with the same accept id
-    /// may have: only a conclusive answer to a repeat tells.
+    /// This request changed nothing and never will. An earlier request with the same accept id may
+    /// have taken effect; only a conclusive outcome of a repeated request shows that.
     NotAccepted,
-    /// It may or may not be accepted; repeat it with the same accept id and base to learn which.
+    /// The outcome is unknown; a repeated request with the same accept id and base can resolve it.
     Unknown,
 }
 
-/// Where an accept stands.
+/// Stage of an accept.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 enum Stage {
     /// The object at this index is being stored.
@@ -166,30 +170,30 @@
     Reading,
     /// The head is being committed.
     Committing {
-        /// The table's version of the head's row that was read.
+        /// Version of the head's row as it was read; `None` if the row was absent.
         row_version: Option<u64>,
     },
-    /// The operator was answered.
+    /// The accept has ended with this outcome.
     Finished(AcceptOutcome),
 }
 
-/// An operator's accept on its way.
+/// State machine of an operator's accept.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Accept {
-    /// What is to be accepted.
+    /// Proposal to accept.
     proposal: Proposal,
     /// Guards of the protocol.
     guards: Guards,
-    /// Where it stands.
+    /// Current stage.
     stage: Stage,
-    /// Requests that failed so far.
+    /// Number of failed requests so far.
     failures: u8,
-    /// Whether a commit was sent whose answer is not known.
+    /// Whether a commit was sent whose outcome is unknown.
     in_doubt: bool,
 }
 
 impl Accept {
-    /// Starts an accept; the action is the first thing to do.
+    /// Starts an accept and returns its first action.
     pub fn start(proposal: Proposal, guards: Guards) -> (Self, AcceptAction) {
         let mut accept = Self {
             proposal,
@@ -206,7 +210,8 @@
         (accept, action)
     }
 
-    /// Takes an answer and gives the next action; `None` for an answer to nothing that was asked.
+    /// Handles an answer and returns the next action; `None` if the answer doesn't fit the last
+    /// action.
     pub fn handle(&mut self, event: AcceptEvent) -> Option<AcceptAction> {
         match (self.stage.clone(), event) {
             (Stage::Storing(index), AcceptEvent::Stored(answer)) => {
@@ -220,15 +225,15 @@
         }
     }
 
-    /// Time to wait before the action, which grows with the requests that failed.
+    /// Time to wait before the next action; it grows with the number of failures.
     pub fn pause(&self) -> Duration {
         match self.failures {
             0 => Duration::ZERO,
-            failures => FIRST_PAUSE * (1 << (failures - 1)),
+            failures => INITIAL_BACKOFF * (1 << (failures - 1)),
         }
     }
 
-    /// The answer to the operator, once there is one.
+    /// Outcome of the accept, once it has ended.
     pub fn outcome(&self) -> Option<&AcceptOutcome> {
         match &self.stage {
             Stage::Finished(outcome) => Some(outcome),
@@ -236,42 +241,43 @@
         }
     }
 
-    /// What is to be accepted.
+    /// Proposal to accept.
     pub fn proposal(&self) -> &Proposal {
         &self.proposal
     }
 
-    /// Takes the answer to storing an object.
+    /// Handles the answer to storing an object.
     fn on_stored(&mut self, index: usize, answer: &Answer<()>) -> AcceptAction {
         match answer {
             Answer::Done(()) => self.store(index + 1),
-            // Objects are immutable, so that storing one again does no harm.
+            // Objects are immutable, so an object can safely be stored again.
             Answer::NotDone | Answer::Unknown => self.after_failure(|accept| accept.store(index)),
         }
     }
 
-    /// Takes the rows of the head and of the accept id.
+    /// Handles the rows of the head and of the accept id.
     fn on_rows(&mut self, rows: Option<Vec<Option<RowValue>>>) -> AcceptAction {
-        let Some(picture) = rows.and_then(Picture::of) else {
+        let Some(parsed) = rows.and_then(AcceptRows::parse) else {
             return self.after_failure(Self::read);
         };
-        // Without this a lost answer would be read back as "another operator won", and a repeat
-        // on a later base would be accepted a second time, over whatever came between.
-        if let Some(head) = picture.accepted.filter(|_| self.guards.find_accept_id) {
+        // Without this check, an accept whose commit took effect but whose answer was lost would be
+        // reported as raced, and a repeated request on a later base would be accepted again and
+        // overwrite the versions in between.
+        if let Some(head) = parsed.accepted.filter(|_| self.guards.find_accept_id) {
             return self.finish(if self.in_doubt {
                 AcceptOutcome::Accepted(head)
             } else {
                 AcceptOutcome::AlreadyAccepted(head)
             });
         }
-        let version = picture.head.as_ref().map_or(0, |head| head.version);
+        let version = parsed.head.as_ref().map_or(0, |head| head.version);
         if version != self.proposal.base {
-            return self.finish(AcceptOutcome::Raced { head: picture.head });
+            return self.finish(AcceptOutcome::Raced { head: parsed.head });
         }
-        self.commit(picture.row_version)
+        self.commit(parsed.row_version)
     }
 
-    /// Takes the answer to a commit.
+    /// Handles the answer to a commit.
     fn on_commit(
         &mut self,
         row_version: Option<u64>,
@@ -282,12 +288,12 @@
                 let outcome = AcceptOutcome::Accepted(self.next_head());
                 self.finish_or_store(outcome)
             }
-            // Either an earlier commit of this accept took effect, or another operator won.
+            // Either an earlier commit of this accept took effect, or another accept came first.
             Answer::Done(CommitAnswer::Conflict) => self.after_failure(Self::read),
             Answer::NotDone => self.after_failure(|accept| accept.commit(row_version)),
-            // An answer can be lost after the write took effect. Taken for "not done", an operator
-            // would be told that nothing changed while the daemons adopt the change, and would
-            // perhaps accept it again over a colleague's later one.
+            // The answer can be lost after the commit took effect. If that were treated as "not
+            // done", the operator would see "not accepted" while the daemons adopt the change, and
+            // might accept it again over another operator's later change.
             Answer::Unknown if self.guards.read_back => {
                 self.in_doubt = true;
                 self.after_failure(Self::read)
@@ -296,7 +302,7 @@
         }
     }
 
-    /// Stores the object at `index`, or goes on once all are stored.
+    /// Stores the object at `index`, or continues if all objects are stored.
     fn store(&mut self, index: usize) -> AcceptAction {
         match self.proposal.objects.get(index).cloned() {
             Some((digest, bytes)) => {
@@ -308,7 +314,7 @@
         }
     }
 
-    /// Ends a committed accept; only with a guard off are the objects still to be stored.
+    /// Finishes a committed accept. With `objects_first` off, the objects are stored only now.
     fn finish_or_store(&mut self, outcome: AcceptOutcome) -> AcceptAction {
         if self.guards.objects_first {
             self.finish(outcome)
@@ -324,14 +330,14 @@
         AcceptAction::Read { keys }
     }
 
-    /// Commits the next head on the one whose row was read.
+    /// Commits the next head if the head's row still has this version.
     fn commit(&mut self, row_version: Option<u64>) -> AcceptAction {
         self.stage = Stage::Committing { row_version };
         let head = self.next_head();
         let mut checks = Vec::new();
         if self.guards.check_head {
-            // Two operators who read the same head would both write the next version, and the
-            // first one's change would vanish without a word.
+            // Without this check, two operators who read the same head would both write the next
+            // version, and the first operator's change would be lost silently.
             checks.push(Check {
                 key: RowKey::Head,
                 row_version,
@@ -353,7 +359,7 @@
         }
     }
 
-    /// Head that this accept makes.
+    /// Head of the version that this accept makes.
     fn next_head(&self) -> Head {
         Head {
             version: self.proposal.base + 1,
@@ -364,7 +370,7 @@
         }
     }
 
-    /// Counts a failure and goes on, unless there were too many.
+    /// Counts a failure, then continues with `next` or gives up after [`MAX_FAILURES`].
     fn after_failure(&mut self, next: impl FnOnce(&mut Self) -> AcceptAction) -> AcceptAction {
         self.failures += 1;
         if self.failures < MAX_FAILURES {
@@ -377,32 +383,32 @@
         })
     }
 
-    /// Answers the operator.
+    /// Ends the accept with this outcome.
     fn finish(&mut self, outcome: AcceptOutcome) -> AcceptAction {
         self.stage = Stage::Finished(outcome.clone());
         AcceptAction::Finish(outcome)
     }
 }
 
-/// What the rows say.
-struct Picture {
-    /// The table's version of the head's row.
+/// Rows of the head and of the accept id, parsed.
+struct AcceptRows {
+    /// Version of the head's row in the table; `None` if the row is absent.
     row_version: Option<u64>,
     /// Head in force.
     head: Option<Head>,
-    /// Head that this accept made.
+    /// Head in the row of the accept id.
     accepted: Option<Head>,
 }
 
-impl Picture {
-    /// Reads the rows; `None` if they are not two or hold no heads.
-    fn of(rows: Vec<Option<RowValue>>) -> Option<Self> {
+impl AcceptRows {
+    /// Parses the rows; `None` if there are not exactly two or one is not a head.
+    fn parse(rows: Vec<Option<RowValue>>) -> Option<Self> {
         let [head, accepted] = <[_; 2]>::try_from(rows).ok()?;
-        let read = |row: Option<&RowValue>| row.map(|row| row.value.parse()).transpose().ok();
+        let parse_head = |row: Option<&RowValue>| row.map(|row| row.value.parse()).transpose().ok();
         Some(Self {
             row_version: head.as_ref().map(|row| row.row_version),
-            head: read(head.as_ref())?,
-            accepted: read(accepted.as_ref())?,
+            head: parse_head(head.as_ref())?,
+            accepted: parse_head(accepted.as_ref())?,
         })
     }
 }
--- a/crates/spec/src/version/adopt.rs
+++ b/crates/spec/src/version/adopt.rs
@@ -1,13 +1,14 @@
-//! A daemon's side of versions: hears of heads, fetches what they name, adopts only higher ones.
+//! Adoption of versions by a daemon: learns of heads, fetches their objects and adopts only higher
+//! versions.
 //!
-//! Heads come from the table's row and from peers, in any order, late and more than once. The
-//! machine fetches the body of the highest, then the block objects down to one that it holds or to
-//! a snapshot, and adopts the whole at once. A fetch that an even higher head overtakes is given
-//! up; its late answer matches nothing that is awaited and is dropped.
+//! Heads come from the table's row and from peers, in any order, late and repeatedly. The state
+//! machine fetches the body of the highest head, then the block objects down to one whose table it
+//! has or to a snapshot, and adopts the version as a whole. A higher head replaces a fetch in
+//! progress; the late result of that fetch doesn't match the requested digest and is dropped.
 //!
-//! A daemon that starts puts nothing in force before it has heard, or given up, every source it
-//! asked; what it fetched meanwhile is kept complete. It is ready with the highest version among
-//! theirs in force, and stays ready.
+//! A starting daemon puts no version in force until every source that it asked has reported or was
+//! given up; until then, the highest version fetched is kept complete. The daemon becomes ready
+//! when the highest version known to those sources is in force, and stays ready.
 
 use crate::{
     BlockObject,
@@ -37,7 +38,7 @@
     sync::Arc, //
 };
 
-/// Who told of a head.
+/// Source from which a daemon learns of heads.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Source {
     /// The table's row.
@@ -46,95 +47,96 @@
     Peer(InstanceId),
 }
 
-/// What a source knows.
+/// Highest version that a source knows.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Offer {
-    /// It knows this head.
+    /// The source knows this head.
     Head(Head),
-    /// It knows of no version.
+    /// The source knows no version.
     Nothing,
-    /// It did not answer in time, and is given up.
+    /// The source did not answer in time and is given up.
     Unreachable,
 }
 
 /// Why an object was not fetched.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum FetchFailure {
-    /// Nobody who was asked has it, or nobody answered.
+    /// No peer or store that was asked has the object, or none answered.
     Unavailable,
-    /// What came can't be read.
+    /// The received object can't be read.
     Unreadable,
 }
 
-/// What happens to the machine.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum AdoptEvent {
-    /// A source was heard, or given up.
+    /// A source has reported or was given up.
     Offered {
-        /// Who.
+        /// Source.
         source: Source,
-        /// What.
+        /// Report of the source.
         offer: Offer,
     },
     /// Answer to [`AdoptAction::Fetch`].
     Fetched {
-        /// Digest that was asked for.
+        /// Digest that was requested.
         digest: Digest,
-        /// The object, read and checked by [`Object::read`].
+        /// Object as returned by [`Object::read`], or the reason for the failure.
         object: Result<Object, FetchFailure>,
     },
 }
 
-/// What the driver does next.
+/// Next action for the driver.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AdoptAction {
-    /// Fetch an object from a peer or the store, then tell [`AdoptEvent::Fetched`].
+    /// Fetch an object from a peer or the store, then pass [`AdoptEvent::Fetched`].
     Fetch {
-        /// Name.
+        /// Digest of the object.
         digest: Digest,
-        /// Failures of this fetch so far; wait longer and ask someone else each time.
+        /// Number of failures of this fetch so far. The driver increases the wait and asks another
+        /// source each time.
         failures: u8,
     },
     /// Put this version in force.
     Adopt(Arc<Adopted>),
 }
 
-/// Block table as an object gave it.
+/// Block table built from its block objects.
 #[derive(Clone, Debug)]
-pub(crate) struct HeldBlocks {
-    /// Block object.
+pub(crate) struct ResolvedBlocks {
+    /// Digest of the block object.
     pub(crate) digest: Digest,
-    /// Differences down to the snapshot.
+    /// Number of differences down to the snapshot.
     pub(crate) depth: u16,
-    /// The table, without the blocks of the configuration.
+    /// Table without the blocks of the configuration.
     pub(crate) table: Arc<Table>,
 }
 
-/// Version that is in force at a daemon.
+/// Version with all its objects, as a daemon puts it in force.
 ///
-/// Two are equal if their heads and the digests of their bodies are, since those stand for
-/// everything else.
+/// Two versions are equal if their heads and the digests of their bodies are equal, since these
+/// identify all other content.
 #[derive(Clone, Debug)]
 pub struct Adopted {
     /// Head.
     head: Head,
-    /// Digest of the body that was adopted; the head's, unless a guard is off.
+    /// Digest of the adopted body; equal to the head's digest unless a guard is off.
     body: Digest,
     /// Configuration.
     config: Arc<Config>,
-    /// Block table of the objects.
-    blocks: Option<HeldBlocks>,
-    /// Block table with the blocks of the configuration.
+    /// Block table of the block objects; `None` if the body names none.
+    blocks: Option<ResolvedBlocks>,
+    /// Block table with the blocks of the configuration applied.
     table: Arc<Table>,
 }
 
 impl Adopted {
-    /// Puts the blocks of the configuration over the table.
+    /// Builds a version and applies the blocks of the configuration to the table.
     fn new(
         head: Head,
         body: Digest,
         config: Arc<Config>,
-        blocks: Option<HeldBlocks>,
+        blocks: Option<ResolvedBlocks>,
     ) -> Result<Self, TooManyPreferences> {
         let mut rules = Delta::default();
         for rule in &config.block_rules {
@@ -166,7 +168,7 @@
         &self.head
     }
 
-    /// Digest of the body that was adopted.
+    /// Digest of the adopted body.
     pub fn body(&self) -> &Digest {
         &self.body
     }
@@ -176,22 +178,22 @@
         &self.config
     }
 
-    /// Block table for lookups, with the blocks of the configuration.
+    /// Block table for lookups, including the blocks of the configuration.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Name of the block table's object, if there are blocks beside those of the configuration.
+    /// Digest of the block object; `None` if the only blocks are those of the configuration.
     pub fn block_object(&self) -> Option<Digest> {
         self.blocks.as_ref().map(|blocks| blocks.digest)
     }
 
-    /// Block table of the objects.
-    pub(crate) fn held_blocks(&self) -> Option<&HeldBlocks> {
+    /// Block table of the block objects.
+    pub(crate) fn resolved_blocks(&self) -> Option<&ResolvedBlocks> {
         self.blocks.as_ref()
     }
 
-    /// What stands for the whole.
+    /// Fields that identify the version, for comparisons and hashes.
     fn key(&self) -> (&Head, &Digest) {
         (&self.head, &self.body)
     }
@@ -223,59 +225,59 @@
     }
 }
 
-/// Body that was fetched, under the digest that it came with.
+/// Fetched body with the digest under which it was fetched.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct FetchedBody {
     /// Digest.
     digest: Digest,
     /// Configuration.
     config: Arc<Config>,
-    /// Block object that it names.
+    /// Block object that the body names.
     blocks: Option<Digest>,
 }
 
-/// Difference on the way down to a table that is held.
+/// Fetched difference on the chain down to a known table.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Step {
-    /// Block object.
+struct FetchedDelta {
+    /// Digest of the block object.
     digest: Digest,
-    /// Differences down to the snapshot.
+    /// Number of differences down to the snapshot.
     depth: u16,
     /// Blocks that differ.
     delta: Arc<Delta>,
 }
 
-/// Higher version while its objects are fetched.
+/// Higher version whose objects are being fetched.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-struct Pursuit {
-    /// Head to adopt.
+struct PendingVersion {
+    /// Head of the version.
     head: Head,
-    /// Its body, once fetched.
+    /// Body, once fetched.
     body: Option<FetchedBody>,
-    /// Differences fetched so far, the newest first.
-    steps: Vec<Step>,
-    /// Object that is being fetched.
-    awaited: Digest,
-    /// Failures of that fetch.
+    /// Differences fetched so far, newest first.
+    deltas: Vec<FetchedDelta>,
+    /// Digest of the object that is being fetched.
+    requested: Digest,
+    /// Number of failures of that fetch.
     failures: u8,
 }
 
-impl Pursuit {
-    /// Starts with the body.
-    fn of(head: Head) -> Self {
-        let awaited = head.digest;
+impl PendingVersion {
+    /// Creates a pending version; the body is fetched first.
+    fn new(head: Head) -> Self {
+        let requested = head.digest;
         Self {
             head,
             body: None,
-            steps: Vec::new(),
-            awaited,
+            deltas: Vec::new(),
+            requested,
             failures: 0,
         }
     }
 
-    /// Goes on to the next object.
+    /// Starts the fetch of the next object.
     fn fetch(&mut self, digest: Digest) -> AdoptAction {
-        self.awaited = digest;
+        self.requested = digest;
         self.failures = 0;
         AdoptAction::Fetch {
             digest,
@@ -283,24 +285,24 @@
         }
     }
 
-    /// Asks for the same object again.
-    fn fetch_again(&mut self) -> AdoptAction {
+    /// Retries the fetch of the same object.
+    fn retry_fetch(&mut self) -> AdoptAction {
         self.failures = self.failures.saturating_add(1);
         AdoptAction::Fetch {
-            digest: self.awaited,
+            digest: self.requested,
             failures: self.failures,
         }
     }
 
-    /// Makes the version of its body and a table; the table is that of the last step's base.
-    fn finish(&self, base: Option<HeldBlocks>) -> Result<Adopted, TooManyPreferences> {
+    /// Builds the version from the body and the table of the last difference's base.
+    fn finish(&self, base: Option<ResolvedBlocks>) -> Result<Adopted, TooManyPreferences> {
         let mut blocks = base;
-        for step in self.steps.iter().rev() {
-            let below = blocks.map_or_else(Arc::default, |blocks| blocks.table);
-            blocks = Some(HeldBlocks {
-                digest: step.digest,
-                depth: step.depth,
-                table: Arc::new(below.apply(&step.delta)?),
+        for fetched in self.deltas.iter().rev() {
+            let base_table = blocks.map_or_else(Arc::default, |blocks| blocks.table);
+            blocks = Some(ResolvedBlocks {
+                digest: fetched.digest,
+                depth: fetched.depth,
+                table: Arc::new(base_table.apply(&fetched.delta)?),
             });
         }
         let body = self
@@ -316,32 +318,32 @@
     }
 }
 
-/// Versions as one daemon knows them.
+/// State machine of a daemon's adoption of versions.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Adopt {
     /// Guards of the protocol.
     guards: Guards,
-    /// Sources that a starting daemon has neither heard nor given up.
-    unheard: BTreeSet<Source>,
+    /// Sources asked at the start that have neither reported nor been given up.
+    awaited_sources: BTreeSet<Source>,
     /// Version in force.
     adopted: Option<Arc<Adopted>>,
-    /// Version that was fetched whole and is not in force yet.
+    /// Version that was fetched completely and is not in force yet.
     complete: Option<Arc<Adopted>>,
     /// Higher version that is being fetched.
-    pursuit: Option<Pursuit>,
-    /// Whether the daemon has become ready.
+    pending: Option<PendingVersion>,
+    /// Whether the daemon is ready.
     ready: bool,
 }
 
 impl Adopt {
-    /// Starts without a version; `sources` are those that the daemon asks at its start.
+    /// Starts without a version; `sources` are the sources that the daemon asks at its start.
     pub fn new(sources: BTreeSet<Source>, guards: Guards) -> Self {
         Self {
             guards,
-            unheard: sources,
+            awaited_sources: sources,
             adopted: None,
             complete: None,
-            pursuit: None,
+            pending: None,
             ready: false,
         }
     }
@@ -351,14 +353,14 @@
         self.adopted.as_ref()
     }
 
-    /// Highest head that was heard of, in force or on its way.
+    /// Highest known head, whether in force, complete or being fetched.
     pub fn highest(&self) -> Option<&Head> {
-        let pursued = self.pursuit.as_ref().map(|pursuit| &pursuit.head);
-        pursued.or_else(|| self.held().map(|held| held.head()))
+        let pending = self.pending.as_ref().map(|pending| &pending.head);
+        pending.or_else(|| self.complete_or_adopted().map(|version| version.head()))
     }
 
-    /// Highest version of which everything is held.
-    fn held(&self) -> Option<&Arc<Adopted>> {
+    /// Highest version whose objects have all been fetched.
+    fn complete_or_adopted(&self) -> Option<&Arc<Adopted>> {
         self.complete.as_ref().or(self.adopted.as_ref())
     }
 
@@ -367,12 +369,12 @@
         self.ready
     }
 
-    /// Takes an event and gives what to do, in order.
+    /// Handles an event and returns the next actions in order.
     pub fn handle(&mut self, event: AdoptEvent) -> Vec<AdoptAction> {
-        let before = self.adopted.as_ref().map(|adopted| adopted.version());
+        let previous_version = self.adopted.as_ref().map(|adopted| adopted.version());
         let action = match event {
             AdoptEvent::Offered { source, offer } => {
-                self.unheard.remove(&source);
+                self.awaited_sources.remove(&source);
                 match offer {
                     Offer::Head(head) => self.on_head(head),
                     Offer::Nothing | Offer::Unreachable => None,
@@ -384,112 +386,119 @@
         self.update_ready();
         debug_assert!(
             !self.guards.only_higher
-                || before <= self.adopted.as_ref().map(|adopted| adopted.version())
+                || previous_version <= self.adopted.as_ref().map(|adopted| adopted.version())
         );
         action.into_iter().chain(adoption).collect()
     }
 
-    /// Takes a head; only one above all that are known is pursued.
+    /// Handles a head; its objects are fetched only if it is higher than all known heads.
     fn on_head(&mut self, head: Head) -> Option<AdoptAction> {
         let known = self.highest();
-        let news = match known {
+        let is_higher = match known {
             None => true,
-            // A peer that lags, or a reordered message, tells of what was in force before. To adopt
-            // it would undo an accepted change; one would notice daemons that differ.
+            // A lagging peer or a reordered message may report an earlier version. Adopting it
+            // would undo an accepted change and make the daemons differ.
             Some(known) if self.guards.only_higher => head.version > known.version,
             Some(known) => head != *known,
         };
-        if !news {
+        if !is_higher {
             return None;
         }
-        let pursuit = self.pursuit.insert(Pursuit::of(head));
-        let digest = pursuit.awaited;
-        Some(pursuit.fetch(digest))
+        let pending = self.pending.insert(PendingVersion::new(head));
+        let digest = pending.requested;
+        Some(pending.fetch(digest))
     }
 
-    /// Takes the answer to a fetch.
+    /// Handles the result of a fetch.
     fn on_fetched(
         &mut self,
         digest: Digest,
         object: Result<Object, FetchFailure>,
     ) -> Option<AdoptAction> {
-        let pursuit = self.pursuit.as_mut()?;
-        // The late answer to a fetch that was given up: under the new head it would put an old
-        // body in force with the new version, and no higher version would ever mend that.
-        if self.guards.match_digest && digest != pursuit.awaited {
+        let pending = self.pending.as_mut()?;
+        // This is the late result of an abandoned fetch. Under the new head it would put an old
+        // body in force with the new version, and the daemon would keep it until a higher version
+        // is adopted.
+        if self.guards.match_digest && digest != pending.requested {
             return None;
         }
         match object {
-            Ok(Object::Body(body)) if pursuit.body.is_none() => self.on_body(digest, body),
-            Ok(Object::Blocks(blocks)) if pursuit.body.is_some() => self.on_blocks(digest, blocks),
-            Ok(_) | Err(_) => Some(pursuit.fetch_again()),
+            Ok(Object::Body(body)) if pending.body.is_none() => self.on_body(digest, body),
+            Ok(Object::Blocks(blocks)) if pending.body.is_some() => self.on_blocks(digest, blocks),
+            Ok(_) | Err(_) => Some(pending.retry_fetch()),
         }
     }
 
-    /// Takes the body and goes on to the blocks that it names.
+    /// Handles the body and continues with the block object that it names.
     fn on_body(&mut self, digest: Digest, body: Body) -> Option<AdoptAction> {
-        let pursuit = self.pursuit.as_mut()?;
+        let pending = self.pending.as_mut()?;
         let blocks = body.blocks;
-        pursuit.body = Some(FetchedBody {
+        pending.body = Some(FetchedBody {
             digest,
             config: body.config,
             blocks,
         });
         match blocks {
             None => self.finish(None),
-            Some(blocks) => self.go_down_to(blocks),
+            Some(blocks) => self.resolve_blocks(blocks),
         }
     }
 
-    /// Takes a block object.
+    /// Handles a block object.
     fn on_blocks(&mut self, digest: Digest, blocks: BlockObject) -> Option<AdoptAction> {
-        let pursuit = self.pursuit.as_mut()?;
+        let pending = self.pending.as_mut()?;
         match blocks {
-            BlockObject::Snapshot(table) => self.finish(Some(HeldBlocks {
+            BlockObject::Snapshot(table) => self.finish(Some(ResolvedBlocks {
                 digest,
                 depth: 0,
                 table,
             })),
             BlockObject::Difference { base, depth, delta } => {
-                // Depth falls with each step, so that no chain of objects is followed for ever.
-                if pursuit.steps.last().is_some_and(|step| step.depth <= depth) {
-                    return Some(pursuit.fetch_again());
+                // The depth must decrease with each difference, so that the chain of objects ends.
+                if pending
+                    .deltas
+                    .last()
+                    .is_some_and(|last| last.depth <= depth)
+                {
+                    return Some(pending.retry_fetch());
                 }
-                pursuit.steps.push(Step {
+                pending.deltas.push(FetchedDelta {
                     digest,
                     depth,
                     delta,
                 });
-                self.go_down_to(base)
+                self.resolve_blocks(base)
             }
         }
     }
 
-    /// Uses the table that is held if it is the one, else fetches it.
-    fn go_down_to(&mut self, blocks: Digest) -> Option<AdoptAction> {
-        let held = self.held().and_then(|held| held.held_blocks());
-        match held.filter(|held| held.digest == blocks).cloned() {
-            Some(held) => self.finish(Some(held)),
-            None => Some(self.pursuit.as_mut()?.fetch(blocks)),
+    /// Uses the table of the latest complete version if it has this digest, otherwise fetches it.
+    fn resolve_blocks(&mut self, digest: Digest) -> Option<AdoptAction> {
+        let latest = self
+            .complete_or_adopted()
+            .and_then(|version| version.resolved_blocks());
+        match latest.filter(|latest| latest.digest == digest).cloned() {
+            Some(latest) => self.finish(Some(latest)),
+            None => Some(self.pending.as_mut()?.fetch(digest)),
         }
     }
 
-    /// Completes the version that is pursued with this table.
-    fn finish(&mut self, base: Option<HeldBlocks>) -> Option<AdoptAction> {
-        let pursuit = self.pursuit.as_mut()?;
-        let Ok(adopted) = pursuit.finish(base) else {
-            return Some(pursuit.fetch_again());
+    /// Completes the pending version with this table.
+    fn finish(&mut self, base: Option<ResolvedBlocks>) -> Option<AdoptAction> {
+        let pending = self.pending.as_mut()?;
+        let Ok(adopted) = pending.finish(base) else {
+            return Some(pending.retry_fetch());
         };
-        self.pursuit = None;
+        self.pending = None;
         self.complete = Some(Arc::new(adopted));
         None
     }
 
-    /// Puts what is complete in force, unless a source may know of a higher version.
+    /// Puts the complete version in force, unless a source may know a higher version.
     ///
-    /// What goes wrong otherwise: a daemon that starts anew hears of a version from a peer that lags
-    /// and has it in force for a moment, though a higher one was in force here before. One would
-    /// notice an instance whose version goes back.
+    /// Otherwise a restarted daemon could learn of a version from a lagging peer and put it in
+    /// force for a moment, although a higher version was in force before the restart. The version
+    /// of the instance would appear to go back.
     fn adopt_complete(&mut self) -> Option<AdoptAction> {
         if !self.is_settled() {
             return None;
@@ -499,16 +508,16 @@
         Some(AdoptAction::Adopt(adopted))
     }
 
-    /// Whether all sources are heard and nothing higher is on its way.
+    /// Whether all sources have reported or were given up, and no higher version is being fetched.
     fn is_settled(&self) -> bool {
-        let settled = self.unheard.is_empty() && self.pursuit.is_none();
+        let settled = self.awaited_sources.is_empty() && self.pending.is_none();
         settled || !self.guards.ready_after_all
     }
 
-    /// Becomes ready once a version is in force and none of the sources may know a higher one.
+    /// Becomes ready once a version is in force and no source can know a higher one.
     ///
-    /// A daemon that answers callers before would steer by a version that is out of force
-    /// elsewhere, for instance to what has been drained since.
+    /// A daemon that answered callers earlier would steer by an outdated version, for instance to
+    /// upstreams that have been drained since.
     fn update_ready(&mut self) {
         self.ready |= self.adopted.is_some() && self.is_settled();
     }
--- a/crates/spec/src/version/guards.rs
+++ b/crates/spec/src/version/guards.rs
@@ -1,24 +1,26 @@
-//! Switches of the protocol's guards, for the search that shows what each is for.
+//! Switches for the guards of the protocol, for a state search that shows the need for each.
 
-/// Guards of [`crate::Accept`] and [`crate::Adopt`]; all on, but in a search that seeds a fault.
+/// Guards of [`crate::Accept`] and [`crate::Adopt`]; one is switched off only to seed a fault in a
+/// state search.
 ///
-/// A search that finds no broken promise proves little unless it finds one as soon as a guard is
-/// off. The daemon only ever uses [`Guards::ALL`].
+/// A search that finds no violated invariant proves little unless it finds one as soon as a guard
+/// is off. The daemon always uses [`Guards::ALL`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Guards {
-    /// Store the objects before the head that names them.
+    /// Store the objects before the head that refers to them.
     pub objects_first: bool,
-    /// Commit only on the head that was read.
+    /// Commit only if the head hasn't changed since it was read.
     pub check_head: bool,
-    /// Look for the row of the accept id before each commit.
+    /// Check for the row of the accept id before each commit.
     pub find_accept_id: bool,
-    /// Read back a commit whose answer was lost, instead of taking it for not done.
+    /// Read the rows back after a commit whose outcome is unknown, instead of assuming that it
+    /// failed.
     pub read_back: bool,
     /// Adopt only higher versions.
     pub only_higher: bool,
-    /// Adopt an object only under the head that names its digest.
+    /// Accept a fetched object only if its digest is the requested one.
     pub match_digest: bool,
-    /// Be ready only once every source was heard or given up.
+    /// Become ready only after every source has reported or was given up.
     pub ready_after_all: bool,
 }
 
--- a/crates/spec/src/version/head.rs
+++ b/crates/spec/src/version/head.rs
@@ -1,4 +1,4 @@
-//! The head: which version is in force, and who accepted it.
+//! The head: the version in force, with the accept and the operator that made it.
 
 use crate::{
     AcceptId,
@@ -16,19 +16,19 @@
     str::FromStr, //
 };
 
-/// Value of the table's row `head`, of each row of the history, and of what daemons tell each
-/// other. Its text is JSON on one line.
+/// Value of the table's row `head`, of each row of the history, and of the messages in which
+/// daemons announce versions to each other. Its text is JSON on one line.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Head {
-    /// Version; the first is 1.
+    /// Version; the first version is 1.
     pub version: Version,
     /// Digest of the body.
     pub digest: Digest,
-    /// Accept that made it.
+    /// Accept that made the version.
     pub accept_id: AcceptId,
-    /// Operator, as stated.
+    /// Operator, as stated in the request.
     pub author: ByteString,
-    /// Wall time of the accept by the daemon that ran it, for people only.
+    /// Wall-clock time of the daemon that ran the accept; for display only.
     pub accepted_at_ms: u64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Text that is no head.
+/// Error for a text that is not a head.
 #[derive(Debug)]
 pub struct MalformedHead(serde_json::Error);
 
--- a/crates/spec/src/version/id.rs
+++ b/crates/spec/src/version/id.rs
@@ -1,4 +1,4 @@
-//! Names of objects and of accepts, both written as hexadecimal digits.
+//! Ids of objects and of accepts, both written as hexadecimal digits.
 
 use serde::{
     Deserialize,
@@ -10,13 +10,14 @@
     str::FromStr, //
 };
 
-/// Digest of an object's bytes, which is its name: 64 lower-case hexadecimal digits of BLAKE3.
+/// BLAKE3 digest of an object's bytes, which identifies the object; written as 64 lower-case
+/// hexadecimal digits.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Digest([u8; blake3::OUT_LEN]);
 
 impl Digest {
-    /// Digest of an object's bytes.
+    /// Computes the digest of an object's bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
@@ -45,7 +46,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let hash = blake3::Hash::from_hex(text).map_err(|_| MalformedId)?;
         let digest = Self(*hash.as_bytes());
-        // Upper-case digits would give one object two names.
+        // If upper-case digits were accepted, one object would have two names.
         if digest.to_string() == text {
             Ok(digest)
         } else {
@@ -54,12 +55,12 @@
     }
 }
 
-/// Name that an operator gives to one accept, so that a repeat of it is known as such.
+/// Id that an operator gives to an accept, so that a repeated request is recognised.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct AcceptId(pub u128);
 
-/// Hexadecimal digits of an accept id.
+/// Number of hexadecimal digits of an accept id.
 const ACCEPT_ID_DIGITS: usize = 32;
 
 impl fmt::Display for AcceptId {
@@ -75,7 +76,8 @@
         let id = u128::from_str_radix(text, 16)
             .map(Self)
             .map_err(|_| MalformedId)?;
-        // Signs, upper-case digits and missing zeros would give one accept two names.
+        // If signs, upper-case digits or omitted zeros were accepted, one accept would have two
+        // ids.
         if id.to_string() == text {
             Ok(id)
         } else {
@@ -84,20 +86,20 @@
     }
 }
 
-/// Text that is no id of its kind.
+/// Error for a text that is not a digest or an accept id.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MalformedId;
 
 impl fmt::Display for MalformedId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not the lower-case hexadecimal digits of an id")
+        f.write_str("an id must have its full number of lower-case hexadecimal digits")
     }
 }
 
 impl Error for MalformedId {}
 
-/// Lets serde carry an id as its text.
-macro_rules! as_text {
+/// Implements the conversions by which serde writes and reads an id as its text.
+macro_rules! serde_as_text {
     ($id:ty) => {
         impl From<$id> for String {
             fn from(id: $id) -> Self {
@@ -115,5 +117,5 @@
     };
 }
 
-as_text!(AcceptId);
-as_text!(Digest);
+serde_as_text!(AcceptId);
+serde_as_text!(Digest);
--- a/crates/spec/src/version/mod.rs
+++ b/crates/spec/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration: how one is accepted, and how a daemon adopts it.
+//! Versions of the configuration: accepting a version, and its adoption by daemons.
 
 mod accept;
 mod adopt;
--- a/crates/spec/src/version/object.rs
+++ b/crates/spec/src/version/object.rs
@@ -1,9 +1,10 @@
-//! What the object store holds of a version: a body, and apart from it the block table.
+//! Objects in the object store that make up a version: a body and, separately, the block table.
 //!
-//! Most versions change a target or a drain and leave the blocks alone, and then only the small
-//! body is new. A block object is a snapshot or the difference to an earlier one, so that a change
-//! of a thousand blocks does not ship them all. Digests chain: a body names its block object, a
-//! difference names its base, so the digest of a head stands for everything below it.
+//! Most versions change a target or a drain and leave the blocks unchanged; then only the small
+//! body is new. A block object is a snapshot or the difference from an earlier block object, so
+//! that a change of a thousand blocks doesn't transfer the whole table. Digests form a chain: a
+//! body names its block object and a difference names its base, so the digest in a head identifies
+//! every object of the version.
 
 use crate::{
     Config,
@@ -27,49 +28,49 @@
 };
 
 /// First line of a body.
-const BODY: &str = "jasminefield body 1";
+const BODY_HEADER: &str = "jasminefield body 1";
 /// First line of a block object.
-const BLOCKS: &str = "jasminefield blocks 1";
-/// Second line of a body without blocks.
-const NO_BLOCKS: &str = "blocks none";
+const BLOCKS_HEADER: &str = "jasminefield blocks 1";
+/// Second line of a body that names no block object.
+const NO_BLOCKS_LINE: &str = "blocks none";
 
-/// Texts from this length on are given back to the system when they end.
-const LARGE_BYTES: usize = 1 << 20;
-/// Just beyond the largest buffer that glibc ever serves from its heaps, which is 32 MiB.
-const OWN_MAPPING_BYTES: usize = 33 << 20;
+/// Length from which a text gets a separate mapping, which is returned to the system when freed.
+const LARGE_TEXT_BYTES: usize = 1 << 20;
+/// Capacity of a buffer that glibc always maps separately; it serves up to 32 MiB from its heaps.
+const SEPARATE_MAPPING_BYTES: usize = 33 << 20;
 
-/// Most differences above a snapshot.
+/// Maximum number of differences above a snapshot.
 ///
-/// A daemon that starts fetches all of them one after the other; a daemon that runs only the
+/// A starting daemon fetches all of them one after another; a running daemon fetches only the
 /// newest.
 pub(crate) const MAX_DEPTH: u16 = 64;
 
-/// Configuration of a version, and the name of its block table.
+/// Configuration of a version, with the digest of its block object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Body {
     /// Configuration.
     pub config: Arc<Config>,
-    /// Block object, if there are blocks beside those of the configuration.
+    /// Block object; `None` if the only blocks are those of the configuration.
     pub blocks: Option<Digest>,
 }
 
-/// Block table, whole or as the difference to an earlier one.
+/// Block table, in full or as the difference from an earlier one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BlockObject {
-    /// Whole.
+    /// The full table.
     Snapshot(Arc<Table>),
-    /// Difference.
+    /// Difference from an earlier block object.
     Difference {
         /// Earlier block object.
         base: Digest,
-        /// Number of differences down to the snapshot, this one included.
+        /// Number of differences down to the snapshot, including this one.
         depth: u16,
         /// Blocks that differ.
         delta: Arc<Delta>,
     },
 }
 
-/// Object that was read under its digest.
+/// Object that was verified against its digest and parsed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Object {
     /// Body.
@@ -78,28 +79,36 @@
     Blocks(BlockObject),
 }
 
-/// Why bytes are not the object that was asked for.
+/// Error when reading an object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ObjectError {
-    /// The bytes have another digest: damaged, or another object.
-    Digest,
-    /// Not of a form that this release knows, as from a newer one.
-    Form,
-    /// The configuration does not hold.
+    /// The bytes have a different digest; they are damaged or belong to another object.
+    DigestMismatch,
+    /// The format is unknown to this release; a newer release may have written the object.
+    UnknownFormat,
+    /// The configuration is invalid.
     Config(Findings),
-    /// The blocks can't be read.
+    /// Lines of the blocks are invalid.
     Blocks(Vec<LineError>),
 }
 
 impl fmt::Display for ObjectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Digest => f.write_str("the object's bytes don't match its digest"),
-            Self::Form => f.write_str("the object is of a form that this release does not know"),
-            Self::Config(findings) => write!(f, "the object's configuration:\n{findings}"),
+            Self::DigestMismatch => f.write_str("the object's bytes don't match its digest"),
+            Self::UnknownFormat => {
+                f.write_str("the object has a format that this release does not know")
+            }
+            Self::Config(findings) => {
+                write!(f, "the object's configuration is invalid:\n{findings}")
+            }
             Self::Blocks(errors) => match errors.first() {
-                Some(first) => write!(f, "the object's blocks: {first}, {} in all", errors.len()),
-                None => f.write_str("the object's blocks"),
+                Some(first) => write!(
+                    f,
+                    "the object's blocks are invalid: {first} ({} errors)",
+                    errors.len()
+                ),
+                None => f.write_str("the object's blocks are invalid"),
             },
         }
     }
@@ -108,23 +117,25 @@
 impl Error for ObjectError {}
 
 impl Body {
-    /// Bytes of the object.
+    /// Encodes the object.
     pub fn to_bytes(&self) -> Bytes {
         let blocks = match self.blocks {
             Some(digest) => format!("blocks {digest}"),
-            None => NO_BLOCKS.to_owned(),
+            None => NO_BLOCKS_LINE.to_owned(),
         };
-        format!("{BODY}\n{blocks}\n\n{}", self.config).into()
+        format!("{BODY_HEADER}\n{blocks}\n\n{}", self.config).into()
     }
 
-    /// Reads what follows the first line.
+    /// Parses the text after the first line.
     fn read(rest: &str) -> Result<Self, ObjectError> {
-        let (blocks, config) = rest.split_once("\n\n").ok_or(ObjectError::Form)?;
-        let blocks = if blocks == NO_BLOCKS {
+        let (blocks, config) = rest.split_once("\n\n").ok_or(ObjectError::UnknownFormat)?;
+        let blocks = if blocks == NO_BLOCKS_LINE {
             None
         } else {
-            let digest = blocks.strip_prefix("blocks ").ok_or(ObjectError::Form)?;
-            Some(digest.parse().map_err(|_| ObjectError::Form)?)
+            let digest = blocks
+                .strip_prefix("blocks ")
+                .ok_or(ObjectError::UnknownFormat)?;
+            Some(digest.parse().map_err(|_| ObjectError::UnknownFormat)?)
         };
         let config = crate::parse("object", config).map_err(ObjectError::Config)?;
         Ok(Self {
@@ -135,32 +146,37 @@
 }
 
 impl BlockObject {
-    /// Bytes of the object.
+    /// Encodes the object.
     pub fn to_bytes(&self) -> Bytes {
-        let mut length = Length(0);
-        self.write(&mut length);
-        let mut text = String::with_capacity(capacity(length.0));
+        let mut counter = ByteCounter(0);
+        self.write(&mut counter);
+        let mut text = String::with_capacity(capacity(counter.0));
         self.write(&mut text);
         text.into()
     }
 
     fn write(&self, text: &mut impl Write) {
-        let written = match self {
-            Self::Snapshot(table) => write!(text, "{BLOCKS}\nsnapshot\n\n{}", Compact(table)),
+        let result = match self {
+            Self::Snapshot(table) => {
+                write!(text, "{BLOCKS_HEADER}\nsnapshot\n\n{}", Compact(table))
+            }
             Self::Difference { base, depth, delta } => {
-                write!(text, "{BLOCKS}\ndifference {base} {depth}\n\n{delta}")
+                write!(
+                    text,
+                    "{BLOCKS_HEADER}\ndifference {base} {depth}\n\n{delta}"
+                )
             }
         };
-        written.expect("Writing to memory does not fail.");
+        result.expect("Writing to memory does not fail.");
     }
 
-    /// Whether these are the bytes of a snapshot; only their beginning is looked at.
+    /// Whether these are the bytes of a snapshot; only the first lines are inspected.
     pub fn is_snapshot(bytes: &[u8]) -> bool {
-        let rest = bytes.strip_prefix(BLOCKS.as_bytes());
+        let rest = bytes.strip_prefix(BLOCKS_HEADER.as_bytes());
         rest.is_some_and(|rest| rest.starts_with(b"\nsnapshot\n"))
     }
 
-    /// Number of differences down to the snapshot.
+    /// Number of differences down to the snapshot; 0 for a snapshot.
     pub fn depth(&self) -> u16 {
         match self {
             Self::Snapshot(_) => 0,
@@ -168,19 +184,23 @@
         }
     }
 
-    /// Reads what follows the first line.
+    /// Parses the text after the first line.
     fn read(rest: &str) -> Result<Self, ObjectError> {
-        let (kind, lines) = rest.split_once("\n\n").ok_or(ObjectError::Form)?;
+        let (kind, lines) = rest.split_once("\n\n").ok_or(ObjectError::UnknownFormat)?;
         if kind == "snapshot" {
             let table = Table::parse(lines).map_err(ObjectError::Blocks)?;
             return Ok(Self::Snapshot(Arc::new(table)));
         }
-        let names = kind.strip_prefix("difference ").ok_or(ObjectError::Form)?;
-        let (base, depth) = names.split_once(' ').ok_or(ObjectError::Form)?;
-        let base = base.parse().map_err(|_| ObjectError::Form)?;
-        let depth = depth.parse().map_err(|_| ObjectError::Form)?;
+        let base_and_depth = kind
+            .strip_prefix("difference ")
+            .ok_or(ObjectError::UnknownFormat)?;
+        let (base, depth) = base_and_depth
+            .split_once(' ')
+            .ok_or(ObjectError::UnknownFormat)?;
+        let base = base.parse().map_err(|_| ObjectError::UnknownFormat)?;
+        let depth = depth.parse().map_err(|_| ObjectError::UnknownFormat)?;
         if !(1..=MAX_DEPTH).contains(&depth) {
-            return Err(ObjectError::Form);
+            return Err(ObjectError::UnknownFormat);
         }
         let delta = Delta::parse(lines).map_err(ObjectError::Blocks)?;
         Ok(Self::Difference {
@@ -191,24 +211,26 @@
     }
 }
 
-/// Room to ask for, so that a text of this length neither moves nor stays after its end.
+/// Buffer capacity for a text of this length that avoids reallocation and is returned to the system
+/// when the text is freed.
 ///
-/// A text that grows as it is written is moved, and is up to twice as long as needed. And glibc
-/// keeps what is freed for later buffers of that size, unless it had a mapping of its own, as what
-/// is longer than [`OWN_MAPPING_BYTES`] always has. One would see a daemon's resident size stay 30
-/// MB higher after each snapshot of 1.7 million blocks that it made for a peer (`measure/blocks.sh`).
-/// Room that is not written to costs address space alone.
+/// A string that grows while it is written is reallocated, and its capacity may reach twice the
+/// length. In addition, glibc keeps freed memory for later buffers of the same size unless the
+/// buffer had a mapping of its own, as buffers of [`SEPARATE_MAPPING_BYTES`] and more always have.
+/// Without this, a daemon's resident size stayed 30 MB higher after each snapshot of 1.7 million
+/// blocks that it encoded for a peer (`measure/blocks.sh`). Capacity that is not written to only
+/// costs address space.
 fn capacity(length: usize) -> usize {
-    if length < LARGE_BYTES {
+    if length < LARGE_TEXT_BYTES {
         return length;
     }
-    length.max(OWN_MAPPING_BYTES)
+    length.max(SEPARATE_MAPPING_BYTES)
 }
 
-/// Counts the bytes that are written.
-struct Length(usize);
+/// Writer that only counts the bytes.
+struct ByteCounter(usize);
 
-impl Write for Length {
+impl Write for ByteCounter {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0 += text.len();
         Ok(())
@@ -216,22 +238,23 @@
 }
 
 impl Object {
-    /// Reads an object that was fetched under `digest`.
+    /// Verifies and parses the object with this digest.
     ///
-    /// A snapshot of 1.7 million blocks takes a while: run this off the control thread.
+    /// Parsing a snapshot of 1.7 million blocks is slow, so this must not run on the control
+    /// thread.
     ///
     /// # Errors
     ///
-    /// When the bytes are not those of the digest, or can't be read.
+    /// If the bytes don't match the digest, or can't be parsed.
     pub fn read(digest: &Digest, bytes: &[u8]) -> Result<Self, ObjectError> {
         if Digest::of(bytes) != *digest {
-            return Err(ObjectError::Digest);
+            return Err(ObjectError::DigestMismatch);
         }
-        let text = std::str::from_utf8(bytes).map_err(|_| ObjectError::Form)?;
+        let text = std::str::from_utf8(bytes).map_err(|_| ObjectError::UnknownFormat)?;
         match text.split_once('\n') {
-            Some((BODY, rest)) => Body::read(rest).map(Self::Body),
-            Some((BLOCKS, rest)) => BlockObject::read(rest).map(Self::Blocks),
-            _ => Err(ObjectError::Form),
+            Some((BODY_HEADER, rest)) => Body::read(rest).map(Self::Body),
+            Some((BLOCKS_HEADER, rest)) => BlockObject::read(rest).map(Self::Blocks),
+            _ => Err(ObjectError::UnknownFormat),
         }
     }
 }
--- a/crates/spec/src/version/proposal.rs
+++ b/crates/spec/src/version/proposal.rs
@@ -1,4 +1,4 @@
-//! What an operator asks to be accepted, with the objects that it needs.
+//! The proposal of an operator's accept, with the objects to store.
 
 use crate::{
     AcceptId,
@@ -33,52 +33,52 @@
     sync::Arc, //
 };
 
-/// A difference is shipped as such while the table has this many times its blocks.
-const WORTH_A_DIFFERENCE: usize = 4;
+/// A difference is stored only if the new table has at least this many times its blocks.
+const MIN_TABLE_TO_DIFFERENCE_RATIO: usize = 4;
 
-/// What becomes of the block table.
+/// Change to the block table.
 #[derive(Clone, Debug, Default)]
 pub enum BlockChange {
-    /// It stays.
+    /// The table stays unchanged.
     #[default]
     Keep,
-    /// It is replaced.
+    /// The table is replaced.
     Replace(Table),
-    /// Some blocks change.
+    /// Some blocks are set or removed.
     Apply(Delta),
 }
 
-/// Reads a block file: a difference if its first line begins with a sign, else a table.
+/// Parses a block file: a difference if its first line begins with a sign, otherwise a table.
 ///
 /// # Errors
 ///
-/// Every line that can't be taken.
+/// All invalid lines.
 pub fn parse_blocks(file: &str, text: &str) -> Result<BlockChange, Findings> {
-    let change = match first_sign(text) {
+    let change = match starts_with_sign(text) {
         Some(true) => Delta::parse(text).map(BlockChange::Apply),
         _ => Table::parse(text).map(BlockChange::Replace),
     };
     change.map_err(|errors| findings(file, errors))
 }
 
-/// Reads a block file piece by piece, so that a large table's text is never whole in memory.
+/// Incremental parser of a block file; the text of a large table is never in memory as a whole.
 #[derive(Debug, Default)]
 pub struct BlockReader {
-    /// The table so far, unless it is a difference.
+    /// Table read so far, unless the file is a difference.
     table: TableReader,
-    /// Text of a difference, which is small.
+    /// Text of a difference; differences are small.
     difference: Option<String>,
-    /// Whether it is known which of the two it is.
-    is_known: bool,
+    /// Whether a line has shown if the file is a table or a difference.
+    is_kind_known: bool,
 }
 
 impl BlockReader {
-    /// Reads some more lines; a piece ends where a line does.
+    /// Reads more text, which must end at the end of a line.
     pub fn push(&mut self, text: &str) {
-        if !self.is_known {
-            let sign = first_sign(text);
-            self.is_known = sign.is_some();
-            self.difference = sign.unwrap_or(false).then(String::new);
+        if !self.is_kind_known {
+            let has_sign = starts_with_sign(text);
+            self.is_kind_known = has_sign.is_some();
+            self.difference = has_sign.unwrap_or(false).then(String::new);
         }
         match &mut self.difference {
             Some(difference) => difference.push_str(text),
@@ -86,11 +86,11 @@
         }
     }
 
-    /// What the file says.
+    /// Returns the change that the file states.
     ///
     /// # Errors
     ///
-    /// As of [`parse_blocks`], but that blocks of a table which stand twice are only counted.
+    /// As for [`parse_blocks`], except that duplicate blocks of a table are only counted.
     pub fn finish(self, file: &str) -> Result<BlockChange, Findings> {
         let change = match self.difference {
             Some(text) => Delta::parse(&text).map(BlockChange::Apply),
@@ -100,14 +100,15 @@
     }
 }
 
-/// Whether the first line that holds something begins with a sign; `None` if there is none.
-fn first_sign(text: &str) -> Option<bool> {
+/// Whether the first line that is neither empty nor a comment begins with a sign; `None` if there
+/// is no such line.
+fn starts_with_sign(text: &str) -> Option<bool> {
     let mut lines = text.lines().map(str::trim);
     let first = lines.find(|line| !line.is_empty() && !line.starts_with('#'));
     first.map(|line| line.starts_with(['+', '-']))
 }
 
-/// Errors with their places.
+/// Converts line errors to findings with locations.
 fn findings(file: &str, errors: Vec<LineError>) -> Findings {
     let finding = |error: LineError| Finding {
         location: SourceLocation {
@@ -120,27 +121,27 @@
     errors.into_iter().map(finding).collect()
 }
 
-/// Accept that an operator asked for, made on the version that it changes.
+/// Accept that an operator requested, based on the version that it changes.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Proposal {
-    /// Name of the accept. A repeat carries the same one, and the same base.
+    /// Id of the accept. A repeated request has the same id and the same base.
     pub accept_id: AcceptId,
-    /// Operator, as stated.
+    /// Operator, as stated in the request.
     pub author: ByteString,
-    /// Wall time, for people only.
+    /// Wall-clock time of the accept; for display only.
     pub accepted_at_ms: u64,
-    /// Version that it changes; 0 if there is none yet.
+    /// Version that the accept changes; 0 if there is no version yet.
     pub base: Version,
     /// Digest of the body.
     pub body: Digest,
-    /// Objects to store, those that others name first.
+    /// Objects to store; an object comes after those that it names.
     pub objects: Vec<(Digest, Bytes)>,
 }
 
-/// Why a proposal can't be made.
+/// Error when building a proposal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProposalError {
-    /// Blocks name regions that the configuration lacks.
+    /// Blocks name regions that the configuration doesn't have.
     UnknownRegions(BTreeSet<RegionId>),
     /// The block table has too many distinct preferences.
     TooManyPreferences,
@@ -162,11 +163,11 @@
 impl Error for ProposalError {}
 
 impl Proposal {
-    /// Makes a proposal on the version that `base` is.
+    /// Builds a proposal based on the version `base`.
     ///
     /// # Errors
     ///
-    /// When the block table does not fit the configuration.
+    /// If the block table names unknown regions or has too many distinct preferences.
     pub fn new(
         accept_id: AcceptId,
         author: ByteString,
@@ -194,23 +195,24 @@
     }
 }
 
-/// Table that follows and the name of its object, which is added to `objects` if it is new.
+/// Returns the next table and the digest of its object, which is added to `objects` if it is new.
 fn next_blocks(
     base: Option<&Adopted>,
     change: BlockChange,
     objects: &mut Vec<(Digest, Bytes)>,
 ) -> Result<(Arc<Table>, Option<Digest>), ProposalError> {
-    let held = base.and_then(Adopted::held_blocks);
-    let old = held.map_or_else(Arc::default, |held| Arc::clone(&held.table));
+    let base_blocks = base.and_then(Adopted::resolved_blocks);
+    let old_table = base_blocks.map_or_else(Arc::default, |blocks| Arc::clone(&blocks.table));
     let (table, delta) = match change {
-        BlockChange::Keep => (Arc::clone(&old), Some(Delta::default())),
+        BlockChange::Keep => (Arc::clone(&old_table), Some(Delta::default())),
         BlockChange::Replace(table) => {
-            let most = table.len() / WORTH_A_DIFFERENCE;
-            let delta = held.and_then(|held| Delta::between_at_most(&held.table, &table, most));
+            let max_blocks = table.len() / MIN_TABLE_TO_DIFFERENCE_RATIO;
+            let delta = base_blocks
+                .and_then(|blocks| Delta::between_at_most(&blocks.table, &table, max_blocks));
             (Arc::new(table), delta)
         }
         BlockChange::Apply(delta) => {
-            let applied = old.apply(&delta);
+            let applied = old_table.apply(&delta);
             let table = applied.map_err(|TooManyPreferences| ProposalError::TooManyPreferences)?;
             (Arc::new(table), Some(delta))
         }
@@ -218,15 +220,17 @@
     if table.is_empty() {
         return Ok((table, None));
     }
-    let object = match held.zip(delta) {
-        Some((held, delta)) if delta.is_empty() => return Ok((table, Some(held.digest))),
-        Some((held, delta))
-            if held.depth < crate::version::object::MAX_DEPTH
-                && delta.len() * WORTH_A_DIFFERENCE <= table.len() =>
+    let object = match base_blocks.zip(delta) {
+        Some((base_blocks, delta)) if delta.is_empty() => {
+            return Ok((table, Some(base_blocks.digest)))
+        }
+        Some((base_blocks, delta))
+            if base_blocks.depth < crate::version::object::MAX_DEPTH
+                && delta.len() * MIN_TABLE_TO_DIFFERENCE_RATIO <= table.len() =>
         {
             BlockObject::Difference {
-                base: held.digest,
-                depth: held.depth + 1,
+                base: base_blocks.digest,
+                depth: base_blocks.depth + 1,
                 delta: Arc::new(delta),
             }
         }
@@ -236,14 +240,14 @@
     Ok((table, Some(digest)))
 }
 
-/// Adds an object under its digest.
+/// Adds an object with its digest.
 fn push_object(objects: &mut Vec<(Digest, Bytes)>, bytes: Bytes) -> Digest {
     let digest = Digest::of(&bytes);
     objects.push((digest, bytes));
     digest
 }
 
-/// Checks that the table names regions of the configuration only.
+/// Checks that the table names only regions of the configuration.
 fn check_regions(config: &Config, table: &Table) -> Result<(), ProposalError> {
     let mut unknown = table.regions();
     unknown.retain(|id| config.region(id).is_none());
--- a/crates/spec/tests/cases.rs
+++ b/crates/spec/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Each case states an input and the findings that it must give, whole and in order.
+//! Each case has a configuration file and the complete, ordered list of findings that it must give.
 
 use std::{
     collections::BTreeSet,
@@ -19,7 +19,7 @@
     assert_eq!(findings.to_string(), expected.trim_end(), "{name}");
 }
 
-/// Names each case; a file without a name here is a failure.
+/// Defines a test for each case, and a test that fails if a case file isn't listed.
 macro_rules! cases {
     ($($name:ident)*) => {
         $(
@@ -30,12 +30,12 @@
         )*
 
         #[test]
-        fn no_case_is_forgotten() {
-            let named: BTreeSet<String> = [$(stringify!($name).to_owned()),*].into();
+        fn every_case_file_is_listed() {
+            let listed: BTreeSet<String> = [$(stringify!($name).to_owned()),*].into();
             let files = fs::read_dir(path("")).unwrap().map(|entry| entry.unwrap().path());
             let yaml = files.filter(|path| path.extension().is_some_and(|e| e == "yaml"));
             let present = yaml.map(|path| path.file_stem().unwrap().to_str().unwrap().to_owned());
-            assert_eq!(present.collect::<BTreeSet<_>>(), named);
+            assert_eq!(present.collect::<BTreeSet<_>>(), listed);
         }
     };
 }
--- a/crates/spec/tests/properties.rs
+++ b/crates/spec/tests/properties.rs
@@ -20,8 +20,9 @@
     spec::parse(file, text).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// Reads a text; if it is taken it must print to what reads back the same and holds.
-fn take(text: &str) {
+/// Parses a text; a configuration that is accepted must be valid, and its printed text must parse
+/// to an equal configuration.
+fn check_round_trip(text: &str) {
     if let Ok(config) = spec::parse("any.yaml", text) {
         assert_eq!(spec::verify(&config), []);
         assert_eq!(
@@ -42,42 +43,49 @@
 }
 
 #[test]
-fn any_text_is_read_or_refused() {
+fn any_text_is_accepted_or_rejected() {
     bolero::check!()
         .with_iterations(3_000)
         .with_type::<String>()
-        .for_each(|text| take(text));
+        .for_each(|text| check_round_trip(text));
 }
 
 #[test]
-fn any_change_of_an_example_is_read_or_refused() {
-    // Text out of the blue hardly gets past the scanner, so most of the reader is reached by
-    // damage to a file that is whole: pieces cut, doubled, moved, and marks of YAML put in.
-    const MARKS: &[u8] = b":-{}[]#&*!|>'\"%@`,? \n\t~0a.";
+fn any_damaged_example_is_accepted_or_rejected() {
+    // Arbitrary text rarely gets past the scanner. Most of the parser is covered by damaging a
+    // valid file: bytes are removed, duplicated and overwritten, and YAML's special characters
+    // inserted.
+    const SPECIAL_CHARACTERS: &[u8] = b":-{}[]#&*!|>'\"%@`,? \n\t~0a.";
     bolero::check!()
         .with_iterations(1_500)
         .with_type::<(bool, Vec<(u16, u8, u8)>)>()
-        .for_each(|(which, edits)| {
-            let mut bytes = EXAMPLES[usize::from(*which)].1.as_bytes().to_vec();
-            for (at, kind, arg) in edits.iter().take(8) {
-                let at = usize::from(*at) % bytes.len();
-                let end = (at + usize::from(arg % 64)).min(bytes.len());
+        .for_each(|(example, edits)| {
+            let mut bytes = EXAMPLES[usize::from(*example)].1.as_bytes().to_vec();
+            for (position, kind, arg) in edits.iter().take(8) {
+                let start = usize::from(*position) % bytes.len();
+                let end = (start + usize::from(arg % 64)).min(bytes.len());
                 match kind % 4 {
-                    0 => bytes.insert(at, MARKS[usize::from(*arg) % MARKS.len()]),
-                    1 => bytes[at] = MARKS[usize::from(*arg) % MARKS.len()],
-                    2 if bytes.len() > 128 => drop(bytes.drain(at..end)),
+                    0 => bytes.insert(
+                        start,
+                        SPECIAL_CHARACTERS[usize::from(*arg) % SPECIAL_CHARACTERS.len()],
+                    ),
+                    1 => {
+                        bytes[start] =
+                            SPECIAL_CHARACTERS[usize::from(*arg) % SPECIAL_CHARACTERS.len()]
+                    }
+                    2 if bytes.len() > 128 => drop(bytes.drain(start..end)),
                     _ => {
-                        let copy = bytes[at..end].to_vec();
-                        bytes.splice(at..at, copy);
+                        let copy = bytes[start..end].to_vec();
+                        bytes.splice(start..start, copy);
                     }
                 }
             }
-            take(&String::from_utf8_lossy(&bytes));
+            check_round_trip(&String::from_utf8_lossy(&bytes));
         });
 }
 
 #[test]
-fn deep_and_wide_texts_are_refused_without_harm() {
+fn deep_and_wide_texts_are_rejected() {
     for text in [
         "[".repeat(100_000),
         "- ".repeat(100_000),
@@ -90,7 +98,7 @@
 }
 
 #[test]
-fn edits_show_in_the_difference_and_undo_each_other() {
+fn edits_appear_in_the_difference_and_can_be_undone() {
     let config = example(0);
     let target: DrainTarget = "failure-domain:moshi/b".parse().unwrap();
     let drained = config.with_drain(&target).unwrap();
@@ -122,36 +130,39 @@
 }
 
 #[test]
-fn edits_that_do_not_hold_are_refused() {
+fn invalid_edits_are_rejected() {
     let config = example(0);
-    let faults = |result: Result<Config, Vec<spec::Fault>>| {
-        let faults = result.unwrap_err();
-        faults.iter().map(ToString::to_string).collect::<Vec<_>>()
+    let violations = |result: Result<Config, Vec<spec::Violation>>| {
+        let violations = result.unwrap_err();
+        violations
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
     };
-    let unknown = DrainTarget::Region("moshy".into());
+    let unknown_region = DrainTarget::Region("moshy".into());
     assert_eq!(
-        faults(config.with_drain(&unknown)),
+        violations(config.with_drain(&unknown_region)),
         ["drains[0]: unknown region `moshy`, did you mean `moshi`?"]
     );
-    let late = Target {
+    let target = Target {
         latency_target: Some(Duration::from_secs(4)),
         ..Target::default()
     };
     assert_eq!(
-        faults(config.with_target("menu", &late)),
+        violations(config.with_target("menu", &target)),
         [
             "classes[1].deadline_ms: the deadline of 3000 ms is before the latency target of \
              4000 ms"
         ]
     );
     assert_eq!(
-        faults(config.with_target("menus", &late)),
+        violations(config.with_target("menus", &target)),
         ["classes: unknown class `menus`, did you mean `menu`?"]
     );
 }
 
 #[test]
-fn drain_targets_read_back_from_text() {
+fn drain_targets_round_trip_through_text() {
     for text in ["upstream:menu-3", "failure-domain:moshi/b", "region:dar"] {
         let target: DrainTarget = text.parse().unwrap();
         assert_eq!(target.to_string(), text);
--- a/crates/spec/tests/world/mod.rs
+++ b/crates/spec/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that loses, delays and refuses, with the accepts that run on it.
+//! In-memory platform that loses, delays and refuses requests, with the accepts that run on it.
 
 use bytestring::ByteString;
 use model::{
@@ -28,41 +28,41 @@
     Source,
     Write, //
 };
-/// What becomes of one request.
+/// Fault of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
-    /// It is carried out and answered.
+    /// The request is carried out and answered.
     None,
-    /// It never arrives.
+    /// The request never arrives.
     Lost,
-    /// It is provably not carried out.
+    /// The request is refused and certain not to take effect.
     Refused,
-    /// It is carried out, and its answer is lost.
+    /// The request is carried out, and its answer is lost.
     EffectThenLost,
-    /// It arrives after its sender has given up on it.
+    /// The request arrives after its sender has given up.
     Late,
 }
 
-/// Commit on its way.
-type Txn = (Vec<Check>, Vec<Write>);
+/// Commit in flight: its checks and writes.
+type PendingCommit = (Vec<Check>, Vec<Write>);
 
-/// The platform and the accepts that run on it.
+/// Simulated platform and the accepts that run on it.
 #[derive(Default)]
-pub(crate) struct World {
+pub(crate) struct Simulation {
     platform: AcceptPlatform,
-    /// Commits that arrive later.
-    late: Vec<Txn>,
+    /// Commits that arrive late.
+    late: Vec<PendingCommit>,
     runners: Vec<AcceptRunner>,
 }
 
-impl World {
-    /// Starts an accept.
+impl Simulation {
+    /// Starts an accept and returns the index of its runner.
     pub(crate) fn start(&mut self, proposal: Proposal, guards: Guards) -> usize {
         self.runners.push(AcceptRunner::start(proposal, guards));
         self.runners.len() - 1
     }
 
-    /// Carries out the next request of an accept, unless it has ended.
+    /// Runs the next request of an accept with this fault, unless the accept has ended.
     pub(crate) fn step(&mut self, runner: usize, fault: Fault) {
         let action = self.runners[runner].action.clone();
         let event = match action {
@@ -71,24 +71,24 @@
                 if matches!(fault, Fault::None | Fault::EffectThenLost) {
                     self.platform.store(digest, bytes);
                 }
-                AcceptEvent::Stored(answer(fault, ()))
+                AcceptEvent::Stored(write_outcome(fault, ()))
             }
             AcceptAction::Read { keys } => {
                 let rows = self.platform.read(&keys);
                 AcceptEvent::Rows(matches!(fault, Fault::None).then_some(rows))
             }
             AcceptAction::Commit { checks, writes } => {
-                let txn = (checks, writes);
+                let commit = (checks, writes);
                 AcceptEvent::Commit(match fault {
-                    Fault::None => Answer::Done(self.commit(txn)),
+                    Fault::None => Answer::Done(self.commit(commit)),
                     Fault::Lost => Answer::Unknown,
                     Fault::Refused => Answer::NotDone,
                     Fault::EffectThenLost => {
-                        self.commit(txn);
+                        self.commit(commit);
                         Answer::Unknown
                     }
                     Fault::Late => {
-                        self.late.push(txn);
+                        self.late.push(commit);
                         Answer::Unknown
                     }
                 })
@@ -97,7 +97,7 @@
         self.runners[runner].deliver(event);
     }
 
-    /// Carries out an accept to its end without faults.
+    /// Runs an accept to its end without faults.
     pub(crate) fn run(&mut self, runner: usize) -> AcceptOutcome {
         for _ in 0..100 {
             if let Some(outcome) = self.runners[runner].accept.outcome() {
@@ -108,55 +108,55 @@
         panic!("the accept does not end");
     }
 
-    /// Lets all late commits arrive.
+    /// Delivers all late commits.
     pub(crate) fn deliver_late(&mut self) {
-        for txn in std::mem::take(&mut self.late) {
-            self.commit(txn);
+        for commit in std::mem::take(&mut self.late) {
+            self.commit(commit);
         }
     }
 
-    /// Versions that an accept has made.
+    /// Versions made by the accept with this id.
     pub(crate) fn accepted_versions(&self, id: u128) -> Vec<u64> {
         let heads = self.platform.heads().iter();
-        let made = heads.filter(|head| head.accept_id == AcceptId(id));
-        made.map(|head| head.version).collect()
+        let matching = heads.filter(|head| head.accept_id == AcceptId(id));
+        matching.map(|head| head.version).collect()
     }
 
-    /// What must hold of the log, and of what operators were told.
+    /// Checks the invariants of the history and that each outcome agrees with it.
     pub(crate) fn check(&self) -> Result<(), String> {
         self.platform.check()?;
-        let heads = self.platform.heads();
+        let all_heads = self.platform.heads();
         for runner in &self.runners {
             let id = runner.accept.proposal().accept_id;
-            let made: Vec<&Head> = heads.iter().filter(|h| h.accept_id == id).collect();
-            let alone = self
+            let heads: Vec<&Head> = all_heads.iter().filter(|h| h.accept_id == id).collect();
+            let is_only_request = self
                 .runners
                 .iter()
                 .filter(|other| other.accept.proposal().accept_id == id)
                 .count()
                 == 1;
-            let told = runner.accept.outcome().ok_or("an accept has not ended")?;
-            let is_true = match told {
+            let outcome = runner.accept.outcome().ok_or("an accept has not ended")?;
+            let is_consistent = match outcome {
                 AcceptOutcome::Accepted(head) | AcceptOutcome::AlreadyAccepted(head) => {
-                    made == [head]
+                    heads == [head]
                 }
-                AcceptOutcome::Raced { .. } => made.is_empty(),
-                AcceptOutcome::NotAccepted => made.is_empty() || !alone,
-                AcceptOutcome::Unknown => made.len() <= 1,
+                AcceptOutcome::Raced { .. } => heads.is_empty(),
+                AcceptOutcome::NotAccepted => heads.is_empty() || !is_only_request,
+                AcceptOutcome::Unknown => heads.len() <= 1,
             };
-            if !is_true {
-                return Err(format!("told {told:?}, made {made:?}"));
+            if !is_consistent {
+                return Err(format!("outcome {outcome:?}, heads {heads:?}"));
             }
         }
         Ok(())
     }
 
-    fn commit(&mut self, (checks, writes): Txn) -> CommitAnswer {
+    fn commit(&mut self, (checks, writes): PendingCommit) -> CommitAnswer {
         self.platform.commit(&checks, &writes)
     }
 }
 
-fn answer<T>(fault: Fault, value: T) -> Answer<T> {
+fn write_outcome<T>(fault: Fault, value: T) -> Answer<T> {
     match fault {
         Fault::None => Answer::Done(value),
         Fault::Refused => Answer::NotDone,
@@ -164,17 +164,17 @@
     }
 }
 
-/// Offers the head in force to a daemon and fetches all that it asks for; gives the number of
-/// fetches.
-pub(crate) fn adopt_all(world: &World, adopt: &mut Adopt) -> usize {
+/// Reports the head in force to a daemon, fetches all objects that it requests, and returns the
+/// number of fetches.
+pub(crate) fn adopt_all(sim: &Simulation, adopt: &mut Adopt) -> usize {
     let mut actions = adopt.handle(AdoptEvent::Offered {
         source: Source::Table,
-        offer: Offer::Head(world.platform.heads().last().unwrap().clone()),
+        offer: Offer::Head(sim.platform.heads().last().unwrap().clone()),
     });
     let mut fetches = 0;
     while let Some(AdoptAction::Fetch { digest, .. }) = actions.pop() {
         fetches += 1;
-        let object = Object::read(&digest, world.platform.object(&digest).unwrap()).unwrap();
+        let object = Object::read(&digest, sim.platform.object(&digest).unwrap()).unwrap();
         actions = adopt.handle(AdoptEvent::Fetched {
             digest,
             object: Ok(object),
@@ -183,7 +183,7 @@
     fetches
 }
 
-/// A small configuration that differs by its headroom.
+/// Returns a small configuration with this headroom.
 pub(crate) fn config(headroom_pct: u8) -> Config {
     let text = format!(
         "name: small\n\
@@ -197,7 +197,7 @@
     spec::parse("small.yaml", &text).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// A proposal of such a configuration; any base is given as a version alone.
+/// Returns a proposal of this configuration; the base is only a version number.
 pub(crate) fn proposal(id: u128, base: u64, headroom_pct: u8) -> Proposal {
     let author = ByteString::from("asha");
     let proposal = Proposal::new(
--- a/crates/spec/tests/versions.rs
+++ b/crates/spec/tests/versions.rs
@@ -1,8 +1,16 @@
-//! Accepts and adoptions against a platform whose answers are lost, late or refused.
+//! Tests of accepting and adopting versions with a platform whose answers are lost, late or
+//! refused.
 
-mod world;
+mod simulation;
 
 use bytes::Bytes;
+use simulation::{
+    adopt_all,
+    config,
+    proposal,
+    Fault,
+    Simulation, //
+};
 use spec::{
     AcceptOutcome,
     Adopt,
@@ -19,103 +27,99 @@
     Source, //
 };
 use std::collections::BTreeSet;
-use world::{
-    adopt_all,
-    config,
-    proposal,
-    Fault,
-    World, //
-};
 
-/// Names each case: faults of the requests in order, then what the operator is told, and whether
-/// the accept took effect. After the listed faults all goes well.
+/// Defines a test for each case: the faults of the requests in order, then the outcome for the
+/// operator and the versions that the accept made. Requests after the listed faults succeed.
 macro_rules! accepts {
     ($($name:ident: [$($fault:ident),*] => $outcome:ident, $effect:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut world = World::default();
-            let runner = world.start(proposal(1, 0, 30), Guards::ALL);
+            let mut sim = Simulation::default();
+            let runner = sim.start(proposal(1, 0, 30), Guards::ALL);
             for fault in [$(Fault::$fault),*] {
-                world.step(runner, fault);
+                sim.step(runner, fault);
             }
-            let outcome = world.run(runner);
+            let outcome = sim.run(runner);
             assert!(matches!(outcome, AcceptOutcome::$outcome { .. }), "{outcome:?}");
-            world.deliver_late();
-            assert_eq!(world.accepted_versions(1), Vec::<u64>::from($effect));
-            world.check().unwrap();
+            sim.deliver_late();
+            assert_eq!(sim.accepted_versions(1), Vec::<u64>::from($effect));
+            sim.check().unwrap();
         }
     )*};
 }
 
 accepts! {
-    // Symptom: a store that fails once fails the accept. The object is simply stored again.
+    // Guards against an accept that fails because one store request failed. The object is stored
+    // again.
     a_lost_store_is_repeated: [Lost, EffectThenLost] => Accepted, [1];
-    // Symptom: an accept on an unreachable table hangs or claims success. Nothing was sent that
-    // could take effect, so "not accepted" is true.
+    // Guards against an accept that hangs or reports success while the table is unreachable. No
+    // commit was sent, so "not accepted" is certain.
     reads_that_fail_end_as_not_accepted: [None, Lost, Lost, Lost, Lost, Lost, Lost] => NotAccepted, [];
-    // Symptom: the operator is told "not accepted" and yet the daemons adopt the change. The
-    // commit took effect and its answer was lost; the row of the accept id proves it.
+    // Guards against reporting "not accepted" for a change that the daemons adopt. The commit
+    // took effect and its answer was lost; the row of the accept id proves that it did.
     a_commit_whose_answer_is_lost_is_found: [None, None, EffectThenLost] => Accepted, [1];
-    // The same, and the read back fails at first.
+    // As above, and the first reads after the commit fail as well.
     a_lost_answer_survives_a_lost_read: [None, None, EffectThenLost, Lost, Lost] => Accepted, [1];
-    // Symptom: an accept that never arrived counts as accepted. The head has not moved, so the
-    // same commit is sent again.
+    // Guards against reporting "accepted" for a commit that never arrived. The head has not moved,
+    // so the same commit is sent again.
     a_commit_that_never_arrived_is_sent_again: [None, None, Lost] => Accepted, [1];
-    // Symptom: the accept is there twice. The first commit arrives after the second took effect;
-    // its check of the head fails.
+    // Guards against an accept that takes effect twice. The first commit arrives after the second
+    // took effect, and its check of the head fails.
     a_commit_that_arrives_late_takes_effect_once: [None, None, Late] => Accepted, [1];
-    // Symptom: a guess is told for the truth. With no answer at all the outcome is unknown.
+    // Guards against reporting a guess. If no request after the commit is answered, the outcome is
+    // unknown.
     no_answer_after_a_commit_is_unknown: [None, None, EffectThenLost, Lost, Lost, Lost, Lost, Lost] => Unknown, [1];
-    // A commit that was provably refused is none.
+    // Commits that were refused for certain never take effect.
     refused_commits_end_as_not_accepted: [None, None, Refused, Refused, Refused, Refused, Refused, Refused] => NotAccepted, [];
 }
 
 #[test]
-fn of_two_operators_one_is_told_the_other_s_head() {
-    // Symptom: an operator's change vanishes. Sequence: two read the same head, both commit.
-    let mut world = World::default();
-    let first = world.start(proposal(1, 0, 30), Guards::ALL);
-    let second = world.start(proposal(2, 0, 40), Guards::ALL);
+fn of_two_concurrent_accepts_one_gets_the_head_of_the_other() {
+    // Guards against a lost change: two operators read the same head, and both commit.
+    let mut sim = Simulation::default();
+    let first = sim.start(proposal(1, 0, 30), Guards::ALL);
+    let second = sim.start(proposal(2, 0, 40), Guards::ALL);
     for runner in [first, second, first, second] {
-        world.step(runner, Fault::None);
+        sim.step(runner, Fault::None);
     }
-    let accepted = world.run(second);
+    let accepted = sim.run(second);
     let AcceptOutcome::Accepted(head) = accepted else {
         panic!("{accepted:?}");
     };
-    let raced = world.run(first);
+    let raced = sim.run(first);
     assert_eq!(raced, AcceptOutcome::Raced { head: Some(head) });
-    world.check().unwrap();
+    sim.check().unwrap();
 }
 
 #[test]
-fn a_repeat_says_that_it_was_accepted_whatever_came_after() {
-    // Symptom: an operator repeats an accept whose answer was lost, and a colleague's later change
-    // is undone. Cause would be a repeat that only compares itself with the head.
-    let mut world = World::default();
-    let first = world.start(proposal(1, 0, 30), Guards::ALL);
-    let AcceptOutcome::Accepted(made) = world.run(first) else {
+fn a_repeated_accept_reports_the_earlier_version_despite_later_ones() {
+    // Guards against undoing another operator's later change when an accept whose answer was
+    // lost is repeated. That would happen if a repeated request were compared only with the head.
+    let mut sim = Simulation::default();
+    let first = sim.start(proposal(1, 0, 30), Guards::ALL);
+    let AcceptOutcome::Accepted(first_head) = sim.run(first) else {
         panic!("the first accept is not raced");
     };
-    let later = world.start(proposal(2, 1, 40), Guards::ALL);
-    assert!(matches!(world.run(later), AcceptOutcome::Accepted(head) if head.version == 2));
+    let later = sim.start(proposal(2, 1, 40), Guards::ALL);
+    assert!(matches!(sim.run(later), AcceptOutcome::Accepted(head) if head.version == 2));
     for base in [0, 2] {
-        let repeat = world.start(proposal(1, base, 30), Guards::ALL);
+        let repeat = sim.start(proposal(1, base, 30), Guards::ALL);
         assert_eq!(
-            world.run(repeat),
-            AcceptOutcome::AlreadyAccepted(made.clone())
+            sim.run(repeat),
+            AcceptOutcome::AlreadyAccepted(first_head.clone())
         );
     }
-    world.check().unwrap();
+    sim.check().unwrap();
 }
 
-/// Three accepts on the same base, one of them a repeat, under any schedule of faults.
-fn schedule(bytes: &[u8], guards: Guards) -> Result<(), String> {
-    let mut world = World::default();
+/// Runs three accepts on the same base, one of them repeated, with the schedule of faults
+/// that the bytes encode.
+fn run_schedule(bytes: &[u8], guards: Guards) -> Result<(), String> {
+    let mut sim = Simulation::default();
     let runners = [
-        world.start(proposal(1, 0, 30), guards),
-        world.start(proposal(2, 0, 40), guards),
-        world.start(proposal(1, 0, 30), guards),
+        sim.start(proposal(1, 0, 30), guards),
+        sim.start(proposal(2, 0, 40), guards),
+        sim.start(proposal(1, 0, 30), guards),
     ];
     for byte in bytes {
         let faults = [
@@ -128,15 +132,15 @@
         ];
         let runner = runners[usize::from(byte % 3)];
         match usize::from(byte / 3) % (faults.len() + 1) {
-            fault if fault < faults.len() => world.step(runner, faults[fault]),
-            _ => world.deliver_late(),
+            fault if fault < faults.len() => sim.step(runner, faults[fault]),
+            _ => sim.deliver_late(),
         }
     }
     for runner in runners {
-        world.run(runner);
+        sim.run(runner);
     }
-    world.deliver_late();
-    world.check()
+    sim.deliver_late();
+    sim.check()
 }
 
 #[test]
@@ -144,32 +148,32 @@
     bolero::check!()
         .with_iterations(3_000)
         .with_type::<Vec<u8>>()
-        .for_each(|bytes| schedule(bytes, Guards::ALL).unwrap());
+        .for_each(|bytes| run_schedule(bytes, Guards::ALL).unwrap());
 }
 
-/// Names each guard whose absence some schedule must show.
+/// Defines a test for each guard: without it, some schedule must violate an invariant.
 macro_rules! guards {
     ($($name:ident: $guard:ident;)*) => {$(
         #[test]
         fn $name() {
-            let off = Guards { $guard: false, ..Guards::ALL };
-            let found = (0..5_000_u32).any(|seed| {
+            let guards_off = Guards { $guard: false, ..Guards::ALL };
+            let violated = (0..5_000_u32).any(|seed| {
                 let bytes: Vec<u8> = (0..32_u8)
                     .map(|n| Digest::of(&[&seed.to_le_bytes()[..], &[n]].concat()).to_string())
                     .map(|hex| u8::from_str_radix(&hex[..2], 16).unwrap())
                     .collect();
-                schedule(&bytes, off).is_err()
+                run_schedule(&bytes, guards_off).is_err()
             });
-            assert!(found, "no schedule shows what the guard is for");
+            assert!(violated, "no schedule violates an invariant without the guard");
         }
     )*};
 }
 
 guards! {
-    without_the_check_of_the_head_a_change_is_lost: check_head;
-    without_the_row_of_the_accept_id_a_lost_answer_misleads: find_accept_id;
-    without_reading_back_a_lost_answer_misleads: read_back;
-    without_objects_first_a_head_names_nothing: objects_first;
+    without_the_head_check_a_change_is_lost: check_head;
+    without_the_accept_id_row_a_lost_answer_gives_a_wrong_outcome: find_accept_id;
+    without_reading_back_a_lost_answer_gives_a_wrong_outcome: read_back;
+    without_objects_first_a_head_names_a_missing_object: objects_first;
 }
 
 fn head(version: u64, body: &Body) -> Head {
@@ -212,60 +216,60 @@
 
 #[test]
 fn a_lower_version_is_never_adopted() {
-    // Symptom: a drain that was accepted is undone at some daemons. Sequence: version 2 is in
-    // force, then a lagging peer tells of version 1.
-    let (one, two) = (body(30), body(40));
+    // Guards against an accepted drain being undone at some daemons: version 2 is in force, then a
+    // lagging peer reports version 1.
+    let (first_body, second_body) = (body(30), body(40));
     let run = |guards| {
         let mut adopt = Adopt::new(BTreeSet::new(), guards);
         for event in [
-            offered(2, &two),
-            fetched(&two),
-            offered(1, &one),
-            fetched(&one),
+            offered(2, &second_body),
+            fetched(&second_body),
+            offered(1, &first_body),
+            fetched(&first_body),
         ] {
             adopt.handle(event);
         }
         version_and_headroom(&adopt)
     };
     assert_eq!(run(Guards::ALL), Some((2, 40)));
-    let off = Guards {
+    let guards_off = Guards {
         only_higher: false,
         ..Guards::ALL
     };
-    assert_eq!(run(off), Some((1, 30)));
+    assert_eq!(run(guards_off), Some((1, 30)));
 }
 
 #[test]
 fn a_late_body_is_not_adopted_under_a_newer_head() {
-    // Symptom: a daemon reports the newest version and steers by an old one, for good. Sequence:
-    // the body of version 1 is asked for, version 2 overtakes it, the first answer comes.
-    let (one, two) = (body(30), body(40));
+    // Guards against a daemon that reports the newest version but permanently steers by an old
+    // one: the body of version 1 is requested, the head of version 2 arrives, then the first body.
+    let (first_body, second_body) = (body(30), body(40));
     let run = |guards| {
         let mut adopt = Adopt::new(BTreeSet::new(), guards);
         for event in [
-            offered(1, &one),
-            offered(2, &two),
-            fetched(&one),
-            fetched(&two),
+            offered(1, &first_body),
+            offered(2, &second_body),
+            fetched(&first_body),
+            fetched(&second_body),
         ] {
             adopt.handle(event);
         }
         version_and_headroom(&adopt)
     };
     assert_eq!(run(Guards::ALL), Some((2, 40)));
-    let off = Guards {
+    let guards_off = Guards {
         match_digest: false,
         ..Guards::ALL
     };
-    assert_eq!(run(off), Some((2, 30)));
+    assert_eq!(run(guards_off), Some((2, 30)));
 }
 
 #[test]
-fn a_starting_daemon_is_ready_with_the_highest_of_all_sources() {
-    // Symptom: a new daemon sends work to what was drained, or an instance that starts anew has an
-    // older version in force than before. Sequence: a lagging peer answers first, the table later.
-    // Cause: what one source knows is taken for what there is to know.
-    let (one, two) = (body(30), body(40));
+fn a_starting_daemon_becomes_ready_with_the_highest_version_of_all_sources() {
+    // Guards against a new daemon that sends requests to drained upstreams, and against a restarted
+    // instance with an older version in force than before. A lagging peer answers first and the
+    // table later; the first answer must not be taken for the highest version.
+    let (first_body, second_body) = (body(30), body(40));
     let peer = Source::Peer("entry-2".into());
     let silent = Source::Peer("entry-3".into());
     let sources: BTreeSet<Source> = [Source::Table, peer.clone(), silent.clone()].into();
@@ -274,47 +278,47 @@
         source: peer.clone(),
         offer,
     };
-    adopt.handle(from_peer(Offer::Head(head(1, &one))));
-    adopt.handle(fetched(&one));
+    adopt.handle(from_peer(Offer::Head(head(1, &first_body))));
+    adopt.handle(fetched(&first_body));
     assert_eq!(version_and_headroom(&adopt), None);
-    assert!(!adopt.is_ready(), "the table was not heard yet");
-    adopt.handle(offered(2, &two));
+    assert!(!adopt.is_ready(), "the table has not answered yet");
+    adopt.handle(offered(2, &second_body));
     adopt.handle(AdoptEvent::Offered {
         source: silent,
         offer: Offer::Unreachable,
     });
     assert!(!adopt.is_ready(), "version 2 is not in force yet");
     assert_eq!(version_and_headroom(&adopt), None);
-    adopt.handle(fetched(&two));
+    adopt.handle(fetched(&second_body));
     assert_eq!(version_and_headroom(&adopt), Some((2, 40)));
     assert!(adopt.is_ready());
-    adopt.handle(offered(3, &one));
-    assert!(adopt.is_ready(), "once ready it stays so");
+    adopt.handle(offered(3, &first_body));
+    assert!(adopt.is_ready(), "a ready daemon stays ready");
 
-    let off = Guards {
+    let guards_off = Guards {
         ready_after_all: false,
         ..Guards::ALL
     };
-    let mut adopt = Adopt::new(sources, off);
-    adopt.handle(from_peer(Offer::Head(head(1, &one))));
-    adopt.handle(fetched(&one));
+    let mut adopt = Adopt::new(sources, guards_off);
+    adopt.handle(from_peer(Offer::Head(head(1, &first_body))));
+    adopt.handle(fetched(&first_body));
     assert_eq!(version_and_headroom(&adopt), Some((1, 30)));
     assert!(adopt.is_ready());
 }
 
 #[test]
-fn a_failed_fetch_is_repeated_and_damage_is_not_adopted() {
-    let one = body(30);
-    let bytes = one.to_bytes();
+fn a_failed_fetch_is_retried_and_a_damaged_object_is_rejected() {
+    let first_body = body(30);
+    let bytes = first_body.to_bytes();
     let digest = Digest::of(&bytes);
     let mut damaged = bytes.to_vec();
     *damaged.last_mut().unwrap() ^= 1;
     assert_eq!(
         Object::read(&digest, &damaged),
-        Err(spec::ObjectError::Digest)
+        Err(spec::ObjectError::DigestMismatch)
     );
     let mut adopt = Adopt::new(BTreeSet::new(), Guards::ALL);
-    adopt.handle(offered(1, &one));
+    adopt.handle(offered(1, &first_body));
     for failures in 1..4 {
         let failed = AdoptEvent::Fetched {
             digest,
@@ -325,28 +329,29 @@
             [AdoptAction::Fetch { digest, failures }]
         );
     }
-    adopt.handle(fetched(&one));
+    adopt.handle(fetched(&first_body));
     assert_eq!(version_and_headroom(&adopt), Some((1, 30)));
 }
 
 #[test]
-fn a_difference_of_blocks_is_small_and_leads_to_the_same_table() {
-    // A snapshot, then differences, some with the configuration alone. A daemon that follows each
-    // version fetches only what is new; one that starts walks down to the snapshot.
+fn a_difference_of_blocks_is_small_and_gives_the_same_table() {
+    // The versions are a snapshot, then two differences of the blocks and a change of the
+    // configuration alone. A daemon that adopts every version fetches only new objects; a
+    // starting daemon fetches the chain down to the snapshot.
     let text: String = (0..5_000)
         .map(|n| format!("10.{}.{}.0/24 arusha,moshi\n", n / 256, n % 256))
         .collect();
-    let mut world = World::default();
+    let mut sim = Simulation::default();
     let mut follower = Adopt::new(BTreeSet::new(), Guards::ALL);
-    let changes = [
+    let block_files = [
         text.as_str(),
         "+10.0.7.0/24 moshi\n-10.0.8.0/24\n",
         "",
         "+10.0.7.0/25 arusha\n",
     ];
     let mut fetches = Vec::new();
-    for (version, change) in (1_u8..).zip(changes) {
-        let blocks = match change {
+    for (version, block_file) in (1_u8..).zip(block_files) {
+        let blocks = match block_file {
             "" => BlockChange::Keep,
             text => spec::parse_blocks("blocks.txt", text).unwrap(),
         };
@@ -360,17 +365,17 @@
             blocks,
         )
         .unwrap();
-        let shipped: usize = proposal.objects.iter().map(|(_, bytes)| bytes.len()).sum();
-        assert!(version == 1 || shipped < 2_000, "{shipped} bytes");
-        let runner = world.start(proposal, Guards::ALL);
-        assert!(matches!(world.run(runner), AcceptOutcome::Accepted(_)));
-        fetches.push(adopt_all(&world, &mut follower));
+        let stored_bytes: usize = proposal.objects.iter().map(|(_, bytes)| bytes.len()).sum();
+        assert!(version == 1 || stored_bytes < 2_000, "{stored_bytes} bytes");
+        let runner = sim.start(proposal, Guards::ALL);
+        assert!(matches!(sim.run(runner), AcceptOutcome::Accepted(_)));
+        fetches.push(adopt_all(&sim, &mut follower));
     }
     assert_eq!(fetches, [2, 2, 1, 2]);
-    let mut starter = Adopt::new([Source::Table].into(), Guards::ALL);
-    assert_eq!(adopt_all(&world, &mut starter), 4);
-    assert!(starter.is_ready());
-    let (a, b) = (follower.adopted().unwrap(), starter.adopted().unwrap());
+    let mut starting = Adopt::new([Source::Table].into(), Guards::ALL);
+    assert_eq!(adopt_all(&sim, &mut starting), 4);
+    assert!(starting.is_ready());
+    let (a, b) = (follower.adopted().unwrap(), starting.adopted().unwrap());
     assert_eq!(a, b);
     assert_eq!(a.table(), b.table());
     let home = |addr: &str| a.table().lookup(addr.parse().unwrap()).unwrap()[0].clone();
@@ -380,18 +385,18 @@
 }
 
 #[test]
-fn any_bytes_are_an_object_or_an_error() {
+fn any_bytes_give_an_object_or_an_error() {
     bolero::check!()
         .with_iterations(2_000)
         .with_type::<(u8, Vec<u8>)>()
-        .for_each(|(kind, rest)| {
-            let head = [
+        .for_each(|(header, rest)| {
+            let header_text = [
                 "",
                 "jasminefield body 1\nblocks none\n\n",
                 "jasminefield blocks 1\nsnapshot\n\n",
                 "jasminefield blocks 1\ndifference ",
-            ][usize::from(kind % 4)];
-            let bytes = Bytes::from([head.as_bytes(), rest].concat());
+            ][usize::from(header % 4)];
+            let bytes = Bytes::from([header_text.as_bytes(), rest].concat());
             let _ = Object::read(&Digest::of(&bytes), &bytes);
             let _ = String::from_utf8_lossy(rest).parse::<Head>();
         });
