--- a/crates/load/src/bin/jasmine-load.rs
+++ b/crates/load/src/bin/jasmine-load.rs
@@ -1,4 +1,4 @@
-//! The load driver's command line; see the crate `load`.
+//! The command line of the load driver; see the crate `load`.
 
 use base::RegionId;
 use bytestring::ByteString;
@@ -42,12 +42,12 @@
     time::Duration, //
 };
 
-/// Exit status when a promise was broken or an event of the scene was not done.
-const BROKEN: u8 = 1;
-/// Exit status on bad input.
-const BAD_INPUT: u8 = 2;
+/// Exit status if a guarantee was violated or an event of the scene had no effect.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit status for bad input.
+const EXIT_BAD_INPUT: u8 = 2;
 
-/// Open-loop load and look-up driver; names the request that broke a promise.
+/// Open-loop load and look-up driver; reports each request that shows a violated guarantee.
 #[derive(Parser)]
 #[command(name = "jasmine-load", version)]
 struct Cli {
@@ -55,19 +55,19 @@
     command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Subcommand)]
 enum Command {
-    /// Run a scene and judge it; exits 1 when a promise was broken.
+    /// Run a scene and check its guarantees; exits 1 if one was violated.
     Run(RunArgs),
-    /// Check a scene file and change nothing.
+    /// Check a scene file without running it.
     Check {
         /// The scene file.
         scene: PathBuf,
     },
     /// Measure look-ups alone.
     Lookups(LookupArgs),
-    /// Measure what an entry adds to a request.
+    /// Measure the latency that an entry adds to a request.
     Hop(HopArgs),
 }
 
@@ -78,33 +78,33 @@
     scene: PathBuf,
     /// A daemon that callers know from the start, as REGION=ADDR; may be repeated.
     #[arg(long = "daemon", value_name = "REGION=ADDR", required = true)]
-    daemons: Vec<Binding>,
-    /// Address of the platform, whose list names the upstreams.
+    daemons: Vec<NamedAddress>,
+    /// Address of the platform, which lists the upstreams.
     #[arg(long)]
     platform: String,
-    /// Control port of a process of upstreams, for their records; may be repeated.
+    /// Control port of a process of upstreams, which serves their records; may be repeated.
     #[arg(long = "upstreams", value_name = "ADDR")]
     controls: Vec<ByteString>,
     /// A target of the scene's events, as NAME=ADDR; may be repeated.
     #[arg(long = "target", value_name = "NAME=ADDR")]
-    targets: Vec<Binding>,
-    /// The configuration in force, whose headroom targets and caps go in the report.
+    targets: Vec<NamedAddress>,
+    /// The configuration in force, for the headroom targets and caps in the report.
     #[arg(long)]
     config: Option<PathBuf>,
-    /// An entry that is killed or frozen during the run, whose cuts prove nothing.
+    /// An entry that is killed or frozen during the run; its cut connections are no violations.
     #[arg(long = "disturbed", value_name = "ADDR")]
     disturbed: Vec<ByteString>,
     /// Write the report as JSON to this file.
     #[arg(long)]
     output: Option<PathBuf>,
-    /// Write the record of each caller as a line of JSON to this file.
+    /// Write the record of each request as a line of JSON to this file.
     #[arg(long)]
     records: Option<PathBuf>,
 }
 
-/// A name and what it stands for.
+/// A name with its address.
 #[derive(Clone)]
-struct Binding {
+struct NamedAddress {
     name: ByteString,
     addr: ByteString,
 }
@@ -112,22 +112,22 @@
 /// Arguments of `lookups`.
 #[derive(Args)]
 struct LookupArgs {
-    /// Callers' address of the daemon.
+    /// Address of the daemon for callers.
     #[arg(long)]
     addr: ByteString,
     /// Class to look up.
     #[arg(long)]
     class: ByteString,
-    /// Connections.
+    /// Number of connections.
     #[arg(long, default_value_t = 32)]
     connections: usize,
-    /// Threads of the driver.
+    /// Threads that send look-ups.
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Time to go on for.
+    /// Length of the run, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Seed of the blocks.
+    /// Seed of the random blocks.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Write the figures as JSON to this file.
@@ -138,25 +138,25 @@
 /// Arguments of `hop`.
 #[derive(Args)]
 struct HopArgs {
-    /// Callers' address of the entry.
+    /// Address of the entry for callers.
     #[arg(long)]
     entry: ByteString,
     /// Address of the upstream.
     #[arg(long)]
     upstream: ByteString,
-    /// Class whose upstream that is.
+    /// Class that the upstream serves.
     #[arg(long)]
     class: ByteString,
-    /// Path at the upstream.
+    /// Path of the requests to the upstream.
     #[arg(long, default_value = "/bytes/1000")]
     path: ByteString,
-    /// Pairs of requests side by side.
+    /// Number of concurrent pairs of requests.
     #[arg(long, default_value_t = 1)]
     connections: usize,
-    /// Time to go on for.
+    /// Length of the run, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Pause between two pairs on a connection.
+    /// Delay between two pairs of requests on a connection, in milliseconds.
     #[arg(long, default_value_t = 0)]
     pause_ms: u64,
     /// Write the figures as JSON to this file.
@@ -164,7 +164,7 @@
     output: Option<PathBuf>,
 }
 
-impl std::str::FromStr for Binding {
+impl std::str::FromStr for NamedAddress {
     type Err = eyre::Report;
 
     fn from_str(text: &str) -> eyre::Result<Self> {
@@ -180,15 +180,15 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Run(args) => run(&args),
         Command::Check { scene } => check(&scene),
         Command::Lookups(args) => lookups(&args),
         Command::Hop(args) => measure_hop(&args),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("{error:#}");
-        ExitCode::from(BAD_INPUT)
+        ExitCode::from(EXIT_BAD_INPUT)
     })
 }
 
@@ -208,19 +208,22 @@
     let plan = read_plan(&args.scene)?;
     if !plan.kills.is_empty() {
         return Err(eyre!(
-            "`kills` need a driver that holds the processes: use `measure`"
+            "`kills` need a driver that controls the processes: use `measure`"
         ));
     }
     let scene = plan.scene;
     let limits = limits(args)?;
-    let sites = sites(args);
+    let addresses = addresses(args);
     for event in &scene.events {
-        if !sites.targets.contains_key(&event.target) {
-            return Err(eyre!("no --target for `{}` of an event", event.target));
+        if !addresses.targets.contains_key(&event.target) {
+            return Err(eyre!(
+                "no --target gives the address of `{}`, the target of an event",
+                event.target
+            ));
         }
     }
-    let driven = drive(&scene, &sites);
-    for record in &driven.events {
+    let load_records = drive(&scene, &addresses);
+    for record in &load_records.events {
         let event = &record.event;
         match &record.answer {
             Ok(status) => println!(
@@ -237,35 +240,37 @@
     for missing in &gathered.missing {
         println!("no record from {missing}");
     }
-    let not_done = not_done(&driven.events, &gathered.upstreams);
-    let report = verdict(&scene, args, limits, &driven, gathered);
+    let failed_events = not_done(&load_records.events, &gathered.upstreams);
+    let report = build_report(&scene, args, limits, &load_records, gathered);
     if let Some(path) = &args.records {
-        write_records(path, &driven)?;
+        write_records(path, &load_records)?;
     }
     write_json(args.output.as_deref(), &report)?;
     println!("{report}");
-    for event in &not_done {
-        println!("not done, so that the run proves nothing: {event}");
+    for event in &failed_events {
+        println!("event had no effect, so the run is inconclusive: {event}");
     }
-    Ok(exit(report.violations.is_empty() && not_done.is_empty()))
+    Ok(exit_code(
+        report.violations.is_empty() && failed_events.is_empty(),
+    ))
 }
 
-fn sites(args: &RunArgs) -> Sites {
-    let mut sites = Sites::default();
+fn addresses(args: &RunArgs) -> Sites {
+    let mut addresses = Sites::default();
     for daemon in &args.daemons {
-        let region = sites.daemons.entry(daemon.name.clone()).or_default();
+        let region = addresses.daemons.entry(daemon.name.clone()).or_default();
         region.push(daemon.addr.clone());
     }
     let targets = args.targets.iter().cloned();
-    sites.targets = targets.map(|target| (target.name, target.addr)).collect();
-    sites
+    addresses.targets = targets.map(|target| (target.name, target.addr)).collect();
+    addresses
 }
 
-fn verdict(
+fn build_report(
     scene: &Scene,
     args: &RunArgs,
     limits: Limits,
-    driven: &Driven,
+    load_records: &Driven,
     gathered: Gathered,
 ) -> Report {
     let disturbed = args.disturbed.iter().map(|entry| Disturbed {
@@ -274,14 +279,14 @@
         to_us: None,
     });
     let evidence = Evidence {
-        callers: driven.callers.clone(),
+        callers: load_records.callers.clone(),
         runs_complete: gathered.missing.is_empty() && !args.controls.is_empty(),
         runs: gathered.runs,
         upstreams: gathered.upstreams,
-        leaving: leaving(&driven.events),
+        leaving: leaving(&load_records.events),
         disturbed: disturbed.collect(),
         links: Vec::new(),
-        entries: entries(args),
+        entries: entry_regions(args),
         limits,
         allowance_us: scene.allowance_ms * 1_000,
         leaving_bound_us: scene.leaving_bound_ms * 1_000,
@@ -290,15 +295,15 @@
     Report::new(&evidence, violations)
 }
 
-/// Regions of the entries by their addresses.
-fn entries(args: &RunArgs) -> BTreeMap<ByteString, RegionId> {
+/// Regions of the entries, by address.
+fn entry_regions(args: &RunArgs) -> BTreeMap<ByteString, RegionId> {
     let daemons = args.daemons.iter();
     daemons
         .map(|daemon| (daemon.addr.clone(), daemon.name.clone()))
         .collect()
 }
 
-/// What the configuration promises, if one is named.
+/// Reads the limits of the configuration, if one is given.
 fn limits(args: &RunArgs) -> eyre::Result<Limits> {
     let Some(path) = &args.config else {
         return Ok(Limits::default());
@@ -308,9 +313,9 @@
     Limits::read(&name, &text).map_err(|findings| eyre!("{findings}"))
 }
 
-fn write_records(path: &Path, driven: &Driven) -> eyre::Result<()> {
+fn write_records(path: &Path, load_records: &Driven) -> eyre::Result<()> {
     let mut text = String::new();
-    for caller in &driven.callers {
+    for caller in &load_records.callers {
         text.push_str(&serde_json::to_string(caller)?);
         text.push('\n');
     }
@@ -331,12 +336,12 @@
         class: args.class.clone(),
         connections: args.connections,
         threads: args.threads,
-        time: Duration::from_secs(args.seconds),
+        duration: Duration::from_secs(args.seconds),
         seed: args.seed,
     });
     write_json(args.output.as_deref(), &figures)?;
     println!("{figures}");
-    Ok(exit(figures.answered > 0 && figures.failed == 0))
+    Ok(exit_code(figures.answered > 0 && figures.failed == 0))
 }
 
 fn measure_hop(args: &HopArgs) -> eyre::Result<ExitCode> {
@@ -346,18 +351,18 @@
         class: args.class.clone(),
         path: args.path.clone(),
         connections: args.connections,
-        time: Duration::from_secs(args.seconds),
+        duration: Duration::from_secs(args.seconds),
         pause: Duration::from_millis(args.pause_ms),
     });
     write_json(args.output.as_deref(), &figures)?;
     println!("{figures}");
-    Ok(exit(figures.pairs > 0 && figures.failed == 0))
+    Ok(exit_code(figures.pairs > 0 && figures.failed == 0))
 }
 
-fn exit(good: bool) -> ExitCode {
-    if good {
+fn exit_code(success: bool) -> ExitCode {
+    if success {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_VIOLATION)
     }
 }
--- a/crates/load/src/caller/lookup.rs
+++ b/crates/load/src/caller/lookup.rs
@@ -1,7 +1,7 @@
-//! Look-ups: from the cache or from the daemons, one after the other.
+//! Look-ups, from the cache or from the daemons in turn.
 
 use super::{
-    asking::Asking,
+    request::RequestState,
     Callers, //
 };
 use base::{
@@ -22,117 +22,119 @@
     timeout, //
 };
 
-/// Pause before another round over daemons that gave no look-up.
-const LOOKUP_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for one look-up.
+/// Delay before the daemons are asked again after all of them failed.
+const LOOKUP_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout of one look-up.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers by region, caller and class.
-pub(super) type Cache = FastMap<(usize, u32, usize), Cached>;
+/// Cached look-ups by region, caller and class.
+pub(super) type Cache = FastMap<(usize, u32, usize), CachedEntries>;
 
-/// Answer to a look-up, kept for its time to live.
+/// Entries of a look-up, cached for its time to live.
 #[derive(Clone)]
-pub(super) struct Cached {
+pub(super) struct CachedEntries {
     entries: Rc<[ByteString]>,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Answer to a look-up, as on the wire.
+/// Response to a look-up, as on the wire.
 #[derive(Deserialize)]
-pub(super) struct Entries {
+pub(super) struct LookupResponse {
     ttl_ms: u64,
     pub(super) entries: Vec<Entry>,
     pub(super) ticket: Option<ByteString>,
 }
 
-/// What came of a look-up.
-enum Lookup {
+/// Result of a look-up at one daemon.
+enum LookupResult {
     /// At least one entry.
-    Found(Entries),
-    /// The caller's own mistake, as an unknown class; every daemon would say the same.
-    Wrong,
-    /// Another daemon may know more.
+    Found(LookupResponse),
+    /// A client error, such as an unknown class, which every daemon would report alike.
+    Rejected,
+    /// No usable response; another daemon may have one.
     Failed,
 }
 
-/// Entry in the answer to a look-up.
+/// Entry in the response to a look-up.
 #[derive(Deserialize)]
 pub(super) struct Entry {
     pub(super) addr: ByteString,
 }
 
 impl Callers {
-    /// Daemons in the order in which a caller asks them: of its own region first.
+    /// Daemons in the order in which a caller asks them, its own region's first.
     fn daemons_for(&self, region: &RegionId) -> Vec<ByteString> {
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
+        let round_robin = self.round_robin.get();
+        self.round_robin.set(round_robin.wrapping_add(1));
         let mut order = Vec::new();
-        let home = self.daemons.get(region);
+        let own = self.daemons.get(region);
         let others = self.daemons.iter().filter(|(name, _)| *name != region);
-        for daemons in home.into_iter().chain(others.map(|(_, list)| list)) {
+        for daemons in own.into_iter().chain(others.map(|(_, list)| list)) {
             for i in 0..daemons.len() {
-                order.push(daemons[turn.wrapping_add(i) % daemons.len()].clone());
+                order.push(daemons[round_robin.wrapping_add(i) % daemons.len()].clone());
             }
         }
         order
     }
 }
 
-impl Asking<'_> {
-    /// Entries from the cache, or by a look-up.
+impl RequestState<'_> {
+    /// Entries from the cache or from a look-up.
     pub(super) async fn entries(&self) -> Option<Rc<[ByteString]>> {
         let key = (self.arrival.region, self.arrival.caller, self.arrival.class);
         if let Some(cached) = self.callers.cache.borrow().get(&key) {
-            if Instant::now() < cached.until {
+            if Instant::now() < cached.expires_at {
                 return Some(Rc::clone(&cached.entries));
             }
         }
         let found = self.look_up().await?;
-        let entries: Rc<[ByteString]> = found.entries.into_iter().map(|e| e.addr).collect();
-        let until = Instant::now() + Duration::from_millis(found.ttl_ms);
-        let cached = Cached {
+        let entries: Rc<[ByteString]> = found.entries.into_iter().map(|entry| entry.addr).collect();
+        let expires_at = Instant::now() + Duration::from_millis(found.ttl_ms);
+        let cached = CachedEntries {
             entries: Rc::clone(&entries),
-            until,
+            expires_at,
         };
         self.callers.cache.borrow_mut().insert(key, cached);
         Some(entries)
     }
 
-    /// Asks daemons until one names an entry or the deadline passes.
-    pub(super) async fn look_up(&self) -> Option<Entries> {
-        while !self.left().is_zero() {
+    /// Asks daemons until one returns an entry, one rejects the look-up or the deadline passes.
+    pub(super) async fn look_up(&self) -> Option<LookupResponse> {
+        while !self.time_left().is_zero() {
             for daemon in self.callers.daemons_for(&self.region.name) {
-                let limit = LOOKUP_TIMEOUT.min(self.left());
+                let limit = LOOKUP_TIMEOUT.min(self.time_left());
                 match timeout(limit, self.look_up_at(&daemon)).await {
-                    Ok(Lookup::Found(found)) => return Some(found),
-                    Ok(Lookup::Wrong) => return None,
-                    Ok(Lookup::Failed) | Err(_) => {}
+                    Ok(LookupResult::Found(found)) => return Some(found),
+                    Ok(LookupResult::Rejected) => return None,
+                    Ok(LookupResult::Failed) | Err(_) => {}
                 }
             }
-            sleep(LOOKUP_PAUSE.min(self.left())).await;
+            sleep(LOOKUP_RETRY_DELAY.min(self.time_left())).await;
         }
         None
     }
 
-    async fn look_up_at(&self, daemon: &ByteString) -> Lookup {
+    async fn look_up_at(&self, daemon: &ByteString) -> LookupResult {
         let block = self.region.address(self.arrival.caller);
         let class = &self.class.name;
         let url = format!("http://{daemon}/v1/entries?class={class}&block={block}");
-        self.travel().await;
-        let Ok(mut answer) = self.callers.client.get(url).send().await else {
-            return Lookup::Failed;
+        self.network_delay().await;
+        let Ok(mut response) = self.callers.client.get(url).send().await else {
+            return LookupResult::Failed;
         };
-        let body = answer.body().await;
-        self.travel().await;
-        if answer.status().is_client_error() {
-            return Lookup::Wrong;
+        let body = response.body().await;
+        self.network_delay().await;
+        if response.status().is_client_error() {
+            return LookupResult::Rejected;
         }
         let found = body
             .ok()
             .and_then(|body| serde_json::from_slice(&body).ok());
         match found {
-            Some(found @ Entries { .. }) if !found.entries.is_empty() => Lookup::Found(found),
-            _ => Lookup::Failed,
+            Some(found @ LookupResponse { .. }) if !found.entries.is_empty() => {
+                LookupResult::Found(found)
+            }
+            _ => LookupResult::Failed,
         }
     }
 }
--- a/crates/load/src/caller/mod.rs
+++ b/crates/load/src/caller/mod.rs
@@ -1,21 +1,21 @@
-//! One caller's request, from its look-up to what the caller knows at the end.
+//! Callers' requests, from the look-up to the result.
 //!
-//! A caller acts as the interface allows and no more: it caches look-ups for their `ttl_ms`, sends
-//! a request again only where that is safe, and repeats a filing of unknown outcome only with the
-//! same ticket to the same entry, or with the same key. What it sent and was told is recorded as it
-//! happened; whether a promise was broken is for the judge.
+//! A caller does what the interface allows and no more: it caches look-ups for their `ttl_ms`,
+//! retries a request only where that is safe, and retries a filing of unknown outcome only with the
+//! same ticket at the same entry, or with the same key. Each request and its responses are recorded
+//! as they were; the judge decides afterwards whether a guarantee was violated.
 //!
-//! `asking` decides where each try goes and what follows it, `lookup` finds entries, `exchange`
-//! sends one try, `answer` reads what came back.
+//! `request` chooses the target of each try and the step after it, `lookup` finds entries,
+//! `exchange` sends one try, and `response` reads the response.
 
-mod answer;
-mod asking;
 mod exchange;
 mod lookup;
+mod request;
+mod response;
 
 use self::{
-    asking::Asking,
-    lookup::Cache, //
+    lookup::Cache,
+    request::RequestState, //
 };
 use crate::{
     clock::Clock,
@@ -37,18 +37,18 @@
     time::Instant, //
 };
 
-/// Daemons that callers know from the start, by region.
+/// Callers' addresses of the daemons that callers know from the start, by region.
 pub type Daemons = BTreeMap<RegionId, Vec<ByteString>>;
 
-/// All callers of one thread, with their connections and caches.
+/// The callers of one thread, with their connections and caches.
 pub(crate) struct Callers {
     scene: Arc<Scene>,
     daemons: Arc<Daemons>,
     client: Client,
     clock: Clock,
     cache: RefCell<Cache>,
-    /// Turns over the daemons, so that look-ups spread.
-    turn: Cell<usize>,
+    /// Round-robin counter that spreads look-ups over the daemons.
+    round_robin: Cell<usize>,
 }
 
 impl Callers {
@@ -64,27 +64,27 @@
             client,
             clock,
             cache: RefCell::default(),
-            turn: Cell::new(0),
+            round_robin: Cell::new(0),
         }
     }
 
-    /// Carries one request to its end.
+    /// Sends one request, with its retries, and records the result.
     pub(crate) async fn request(self: Rc<Self>, arrival: Arrival) -> CallerRecord {
         let started = Instant::now();
-        let mut asking = Asking::new(&self, &arrival, started);
-        asking.run().await;
-        let (class, region) = (asking.class, asking.region);
+        let mut state = RequestState::new(&self, &arrival, started);
+        state.run().await;
+        let (class, region) = (state.class, state.region);
         CallerRecord {
-            told: asking.told(),
-            flaw: asking.flaw,
-            tries: asking.tries,
+            told: state.result(),
+            flaw: state.flaw,
+            tries: state.tries,
             id: arrival.id.clone(),
             class: class.name.clone(),
             region: region.name.clone(),
             filing: class.filing,
-            scheduled_us: self.clock.at(arrival.at),
-            started_us: self.clock.us(started),
-            finished_us: self.clock.us(Instant::now()),
+            scheduled_us: self.clock.wall_us_at(arrival.at),
+            started_us: self.clock.wall_us(started),
+            finished_us: self.clock.wall_us(Instant::now()),
             deadline_ms: class.deadline_ms,
         }
     }
--- a/crates/load/src/caller/answer.rs
+++ b/crates/load/src/caller/response.rs
@@ -1,4 +1,4 @@
-//! What an answer says: its head, and the start of a refusal's body.
+//! The parts of a response that a caller uses: its head, and the start of a refusal's body.
 
 use crate::{
     payload::Checker,
@@ -18,29 +18,29 @@
 use std::time::Duration;
 
 /// Characters of a refusal's body that a record keeps.
-const KEPT_DETAIL: usize = 200;
+const MAX_DETAIL_CHARS: usize = 200;
 
-/// What an answer said besides its end.
+/// Contents of a response, as far as a caller uses them.
 #[derive(Default)]
-pub(super) struct Answer {
+pub(super) struct ResponseSummary {
     pub(super) status: Option<u16>,
     pub(super) outcome: Option<RunOutcome>,
     pub(super) request: Option<ByteString>,
     pub(super) instance: Option<ByteString>,
     pub(super) retry_after: Option<Duration>,
-    pub(super) instead: Option<ByteString>,
+    pub(super) named_entry: Option<ByteString>,
     pub(super) flaw: Option<Flaw>,
     pub(super) detail: Option<ByteString>,
 }
 
-impl Answer {
-    /// Reads what the head says.
+impl ResponseSummary {
+    /// Reads the status and the headers.
     pub(super) fn read_head(&mut self, status: u16, headers: &HeaderMap) {
         self.status = Some(status);
         self.outcome = header(headers, "jasmine-outcome").and_then(|text| text.parse().ok());
         self.request = header(headers, "jasmine-request").map(ByteString::from);
         self.instance = header(headers, "jasmine-instance").map(ByteString::from);
-        self.instead = header(headers, "jasmine-entry").map(ByteString::from);
+        self.named_entry = header(headers, "jasmine-entry").map(ByteString::from);
         let ms = header(headers, "jasmine-retry-after-ms")
             .and_then(|text| text.parse().ok())
             .map(Duration::from_millis);
@@ -50,11 +50,11 @@
         self.retry_after = ms.or(s);
     }
 
-    /// Feeds the body to `checker`, and keeps its start where it is not of work that was done.
+    /// Feeds the body to `checker`, and keeps its start unless the outcome is `done`.
     ///
     /// # Errors
     ///
-    /// The connection ended before the body did.
+    /// The connection ended before the body was complete.
     pub(super) async fn read_body(
         &mut self,
         mut parts: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Whether every repeat would be refused alike.
-    pub(super) fn is_callers_mistake(&self) -> bool {
+    /// Whether a retry would have the same result.
+    pub(super) fn is_permanent(&self) -> bool {
         self.status
             .is_some_and(|status| status < 500 && status != 429)
     }
@@ -89,8 +89,11 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Start of a body, on one line.
+/// Start of a body as one line.
 fn detail(body: &[u8]) -> ByteString {
     let text = String::from_utf8_lossy(body).replace('\n', " ");
-    text.chars().take(KEPT_DETAIL).collect::<String>().into()
+    text.chars()
+        .take(MAX_DETAIL_CHARS)
+        .collect::<String>()
+        .into()
 }
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,23 +1,23 @@
-//! The HTTP client of callers: strict, so that the judge is not misled by a short answer, and
-//! without limits that would make open loop wait.
+//! The callers' HTTP client. It rejects truncated responses, which the judge would otherwise take
+//! for complete ones, and its limits are high enough not to delay open-loop requests.
 
 use awc::Client;
 use std::time::Duration;
 use strict::strict_connector;
 
-/// Connections that a client may have at a time; open loop must not wait for one.
-const MOST_CONNECTIONS: usize = 50_000;
-/// Idle time after which a connection is not used again; shorter than any server's, so that no
-/// request is sent while the other end closes it for being idle.
-const IDLE: Duration = Duration::from_secs(2);
-/// Longest wait for a connection.
+/// Upper limit of a client's connections; open-loop requests must not wait for one.
+const MAX_CONNECTIONS: usize = 50_000;
+/// Idle time after which a connection is not reused. It is shorter than any server's idle timeout,
+/// so that no request is sent on a connection that the server is closing.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client with connections enough for open loop, and without time limits of its own.
+/// Creates a client with enough connections for open-loop load and no request timeout.
 pub(crate) fn client() -> Client {
     let connector = strict_connector()
-        .limit(MOST_CONNECTIONS)
-        .conn_keep_alive(IDLE)
+        .limit(MAX_CONNECTIONS)
+        .conn_keep_alive(IDLE_TIMEOUT)
         .timeout(CONNECT_TIMEOUT);
     Client::builder()
         .connector(connector)
--- a/crates/load/src/clock.rs
+++ b/crates/load/src/clock.rs
@@ -1,4 +1,4 @@
-//! One clock for a run: monotonic, tied to the wall clock once at its start.
+//! The clock of a run: monotonic, and aligned with the wall clock once, at its creation.
 
 use crate::record::{
     unix_us,
@@ -9,7 +9,7 @@
     Instant, //
 };
 
-/// Turns moments of a run into times of the wall clock.
+/// Converts times of a run to wall-clock times.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
@@ -17,7 +17,7 @@
 }
 
 impl Clock {
-    /// A clock whose run starts after `delay`.
+    /// Creates the clock of a run that starts after `delay`.
     pub(crate) fn starting_in(delay: Duration) -> Self {
         Self {
             start: Instant::now() + delay,
@@ -30,17 +30,17 @@
         self.start
     }
 
-    /// Wall time of a moment of the monotonic clock.
-    pub(crate) fn us(&self, moment: Instant) -> UnixUs {
-        match moment.checked_duration_since(self.start) {
-            Some(since) => self.start_us + micros(since),
-            None => self.start_us - micros(self.start.duration_since(moment)),
+    /// Wall-clock time of an instant.
+    pub(crate) fn wall_us(&self, instant: Instant) -> UnixUs {
+        match instant.checked_duration_since(self.start) {
+            Some(elapsed) => self.start_us + micros(elapsed),
+            None => self.start_us - micros(self.start.duration_since(instant)),
         }
     }
 
-    /// Wall time of a moment counted from the start of the run.
-    pub(crate) fn at(&self, since_start: Duration) -> UnixUs {
-        self.start_us + micros(since_start)
+    /// Wall-clock time at an offset from the start of the run.
+    pub(crate) fn wall_us_at(&self, offset: Duration) -> UnixUs {
+        self.start_us + micros(offset)
     }
 }
 
--- a/crates/load/src/drain.rs
+++ b/crates/load/src/drain.rs
@@ -1,4 +1,4 @@
-//! Drain time: from the request for a drain to the last new work at what is drained.
+//! Drain times: from the request for a drain to the last new work at the drained upstreams.
 
 use crate::{
     judge::{
@@ -14,49 +14,57 @@
     fmt, //
 };
 
-/// How long it took until upstreams that leave together got no new work.
+/// Time until a group of upstreams that leave together received no new work.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct DrainTime {
-    /// When the drain was asked for.
-    pub asked_us: UnixUs,
-    /// Upstreams that are drained.
+    /// Time of the request for the drain.
+    #[serde(rename = "asked_us")]
+    pub requested_us: UnixUs,
+    /// Drained upstreams.
     pub upstreams: Vec<UpstreamId>,
-    /// Time to the last new work there; zero when none came.
+    /// Time to the last new work at these upstreams; zero if there was none.
+    #[serde(rename = "took_ms")]
     pub took_ms: u64,
-    /// Requests that came there in that time.
+    /// Requests that arrived at these upstreams in that time.
     pub arrived: u64,
 }
 
-/// One for each moment at which upstreams began to leave, in order.
+/// Computes one drain time for each point in time at which upstreams began to leave, in order.
 pub(crate) fn drains(evidence: &Evidence) -> Vec<DrainTime> {
-    let mut together: BTreeMap<UnixUs, Vec<&Leaving>> = BTreeMap::new();
+    let mut by_request_time: BTreeMap<UnixUs, Vec<&Leaving>> = BTreeMap::new();
     for leaving in &evidence.leaving {
-        together.entry(leaving.asked_us).or_default().push(leaving);
+        by_request_time
+            .entry(leaving.asked_us)
+            .or_default()
+            .push(leaving);
     }
-    let drains = together.into_iter();
+    let drains = by_request_time.into_iter();
     drains
-        .map(|(asked_us, leaving)| drain(evidence, asked_us, &leaving))
+        .map(|(requested_us, leaving)| drain(evidence, requested_us, &leaving))
         .collect()
 }
 
-fn drain(evidence: &Evidence, asked_us: UnixUs, leaving: &[&Leaving]) -> DrainTime {
+fn drain(evidence: &Evidence, requested_us: UnixUs, leaving: &[&Leaving]) -> DrainTime {
     let mut drain = DrainTime {
-        asked_us,
-        upstreams: leaving.iter().map(|it| it.upstream.clone()).collect(),
+        requested_us,
+        upstreams: leaving
+            .iter()
+            .map(|departed| departed.upstream.clone())
+            .collect(),
         took_ms: 0,
         arrived: 0,
     };
     for run in &evidence.runs {
         let is_new = leaving.iter().any(|leaving| {
             leaving.upstream == run.upstream
-                && run.arrived_us >= asked_us
+                && run.arrived_us >= requested_us
                 && leaving
                     .until_us
                     .is_none_or(|until_us| run.arrived_us < until_us)
         });
         if is_new {
             drain.arrived += 1;
-            drain.took_ms = drain.took_ms.max((run.arrived_us - asked_us) / 1_000);
+            drain.took_ms = drain.took_ms.max((run.arrived_us - requested_us) / 1_000);
         }
     }
     drain
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -1,8 +1,8 @@
-//! Drives a scene's arrivals from several threads, open loop.
+//! Sends a scene's requests at their arrival times from several threads, open loop.
 //!
-//! Each thread has an event loop of its own and a pacer beside it. The pacer sleeps in the
-//! operating system's clock and hands each arrival over at its time: the event loop's own timers
-//! are whole milliseconds, which would show in every latency.
+//! Each thread runs an event loop and has a separate pacer thread. The pacer sleeps by the
+//! operating system's clock and passes each arrival on at its time. The event loop's own timers
+//! have a resolution of one millisecond, which would distort every latency.
 
 use crate::{
     caller::{
@@ -40,82 +40,85 @@
 };
 use tokio::sync::mpsc;
 
-/// Time between the plan and the first arrival, for threads to start.
-const LEAD: Duration = Duration::from_millis(100);
+/// Delay before the start of the run, for threads to start.
+const START_DELAY: Duration = Duration::from_millis(100);
 
-/// Addresses that a scene leaves open.
+/// Addresses that a scene does not contain.
 #[derive(Clone, Debug, Default)]
 pub struct Sites {
-    /// Daemons that callers ask for entries, by region.
+    /// Daemons that callers use for look-ups, by region.
     pub daemons: Daemons,
-    /// Addresses of the targets that events name.
+    /// Addresses of the events' targets, by name.
     pub targets: BTreeMap<ByteString, ByteString>,
 }
 
-/// What a run gave.
+/// Records of a scene's run.
 #[derive(Debug, Default)]
 pub struct Driven {
-    /// Records of all callers, by the time of their arrival.
+    /// Records of all requests, sorted by scheduled time.
     pub callers: Vec<CallerRecord>,
-    /// What became of the events.
+    /// The events with their responses.
     pub events: Vec<EventRecord>,
 }
 
-/// An event and its answer.
+/// An event with its response.
 #[derive(Debug)]
 pub struct EventRecord {
     /// The event.
     pub event: Event,
-    /// When it was sent.
-    pub asked_us: UnixUs,
-    /// When it was answered.
+    /// Time at which it was sent.
+    pub sent_us: UnixUs,
+    /// Time at which its response arrived.
     pub answered_us: UnixUs,
-    /// Status of the answer, or why there was none.
+    /// Status of the response, or the error if there was none.
     pub answer: Result<u16, String>,
 }
 
-/// Runs a scene and returns when its last request has ended.
+/// Runs a scene to the end of its last request.
 pub fn drive(scene: &Scene, sites: &Sites) -> Driven {
     let scene = Arc::new(scene.clone());
     let daemons = Arc::new(sites.daemons.clone());
-    let clock = Clock::starting_in(LEAD);
-    let shares = shares(schedule(&scene), scene.threads.max(1));
+    let clock = Clock::starting_in(START_DELAY);
+    let partitions = partition_by_caller(schedule(&scene), scene.threads.max(1));
     let events = {
         let (scene, sites) = (Arc::clone(&scene), sites.clone());
         thread::spawn(move || run_events(&scene, &sites, clock))
     };
-    let threads: Vec<_> = shares
+    let threads: Vec<_> = partitions
         .into_iter()
-        .map(|share| {
+        .map(|partition| {
             let (scene, daemons) = (Arc::clone(&scene), Arc::clone(&daemons));
-            thread::spawn(move || run_share(scene, daemons, clock, share))
+            thread::spawn(move || run_partition(scene, daemons, clock, partition))
         })
         .collect();
-    let mut driven = Driven::default();
+    let mut load_records = Driven::default();
     for thread in threads {
         let records = thread.join().expect("a thread of callers does not panic");
-        driven.callers.extend(records);
+        load_records.callers.extend(records);
     }
-    driven.callers.sort_by_key(|caller| caller.scheduled_us);
-    driven.events = events.join().expect("the thread of events does not panic");
-    driven
+    load_records
+        .callers
+        .sort_by_key(|caller| caller.scheduled_us);
+    load_records.events = events.join().expect("the thread of events does not panic");
+    load_records
 }
 
-/// Upstreams that left, and came back, by events that were accepted.
+/// Upstreams that left and came back by accepted events.
 pub fn leaving(events: &[EventRecord]) -> Vec<Leaving> {
     let mut leaving: Vec<Leaving> = Vec::new();
     for record in events {
         if !record.answer.as_ref().is_ok_and(|status| *status < 300) {
             continue;
         }
-        let returned = |gone: &&mut Leaving| record.event.returns.contains(&gone.upstream);
-        for gone in leaving.iter_mut().filter(returned) {
-            // Work may come again from the moment at which the return was asked for.
-            gone.until_us.get_or_insert(record.asked_us);
+        let has_returned =
+            |earlier: &&mut Leaving| record.event.returns.contains(&earlier.upstream);
+        for earlier in leaving.iter_mut().filter(has_returned) {
+            // New work is allowed again from the request for the return on.
+            earlier.until_us.get_or_insert(record.sent_us);
         }
         leaving.extend(record.event.leaves.iter().map(|upstream| Leaving {
             upstream: upstream.clone(),
-            asked_us: record.asked_us,
+            asked_us: record.sent_us,
             since_us: record.answered_us,
             until_us: None,
         }));
@@ -123,51 +126,52 @@
     leaving
 }
 
-/// What events did not do: requests that were not accepted, and upstreams that nobody knows.
+/// Events that had no effect: rejected requests, and ids of unknown upstreams.
 ///
-/// What goes wrong otherwise: a scene that misspells an upstream breaks nothing, so that its run
-/// passes without having shown anything.
+/// Without this check, a scene that misspells an upstream's id would pass, although its fault was
+/// never injected.
 pub fn not_done(
     events: &[EventRecord],
     upstreams: &BTreeMap<UpstreamId, UpstreamFacts>,
 ) -> Vec<String> {
-    let mut found = Vec::new();
+    let mut failures = Vec::new();
     for record in events {
         let event = &record.event;
         if !record.answer.as_ref().is_ok_and(|status| *status < 300) {
             let (at_ms, target, path) = (event.at_ms, &event.target, &event.path);
-            found.push(format!("{at_ms} ms: {target} {path}: {:?}", record.answer));
+            failures.push(format!("{at_ms} ms: {target} {path}: {:?}", record.answer));
         }
-        let named = event.leaves.iter().chain(&event.returns);
-        for id in named.filter(|id| !upstreams.contains_key(*id)) {
-            found.push(format!("{} ms: no upstream `{id}`", event.at_ms));
+        let ids = event.leaves.iter().chain(&event.returns);
+        for id in ids.filter(|id| !upstreams.contains_key(*id)) {
+            failures.push(format!("{} ms: no upstream `{id}`", event.at_ms));
         }
     }
-    found
+    failures
 }
 
-/// Deals the arrivals out to threads; all of one caller's go to the same, which has its cache.
-fn shares(arrivals: Vec<Arrival>, threads: usize) -> Vec<Vec<Arrival>> {
-    let mut shares = vec![Vec::new(); threads];
+/// Distributes the arrivals to threads. All arrivals of a caller go to one thread, which has its
+/// cache.
+fn partition_by_caller(arrivals: Vec<Arrival>, threads: usize) -> Vec<Vec<Arrival>> {
+    let mut partitions = vec![Vec::new(); threads];
     for arrival in arrivals {
         let index = (arrival.caller as usize).wrapping_add(arrival.region) % threads;
-        shares[index].push(arrival);
+        partitions[index].push(arrival);
     }
-    shares
+    partitions
 }
 
-fn run_share(
+fn run_partition(
     scene: Arc<Scene>,
     daemons: Arc<Daemons>,
     clock: Clock,
-    share: Vec<Arrival>,
+    partition: Vec<Arrival>,
 ) -> Vec<CallerRecord> {
-    let (sender, mut due) = mpsc::unbounded_channel();
-    let pacer = thread::spawn(move || pace(clock, share, &sender));
+    let (sender, mut arrivals) = mpsc::unbounded_channel();
+    let pacer = thread::spawn(move || pace(clock, partition, &sender));
     let records = actix_rt::System::new().block_on(async move {
         let callers = Rc::new(Callers::new(scene, daemons, client(), clock));
         let mut requests = Vec::new();
-        while let Some(arrival) = due.recv().await {
+        while let Some(arrival) = arrivals.recv().await {
             requests.push(actix_rt::spawn(Rc::clone(&callers).request(arrival)));
         }
         let mut records = Vec::with_capacity(requests.len());
@@ -180,9 +184,9 @@
     records
 }
 
-/// Hands arrivals over at their time.
-fn pace(clock: Clock, share: Vec<Arrival>, sender: &mpsc::UnboundedSender<Arrival>) {
-    for arrival in share {
+/// Sends each arrival to the event loop at its time.
+fn pace(clock: Clock, partition: Vec<Arrival>, sender: &mpsc::UnboundedSender<Arrival>) {
+    for arrival in partition {
         sleep_until(clock.start() + arrival.at);
         if sender.send(arrival).is_err() {
             return;
@@ -190,8 +194,8 @@
     }
 }
 
-fn sleep_until(moment: Instant) {
-    let left = moment.saturating_duration_since(Instant::now());
+fn sleep_until(instant: Instant) {
+    let left = instant.saturating_duration_since(Instant::now());
     if !left.is_zero() {
         thread::sleep(left);
     }
@@ -203,12 +207,12 @@
     let mut records = Vec::new();
     for event in events {
         sleep_until(clock.start() + Duration::from_millis(event.at_ms));
-        let asked_us = clock.us(Instant::now());
+        let sent_us = clock.wall_us(Instant::now());
         let answer = post(&event, sites);
         records.push(EventRecord {
             event,
-            asked_us,
-            answered_us: clock.us(Instant::now()),
+            sent_us,
+            answered_us: clock.wall_us(Instant::now()),
             answer,
         });
     }
--- a/crates/load/src/gather.rs
+++ b/crates/load/src/gather.rs
@@ -1,4 +1,4 @@
-//! Fetches the upstreams' side: the list that names them and the record of what each ran.
+//! Fetches the upstreams' side: the platform's list of upstreams and the record of each one's runs.
 
 use crate::{
     client::client,
@@ -26,38 +26,38 @@
 };
 use tokio::time::timeout;
 
-/// Longest wait for one upstream's record.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest record.
-const MOST_BYTES: usize = 1 << 30;
+/// Timeout of one fetch.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(30);
+/// Upper limit of the body of one fetch.
+const MAX_BODY_BYTES: usize = 1 << 30;
 
-/// What upstreams told.
+/// The upstreams and their records.
 #[derive(Debug, Default)]
 pub struct Gathered {
-    /// Upstreams of the list.
+    /// Upstreams that the platform lists.
     pub upstreams: BTreeMap<UpstreamId, UpstreamFacts>,
-    /// Their records, by arrival; requests of others than callers have an empty id.
+    /// Their runs, sorted by arrival; requests that are not from callers have an empty id.
     pub runs: Vec<Run>,
-    /// What could not be fetched.
-    pub missing: Vec<Missing>,
+    /// Sources whose record is missing or incomplete.
+    pub missing: Vec<MissingRecord>,
 }
 
-/// A source that gave nothing.
+/// A source whose record is missing or incomplete.
 #[derive(Debug)]
-pub struct Missing {
-    /// The source.
+pub struct MissingRecord {
+    /// URL of the source, or id of the upstream.
     pub url: String,
-    /// Why.
-    pub why: String,
+    /// Why it is missing.
+    pub reason: String,
 }
 
-/// The platform's list, as far as it matters here.
+/// The platform's list of upstreams, with the fields used here.
 #[derive(Deserialize)]
-struct List {
+struct UpstreamList {
     upstreams: Vec<ListedUpstream>,
 }
 
-/// An upstream of the list.
+/// An upstream in the platform's list.
 #[derive(Deserialize)]
 struct ListedUpstream {
     id: UpstreamId,
@@ -70,13 +70,13 @@
 ///
 /// # Errors
 ///
-/// When the list itself can't be had; a record that can't be had is reported in the result.
-pub fn gather(platform: &str, controls: &[ByteString]) -> Result<Gathered, Missing> {
+/// The list can't be fetched. A record that can't be fetched is reported in the result instead.
+pub fn gather(platform: &str, controls: &[ByteString]) -> Result<Gathered, MissingRecord> {
     actix_rt::System::new().block_on(fetch_all(platform, controls))
 }
 
-async fn fetch_all(platform: &str, controls: &[ByteString]) -> Result<Gathered, Missing> {
-    let list: List = fetch(format!("http://{platform}/list")).await?;
+async fn fetch_all(platform: &str, controls: &[ByteString]) -> Result<Gathered, MissingRecord> {
+    let list: UpstreamList = fetch(format!("http://{platform}/list")).await?;
     let mut gathered = Gathered::default();
     for upstream in list.upstreams {
         let facts = UpstreamFacts {
@@ -99,62 +99,64 @@
 }
 
 impl Gathered {
-    /// Takes in the records of one process of upstreams.
+    /// Adds the records of one process of upstreams.
     fn add(&mut self, records: BTreeMap<ByteString, Record>) {
         for (upstream, record) in records {
             if let Some(facts) = self.upstreams.get_mut(&upstream) {
                 facts.max_queued = record.max_queued;
             }
             if record.dropped > 0 {
-                self.missing.push(Missing {
+                self.missing.push(MissingRecord {
                     url: upstream.to_string(),
-                    why: format!("{} entries were dropped", record.dropped),
+                    reason: format!("{} entries were dropped", record.dropped),
                 });
             }
             let runs = record.entries.into_iter();
-            self.runs.extend(runs.map(|entry| run(&upstream, entry)));
+            self.runs.extend(runs.map(|entry| to_run(&upstream, entry)));
         }
     }
 }
 
-/// An upstream's entry as the judge reads it.
-fn run(upstream: &UpstreamId, entry: Entry) -> Run {
-    let us = |ms: u64| ms.saturating_mul(1_000);
-    let try_number = query(&entry.path, "try").and_then(|text| text.parse().ok());
-    let answer_bytes = match entry.outcome {
-        Ended::Ran => asked_bytes(&entry.path),
+/// Converts an entry of an upstream's record.
+fn to_run(upstream: &UpstreamId, entry: Entry) -> Run {
+    let to_us = |ms: u64| ms.saturating_mul(1_000);
+    let try_number = query_value(&entry.path, "try").and_then(|text| text.parse().ok());
+    let response_bytes = match entry.outcome {
+        Ended::Ran => requested_bytes(&entry.path),
         _ => 0,
     };
     Run {
         upstream: upstream.clone(),
-        id: query(&entry.path, "caller").unwrap_or_default().into(),
+        id: query_value(&entry.path, "caller")
+            .unwrap_or_default()
+            .into(),
         try_number: try_number.unwrap_or(0),
         filing: entry.filing.map(ByteString::from),
-        arrived_us: us(entry.received_ms),
-        started_us: entry.started_ms.map(us),
-        ended_us: entry.finished_ms.map(us),
-        end: ByteString::from_static(end(entry.outcome)),
-        bytes: entry.body_bytes.unwrap_or(0) + answer_bytes,
+        arrived_us: to_us(entry.received_ms),
+        started_us: entry.started_ms.map(to_us),
+        ended_us: entry.finished_ms.map(to_us),
+        end: ByteString::from_static(end_name(entry.outcome)),
+        bytes: entry.body_bytes.unwrap_or(0) + response_bytes,
     }
 }
 
-/// Bytes of the answer that a path asks for; none where the answer is no more than an echo.
-fn asked_bytes(path: &str) -> u64 {
+/// Length of the response that a path requests; zero for an echo.
+fn requested_bytes(path: &str) -> u64 {
     let (path, _) = path.split_once('?').unwrap_or((path, ""));
-    let asked = ["/bytes/", "/chunked/"];
-    let asked = asked.iter().find_map(|prefix| path.strip_prefix(prefix));
-    asked.and_then(|text| text.parse().ok()).unwrap_or(0)
+    let prefixes = ["/bytes/", "/chunked/"];
+    let length = prefixes.iter().find_map(|prefix| path.strip_prefix(prefix));
+    length.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Value of a field of a path's query.
-fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+/// Value of a parameter in a path's query.
+fn query_value<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut fields = query.split('&').filter_map(|field| field.split_once('='));
     fields.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Name of an end.
-fn end(ended: Ended) -> &'static str {
+/// Name of the end of a run.
+fn end_name(ended: Ended) -> &'static str {
     match ended {
         Ended::Running => "running",
         Ended::Ran => "ran",
@@ -165,19 +167,19 @@
     }
 }
 
-async fn fetch<T: serde::de::DeserializeOwned>(url: String) -> Result<T, Missing> {
-    let failed = |why: String| Missing {
+async fn fetch<T: serde::de::DeserializeOwned>(url: String) -> Result<T, MissingRecord> {
+    let failed = |reason: String| MissingRecord {
         url: url.clone(),
-        why,
+        reason,
     };
-    let body = timeout(TIMEOUT, async {
-        let mut answer = client().get(&url).send().await.map_err(|e| e.to_string())?;
-        if !answer.status().is_success() {
-            return Err(format!("status {}", answer.status()));
+    let body = timeout(FETCH_TIMEOUT, async {
+        let mut response = client().get(&url).send().await.map_err(|e| e.to_string())?;
+        if !response.status().is_success() {
+            return Err(format!("status {}", response.status()));
         }
-        answer
+        response
             .body()
-            .limit(MOST_BYTES)
+            .limit(MAX_BODY_BYTES)
             .await
             .map_err(|e| e.to_string())
     })
@@ -187,8 +189,8 @@
     serde_json::from_slice(&body).map_err(|error| failed(error.to_string()))
 }
 
-impl fmt::Display for Missing {
+impl fmt::Display for MissingRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.url, self.why)
+        write!(f, "{}: {}", self.url, self.reason)
     }
 }
--- a/crates/load/src/headroom.rs
+++ b/crates/load/src/headroom.rs
@@ -1,7 +1,8 @@
-//! Headroom of each service in each region, second by second, from what upstreams ran.
+//! Headroom of each service in each region in each second, from the upstreams' records.
 //!
-//! Headroom is the part of the slots that no run holds. A run holds its slot from its start to its
-//! end, by the upstream's own record; one that has not ended holds it to the end of the window.
+//! Headroom is the share of the slots that are free. A run occupies its slot from its start to its
+//! end, by the upstream's own record; a run that has not ended occupies it to the end of the
+//! window.
 
 use crate::{
     judge::Evidence,
@@ -26,35 +27,35 @@
 pub struct Headroom {
     /// Slots of all upstreams.
     pub slots: u32,
-    /// Target of the configuration, in percent of the slots.
+    /// Target that the configuration sets, in percent of the slots.
     pub target_pct: Option<u8>,
-    /// Least headroom at any moment, in percent.
+    /// Minimum headroom, in percent.
     pub least_pct: f64,
-    /// Mean headroom over the whole time, in percent.
+    /// Mean headroom over the window, in percent.
     pub mean_pct: f64,
     /// Seconds whose mean is below the target.
     pub seconds_below: usize,
     /// Headroom in each second.
-    pub seconds: Vec<FreeSecond>,
+    pub seconds: Vec<SecondHeadroom>,
 }
 
 /// Headroom in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct FreeSecond {
-    /// Least at any moment, in percent.
+pub struct SecondHeadroom {
+    /// Minimum, in percent.
     pub least_pct: f64,
     /// Mean, in percent.
     pub mean_pct: f64,
 }
 
-/// Slots that are held in one second.
+/// Slots in use in one second.
 #[derive(Clone, Copy, Default)]
-struct Held {
+struct SlotsInUse {
     slot_us: u64,
-    most: u64,
+    peak: u64,
 }
 
-/// A change of the number of runs in flight.
+/// A time and the change of the number of runs in flight at it.
 type Edge = (UnixUs, i64);
 
 /// Headroom of each pool, as `service/region`.
@@ -69,7 +70,7 @@
         .map(|(pool, slots)| {
             let edges = edges.remove(&pool).unwrap_or_default();
             let target_pct = evidence.limits.headroom_pct.get(pool.0).copied();
-            let headroom = Headroom::new(slots, target_pct, &held(edges, window), window);
+            let headroom = Headroom::new(slots, target_pct, &slots_in_use(edges, window), window);
             (format!("{}/{}", pool.0, pool.1), headroom)
         })
         .collect()
@@ -79,7 +80,7 @@
     (&facts.service, &facts.region)
 }
 
-/// Starts and ends of all runs by pool.
+/// Starts and ends of all runs, by pool.
 fn edges(evidence: &Evidence) -> BTreeMap<(&ServiceId, &RegionId), Vec<Edge>> {
     let mut edges: BTreeMap<_, Vec<Edge>> = BTreeMap::new();
     for run in &evidence.runs {
@@ -94,18 +95,18 @@
     edges
 }
 
-/// Slots held in each second of the window.
-fn held(mut edges: Vec<Edge>, window: Window) -> Vec<Held> {
-    let mut seconds = vec![Held::default(); window.seconds()];
-    // Ends sort before starts of the same moment.
+/// Slots in use in each second of the window.
+fn slots_in_use(mut edges: Vec<Edge>, window: Window) -> Vec<SlotsInUse> {
+    let mut seconds = vec![SlotsInUse::default(); window.seconds()];
+    // Ends sort before starts of the same time.
     edges.sort_unstable();
     let mut in_flight: i64 = 0;
     let mut since_us = 0;
     for (at_us, step) in edges {
-        let held = u64::try_from(in_flight).unwrap_or(0);
-        for (second, length_us) in window.parts(since_us, at_us) {
-            seconds[second].slot_us += held * length_us;
-            seconds[second].most = seconds[second].most.max(held);
+        let slots_in_use = u64::try_from(in_flight).unwrap_or(0);
+        for (second, length_us) in window.split_by_second(since_us, at_us) {
+            seconds[second].slot_us += slots_in_use * length_us;
+            seconds[second].peak = seconds[second].peak.max(slots_in_use);
         }
         in_flight += step;
         since_us = at_us;
@@ -114,7 +115,12 @@
 }
 
 impl Headroom {
-    fn new(slots: u32, target_pct: Option<u8>, held: &[Held], window: Window) -> Self {
+    fn new(
+        slots: u32,
+        target_pct: Option<u8>,
+        slots_in_use: &[SlotsInUse],
+        window: Window,
+    ) -> Self {
         let mut headroom = Self {
             slots,
             target_pct,
@@ -124,16 +130,20 @@
         };
         let mut slot_us = 0;
         let mut length_us = 0;
-        for (second, held) in held.iter().enumerate() {
-            let free = FreeSecond {
-                least_pct: free_pct(held.most as f64, slots),
-                mean_pct: free_pct(held.slot_us as f64 / window.length_us(second) as f64, slots),
+        for (second, slots_in_use) in slots_in_use.iter().enumerate() {
+            let second_headroom = SecondHeadroom {
+                least_pct: free_pct(slots_in_use.peak as f64, slots),
+                mean_pct: free_pct(
+                    slots_in_use.slot_us as f64 / window.length_us(second) as f64,
+                    slots,
+                ),
             };
-            headroom.seconds.push(free);
-            headroom.least_pct = headroom.least_pct.min(free.least_pct);
-            let is_below = target_pct.is_some_and(|target| free.mean_pct < f64::from(target));
+            headroom.seconds.push(second_headroom);
+            headroom.least_pct = headroom.least_pct.min(second_headroom.least_pct);
+            let is_below =
+                target_pct.is_some_and(|target| second_headroom.mean_pct < f64::from(target));
             headroom.seconds_below += usize::from(is_below);
-            slot_us += held.slot_us;
+            slot_us += slots_in_use.slot_us;
             length_us += window.length_us(second);
         }
         if length_us > 0 {
@@ -143,11 +153,11 @@
     }
 }
 
-fn free_pct(held: f64, slots: u32) -> f64 {
+fn free_pct(slots_in_use: f64, slots: u32) -> f64 {
     if slots == 0 {
         return 0.0;
     }
-    100.0 * (1.0 - held / f64::from(slots)).max(0.0)
+    100.0 * (1.0 - slots_in_use / f64::from(slots)).max(0.0)
 }
 
 pub(crate) fn write(f: &mut fmt::Formatter<'_>, pools: &BTreeMap<String, Headroom>) -> fmt::Result {
--- a/crates/load/src/hop.rs
+++ b/crates/load/src/hop.rs
@@ -1,14 +1,14 @@
-//! Measures what an entry adds to a request.
+//! Measures the latency that an entry adds to a request.
 //!
-//! Direct asks of an upstream and asks through an entry are interleaved in one run, on connections
-//! that stay open, so that whatever else the machine does meets both alike.
+//! Requests sent directly to an upstream and requests through an entry alternate in one run, on
+//! connections that stay open, so that other load of the machine affects both alike.
 
 use crate::{
     client::client,
     clock::micros,
-    table::{
+    report::{
+        format_ms, //
         histogram,
-        ms, //
     },
 };
 use awc::Client;
@@ -24,50 +24,50 @@
     },
 };
 
-/// What to measure.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct HopLoad {
-    /// The entry.
+    /// The entry's address for callers.
     pub entry: ByteString,
-    /// The upstream.
+    /// The upstream's address.
     pub upstream: ByteString,
-    /// Class whose upstream that is.
+    /// Class that the upstream serves.
     pub class: ClassId,
-    /// Path at the upstream.
+    /// Path of the requests to the upstream.
     pub path: ByteString,
-    /// Requests each way side by side.
+    /// Connections of each kind, each with one request in flight at a time.
     pub connections: usize,
-    /// Time to go on for.
-    pub time: Duration,
-    /// Pause between two pairs on a connection.
+    /// Length of the run.
+    pub duration: Duration,
+    /// Delay between two pairs of requests on a connection.
     pub pause: Duration,
 }
 
-/// Medians and tails of both ways.
+/// Medians and 99th percentiles of direct requests and of requests through the entry.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct HopFigures {
-    /// Pairs of asks that were both answered.
+    /// Pairs of requests that both succeeded.
     pub pairs: u64,
-    /// Pairs of which one failed.
+    /// Pairs of which at least one request failed.
     pub failed: u64,
-    /// Median of the direct asks.
+    /// Median latency of the direct requests.
     pub direct_p50_us: u64,
-    /// 99th percentile of the direct asks.
+    /// 99th percentile of the direct requests.
     pub direct_p99_us: u64,
-    /// Median of the asks through the entry.
+    /// Median latency of the requests through the entry.
     pub entry_p50_us: u64,
-    /// 99th percentile of the asks through the entry.
+    /// 99th percentile of the requests through the entry.
     pub entry_p99_us: u64,
 }
 
-/// Both ways' latencies.
+/// Results of one or more tasks.
 struct Tally {
     failed: u64,
     direct_us: Histogram<u64>,
     entry_us: Histogram<u64>,
 }
 
-/// Asks both ways in turn for the time.
+/// Sends pairs of requests for the length of the run and returns their latencies.
 pub fn hop(load: &HopLoad) -> HopFigures {
     let total = actix_rt::System::new().block_on(async {
         let mut total = Tally::new();
@@ -92,24 +92,24 @@
 async fn run_pairs(load: HopLoad) -> Tally {
     let client = client();
     let direct = format!("http://{}{}", load.upstream, load.path);
-    let through = format!("http://{}/v1/work/{}{}", load.entry, load.class, load.path);
+    let through_entry = format!("http://{}/v1/work/{}{}", load.entry, load.class, load.path);
     let mut tally = Tally::new();
-    let end = Instant::now() + load.time;
+    let end = Instant::now() + load.duration;
     let mut direct_first = true;
     while Instant::now() < end {
-        // Each way goes first every other time, so that neither always finds the upstream warm.
-        let (direct_took, entry_took) = if direct_first {
-            let direct_took = ask(&client, &direct).await;
-            (direct_took, ask(&client, &through).await)
+        // The order alternates, so that neither kind always finds the upstream warm.
+        let (direct_latency, entry_latency) = if direct_first {
+            let direct_latency = fetch(&client, &direct).await;
+            (direct_latency, fetch(&client, &through_entry).await)
         } else {
-            let entry_took = ask(&client, &through).await;
-            (ask(&client, &direct).await, entry_took)
+            let entry_latency = fetch(&client, &through_entry).await;
+            (fetch(&client, &direct).await, entry_latency)
         };
         direct_first = !direct_first;
-        match (direct_took, entry_took) {
-            (Some(direct_took), Some(entry_took)) => {
-                tally.direct_us.saturating_record(micros(direct_took));
-                tally.entry_us.saturating_record(micros(entry_took));
+        match (direct_latency, entry_latency) {
+            (Some(direct_latency), Some(entry_latency)) => {
+                tally.direct_us.saturating_record(micros(direct_latency));
+                tally.entry_us.saturating_record(micros(entry_latency));
             }
             _ => tally.failed += 1,
         }
@@ -120,17 +120,17 @@
     tally
 }
 
-/// Time of one ask to its last byte; none if it failed.
-async fn ask(client: &Client, url: &str) -> Option<Duration> {
+/// Sends one request; returns its latency to the last byte, or none if it failed.
+async fn fetch(client: &Client, url: &str) -> Option<Duration> {
     let start = Instant::now();
-    let mut answer = client
+    let mut response = client
         .get(url)
         .insert_header(("Jasmine-Deadline-Ms", "5000"))
         .send()
         .await
         .ok()?;
-    answer.body().await.ok()?;
-    answer.status().is_success().then(|| start.elapsed())
+    response.body().await.ok()?;
+    response.status().is_success().then(|| start.elapsed())
 }
 
 impl Tally {
@@ -160,10 +160,10 @@
             "{} pairs, {} failed; direct p50 {} ms, p99 {} ms; through the entry p50 {} ms, p99 {} ms",
             self.pairs,
             self.failed,
-            ms(self.direct_p50_us),
-            ms(self.direct_p99_us),
-            ms(self.entry_p50_us),
-            ms(self.entry_p99_us)
+            format_ms(self.direct_p50_us),
+            format_ms(self.direct_p99_us),
+            format_ms(self.entry_p50_us),
+            format_ms(self.entry_p99_us)
         )?;
         let added_us = i128::from(self.entry_p50_us) - i128::from(self.direct_p50_us);
         write!(f, "the entry adds {added_us} us at the median")
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/judge.rs
@@ -1,9 +1,9 @@
-//! The judge: compares what callers were told with what upstreams ran.
+//! The judge: finds violated guarantees by comparing the callers' results with the upstreams' runs.
 //!
-//! Nothing here comes from the daemons' own word. A caller's id and the number of its try travel
-//! in the path to the upstream, so each side of a request is found by the other however the system
-//! names it in between. The judge is pure: the same evidence gives the same verdict, in the same
-//! order.
+//! It uses nothing that daemons report. The path to the upstream contains the caller's id of the
+//! request and the number of the try, so that the records of both sides can be matched without the
+//! system's own ids. The judge is a pure function: the same evidence gives the same violations in
+//! the same order.
 
 use crate::{
     limits::Limits,
@@ -32,63 +32,63 @@
     fmt, //
 };
 
-/// Everything that the judge looks at.
+/// Input of the judge.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     /// All requests of callers.
     pub callers: Vec<CallerRecord>,
     /// All requests that reached upstreams.
     pub runs: Vec<Run>,
-    /// Upstreams with their slots; one that is missing has no bound.
+    /// Upstreams with their slots and queues; the judge checks the queues of these alone.
     pub upstreams: BTreeMap<UpstreamId, UpstreamFacts>,
-    /// Upstreams that leave, and since when.
+    /// Upstreams that left, and when.
     pub leaving: Vec<Leaving>,
     /// Entries that the test killed or froze, and when.
     pub disturbed: Vec<Disturbed>,
-    /// Bytes that links carried, against their caps.
+    /// Bytes that links carried, with their caps.
     pub links: Vec<LinkUse>,
-    /// Region of each entry, by its callers' address.
+    /// Region of each entry, by the entry's address for callers.
     pub entries: BTreeMap<ByteString, RegionId>,
-    /// Headroom targets and caps of the configuration; the report compares the run with them.
+    /// Headroom targets and caps of the configuration, with which the report compares the run.
     pub limits: Limits,
-    /// Time over its deadline after which a request must have its final answer.
+    /// Time after its deadline by which a request must have its final response.
     pub allowance_us: u64,
-    /// Time after which an upstream that leaves may get no new work.
+    /// Time after which a leaving upstream must receive no new work.
     pub leaving_bound_us: u64,
-    /// Whether `runs` is the whole record of all upstreams.
+    /// Whether `runs` is the complete record of all upstreams.
     ///
-    /// Without it (an upstream was killed with its record) an answer whose run is missing proves
-    /// nothing.
+    /// If it is not, because an upstream was killed and its record lost, a response without a run
+    /// is no violation.
     pub runs_complete: bool,
 }
 
-/// An upstream that leaves.
+/// An upstream that left.
 #[derive(Clone, Debug)]
 pub struct Leaving {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// When it was asked to leave.
+    /// When it was requested to leave.
     pub asked_us: UnixUs,
-    /// Since when, at the first sign that the system could have seen.
+    /// When the system could first detect it.
     pub since_us: UnixUs,
-    /// Until when, if it came back.
+    /// When it returned, if it did.
     pub until_us: Option<UnixUs>,
 }
 
 /// An entry that a test killed or froze, so that its connections may break or hang.
 ///
-/// A planned stop is no such disturbance.
+/// A planned stop is not listed: it must not break connections.
 #[derive(Clone, Debug)]
 pub struct Disturbed {
-    /// Callers' address of the entry.
+    /// The entry's address for callers.
     pub entry: ByteString,
-    /// Start of the disturbance.
+    /// Time of the kill or the start of the freeze.
     pub from_us: UnixUs,
-    /// End of the disturbance; none for a kill.
+    /// End of the freeze; none for a kill.
     pub to_us: Option<UnixUs>,
 }
 
-/// What one link carried in one interval.
+/// Traffic of one link in one interval.
 #[derive(Clone, Debug)]
 pub struct LinkUse {
     /// Region that sent.
@@ -99,60 +99,61 @@
     pub at_us: UnixUs,
     /// Mean rate over the interval.
     pub bytes_per_s: u64,
-    /// Cap of the configuration.
+    /// Cap that the configuration sets.
     pub cap_bytes_per_s: u64,
 }
 
-/// Promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Breach {
     /// A filing ran more than once.
     DoubledFiling {
-        /// How often it ran.
+        /// Number of its runs.
         runs: usize,
     },
-    /// An answer said `not-run` of a try that ran.
+    /// A try ran, although its response stated `not-run`.
     NotRunRan {
         /// Number of the try.
         try_number: u32,
     },
-    /// A final answer was short, wrong or somebody else's.
+    /// A final response was truncated, corrupt or another request's.
     NotWhole {
-        /// What is wrong with it.
+        /// Its flaw.
         flaw: String,
     },
-    /// An answer said `done` of a request that no upstream ran to its end.
+    /// A response stated `done` for a try that no upstream ran.
     DoneNotRun {
         /// Number of the try.
         try_number: u32,
     },
-    /// No final answer came within the deadline and the allowance.
+    /// No final response arrived by the deadline and the allowance.
     NoFinalAnswer {
-        /// Time over the deadline.
+        /// Time after the deadline.
         late_ms: u64,
     },
-    /// An entry that nobody disturbed closed the connection before its final answer.
+    /// An entry closed the connection before its final response, although the test neither killed
+    /// nor froze it.
     Cut {
         /// The entry.
         entry: ByteString,
     },
-    /// New work reached an upstream that had left for longer than the bound.
+    /// New work reached an upstream that began to leave longer ago than the bound.
     WorkWhileLeaving {
         /// The upstream.
         upstream: UpstreamId,
-        /// Time since it began to leave.
+        /// Time since the upstream began to leave.
         after_ms: u64,
     },
-    /// A request waited at an upstream that was sent more than it has slots.
+    /// A request waited at an upstream that had more requests than slots.
     Queued {
         /// The upstream.
         upstream: UpstreamId,
-        /// How long this one waited.
+        /// Time for which this request waited.
         waited_ms: u64,
-        /// Most that waited there at a time.
+        /// Longest queue at the upstream.
         queued: u64,
-        /// Its slots.
+        /// The upstream's slots.
         slots: u32,
     },
     /// A link carried more than its cap.
@@ -161,54 +162,54 @@
         from: RegionId,
         /// Region that received.
         to: RegionId,
-        /// What it carried.
+        /// Mean rate that it carried.
         bytes_per_s: u64,
-        /// What it might have carried.
+        /// Its cap.
         cap_bytes_per_s: u64,
     },
 }
 
-/// A broken promise, the request that shows it and what happened to that request.
+/// A violated guarantee, the request that shows it and that request's history.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// Caller's id of the request; `-` where there is none.
+    /// Caller's id of the request; `-` if there is none.
     pub id: ByteString,
-    /// The promise.
+    /// The violated guarantee.
     pub breach: Breach,
-    /// Lines that tell the request's history on both sides.
+    /// The records of the request on both sides, one a line.
     pub history: Vec<String>,
 }
 
-/// Finds all broken promises, sorted by request.
+/// Finds all violations, sorted by request.
 pub fn judge(evidence: &Evidence) -> Vec<Violation> {
-    let bench = Bench::new(evidence);
-    let mut found = Vec::new();
+    let index = EvidenceIndex::new(evidence);
+    let mut violations = Vec::new();
     for caller in &evidence.callers {
-        bench.filing(caller, &mut found);
-        bench.claims(caller, &mut found);
-        bench.wholeness(caller, &mut found);
-        bench.final_answer(caller, &mut found);
-        bench.cuts(caller, &mut found);
+        index.check_filing(caller, &mut violations);
+        index.check_outcomes(caller, &mut violations);
+        index.check_body(caller, &mut violations);
+        index.check_final_response(caller, &mut violations);
+        index.check_cuts(caller, &mut violations);
     }
     for run in &evidence.runs {
-        bench.leaving(run, &mut found);
+        index.check_leaving(run, &mut violations);
     }
     for upstream in evidence.upstreams.keys() {
-        bench.queueing(upstream, &mut found);
+        index.check_queue(upstream, &mut violations);
     }
-    bench.caps(&mut found);
-    found.sort_by(|a, b| a.id.cmp(&b.id));
-    found
+    index.check_caps(&mut violations);
+    violations.sort_by(|a, b| a.id.cmp(&b.id));
+    violations
 }
 
-/// The evidence, with an index of both sides by the caller's id.
-struct Bench<'a> {
+/// The evidence, with the records of both sides indexed by the caller's id.
+struct EvidenceIndex<'a> {
     evidence: &'a Evidence,
     callers: FastMap<&'a str, &'a CallerRecord>,
     runs: FastMap<&'a str, Vec<&'a Run>>,
 }
 
-impl<'a> Bench<'a> {
+impl<'a> EvidenceIndex<'a> {
     fn new(evidence: &'a Evidence) -> Self {
         let mut runs: FastMap<&str, Vec<&Run>> = FastMap::default();
         for run in &evidence.runs {
@@ -226,78 +227,87 @@
         }
     }
 
-    /// Runs of a request that took a slot.
-    fn ran(&self, id: &str) -> impl Iterator<Item = &'a Run> + '_ {
+    /// Runs of a request that got a slot.
+    fn started_runs(&self, id: &str) -> impl Iterator<Item = &'a Run> + '_ {
         let runs = self.runs.get(id).map(Vec::as_slice).unwrap_or_default();
         runs.iter().copied().filter(|run| run.started_us.is_some())
     }
 
-    fn filing(&self, caller: &CallerRecord, found: &mut Vec<Violation>) {
-        let runs = self.ran(&caller.id).count();
+    fn check_filing(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
+        let runs = self.started_runs(&caller.id).count();
         if caller.filing != FilingWay::None && runs > 1 {
-            found.push(self.violation(&caller.id, Breach::DoubledFiling { runs }));
+            violations.push(self.violation(&caller.id, Breach::DoubledFiling { runs }));
         }
     }
 
-    /// Compares each try's claim with what ran.
-    fn claims(&self, caller: &CallerRecord, found: &mut Vec<Violation>) {
+    /// Compares the outcome that each try's response states with the runs.
+    fn check_outcomes(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
         for (index, attempt) in caller.tries.iter().enumerate() {
             let try_number = attempt.number;
-            let ran = self.ran(&caller.id).any(|run| run.try_number == try_number);
+            let ran = self
+                .started_runs(&caller.id)
+                .any(|run| run.try_number == try_number);
             match attempt.end {
-                TryEnd::Answered(RunOutcome::NotRun) if ran && answers_for(caller, index) => {
-                    found.push(self.violation(&caller.id, Breach::NotRunRan { try_number }));
+                TryEnd::Answered(RunOutcome::NotRun)
+                    if ran && refusal_covers_all_copies(caller, index) =>
+                {
+                    violations.push(self.violation(&caller.id, Breach::NotRunRan { try_number }));
                 }
                 TryEnd::Answered(RunOutcome::Done) if self.evidence.runs_complete && !ran => {
-                    found.push(self.violation(&caller.id, Breach::DoneNotRun { try_number }));
+                    violations.push(self.violation(&caller.id, Breach::DoneNotRun { try_number }));
                 }
                 _ => {}
             }
         }
     }
 
-    fn wholeness(&self, caller: &CallerRecord, found: &mut Vec<Violation>) {
+    fn check_body(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
         if let Some(flaw) = &caller.flaw {
             let flaw = format!("{flaw:?}");
-            found.push(self.violation(&caller.id, Breach::NotWhole { flaw }));
+            violations.push(self.violation(&caller.id, Breach::NotWhole { flaw }));
         }
     }
 
-    fn final_answer(&self, caller: &CallerRecord, found: &mut Vec<Violation>) {
-        let took_us = caller.finished_us.saturating_sub(caller.started_us);
-        let late_us = took_us.saturating_sub(caller.deadline_ms * 1_000);
+    fn check_final_response(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
+        let elapsed_us = caller.finished_us.saturating_sub(caller.started_us);
+        let late_us = elapsed_us.saturating_sub(caller.deadline_ms * 1_000);
         let answered = !matches!(caller.told, Told::NoAnswer | Told::Unreached);
         if answered && late_us <= self.evidence.allowance_us {
             return;
         }
-        if caller.tries.iter().any(|attempt| self.disturbed(attempt)) {
+        if caller
+            .tries
+            .iter()
+            .any(|attempt| self.is_disrupted(attempt))
+        {
             return;
         }
         let late_ms = late_us / 1_000;
-        found.push(self.violation(&caller.id, Breach::NoFinalAnswer { late_ms }));
+        violations.push(self.violation(&caller.id, Breach::NoFinalAnswer { late_ms }));
     }
 
-    fn cuts(&self, caller: &CallerRecord, found: &mut Vec<Violation>) {
+    fn check_cuts(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
         let deadline_us = caller.started_us + caller.deadline_ms * 1_000;
         for attempt in &caller.tries {
-            // A cut is the only truthful end of an answer whose upstream broke it off, and of one
-            // whose deadline passed on the way; that it came late is found elsewhere.
-            let truthful = attempt.ended_us >= deadline_us || self.broke_off(caller, attempt);
-            if attempt.end == TryEnd::Cut && !truthful && !self.disturbed(attempt) {
+            // An entry may cut a response only if the upstream truncated it or if the deadline
+            // passed while it was sent; `check_final_response` finds late ones.
+            let is_justified =
+                attempt.ended_us >= deadline_us || self.was_truncated(caller, attempt);
+            if attempt.end == TryEnd::Cut && !is_justified && !self.is_disrupted(attempt) {
                 let entry = attempt.entry.clone();
-                found.push(self.violation(&caller.id, Breach::Cut { entry }));
+                violations.push(self.violation(&caller.id, Breach::Cut { entry }));
             }
         }
     }
 
-    /// Whether an upstream broke off its answer to a try.
-    fn broke_off(&self, caller: &CallerRecord, attempt: &Try) -> bool {
-        self.ran(&caller.id)
+    /// Whether an upstream truncated its response to a try.
+    fn was_truncated(&self, caller: &CallerRecord, attempt: &Try) -> bool {
+        self.started_runs(&caller.id)
             .any(|run| run.try_number == attempt.number && run.end == Run::TRUNCATED)
     }
 
-    fn leaving(&self, run: &Run, found: &mut Vec<Violation>) {
-        let leaving = self
+    fn check_leaving(&self, run: &Run, violations: &mut Vec<Violation>) {
+        let longest_us = self
             .evidence
             .leaving
             .iter()
@@ -306,40 +316,42 @@
             .filter(|leaving| run.arrived_us >= leaving.since_us)
             .map(|leaving| run.arrived_us - leaving.since_us)
             .max();
-        if let Some(after_us) = leaving.filter(|after| *after > self.evidence.leaving_bound_us) {
+        if let Some(after_us) =
+            longest_us.filter(|after_us| *after_us > self.evidence.leaving_bound_us)
+        {
             let breach = Breach::WorkWhileLeaving {
                 upstream: run.upstream.clone(),
                 after_ms: after_us / 1_000,
             };
-            found.push(self.violation(&run.id, breach));
+            violations.push(self.violation(&run.id, breach));
         }
     }
 
-    /// Names as many requests as waited at an upstream at a time: those that waited longest.
-    fn queueing(&self, upstream: &UpstreamId, found: &mut Vec<Violation>) {
+    /// Reports as many requests as the upstream's longest queue had, those that waited longest.
+    fn check_queue(&self, upstream: &UpstreamId, violations: &mut Vec<Violation>) {
         let facts = &self.evidence.upstreams[upstream];
-        let waited = usize::try_from(facts.max_queued).unwrap_or(usize::MAX);
-        if waited == 0 {
+        let queued = usize::try_from(facts.max_queued).unwrap_or(usize::MAX);
+        if queued == 0 {
             return;
         }
-        let here = |run: &&Run| run.upstream == *upstream;
-        let mut runs: Vec<&Run> = self.evidence.runs.iter().filter(here).collect();
+        let at_upstream = |run: &&Run| run.upstream == *upstream;
+        let mut runs: Vec<&Run> = self.evidence.runs.iter().filter(at_upstream).collect();
         runs.sort_by_key(|run| Reverse((run.waited_us(), &run.id)));
-        for run in runs.into_iter().take(waited) {
+        for run in runs.into_iter().take(queued) {
             let breach = Breach::Queued {
                 upstream: upstream.clone(),
                 waited_ms: run.waited_us() / 1_000,
                 queued: facts.max_queued,
                 slots: facts.slots,
             };
-            found.push(self.violation(&run.id, breach));
+            violations.push(self.violation(&run.id, breach));
         }
     }
 
-    fn caps(&self, found: &mut Vec<Violation>) {
+    fn check_caps(&self, violations: &mut Vec<Violation>) {
         for link in &self.evidence.links {
             if link.bytes_per_s > link.cap_bytes_per_s {
-                found.push(Violation {
+                violations.push(Violation {
                     id: ByteString::from_static("-"),
                     breach: Breach::OverCap {
                         from: link.from.clone(),
@@ -353,12 +365,12 @@
         }
     }
 
-    /// Whether the test itself broke what a try ran over.
-    fn disturbed(&self, attempt: &Try) -> bool {
-        self.evidence.disturbed.iter().any(|disturbed| {
-            disturbed.entry == attempt.entry
-                && attempt.ended_us >= disturbed.from_us
-                && disturbed.to_us.is_none_or(|to| attempt.sent_us <= to)
+    /// Whether the test killed or froze a try's entry while the try was in flight.
+    fn is_disrupted(&self, attempt: &Try) -> bool {
+        self.evidence.disturbed.iter().any(|disruption| {
+            disruption.entry == attempt.entry
+                && attempt.ended_us >= disruption.from_us
+                && disruption.to_us.is_none_or(|to| attempt.sent_us <= to)
         })
     }
 
@@ -378,12 +390,12 @@
     }
 }
 
-/// Whether a refusal of this try is one of everything that ran with its number.
+/// Whether the refusal of a try states that no try with its number ran.
 ///
-/// Copies with one ticket are judged by one entry, whose refusal is of them all. A copy with a key
-/// may meet an entry that can't know of the others: its refusal is of this copy, and what ran is
-/// this copy's only if no other copy can have run.
-fn answers_for(caller: &CallerRecord, index: usize) -> bool {
+/// Copies with one ticket go to the same entry, whose refusal covers all of them. A copy with a key
+/// may reach an entry that does not know of the others. Its refusal covers this copy alone, so that
+/// a run contradicts it only if no other copy can have run.
+fn refusal_covers_all_copies(caller: &CallerRecord, index: usize) -> bool {
     let number = caller.tries[index].number;
     let others = caller.tries.iter().enumerate();
     let mut others = others.filter(|(i, other)| *i != index && other.number == number);
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,18 +1,20 @@
-//! jasmine-load: an open-loop load and look-up driver with a judge.
+//! jasmine-load: an open-loop load and look-up driver that checks the system's guarantees.
 //!
-//! A [`Scene`] says who asks for what and when; [`schedule()`] turns it and its seed into arrivals
-//! that no answer delays. [`drive()`] lets callers act on them as the interface allows, each a
-//! client that caches look-ups, and records what each was told. [`gather()`] fetches what upstreams
-//! ran, and [`judge()`] compares the two sides: it names each broken promise with the request that
-//! shows it and that request's history. [`Report`] adds up latencies, counted from the scheduled
-//! time, so that a stalled system can't hide the requests that waited for it.
+//! A [`Scene`] defines the load by region and class. [`schedule()`] derives the arrivals from it
+//! and its seed; no response delays them. [`drive()`] runs the callers, which are clients that
+//! follow the callers' interface and cache look-ups, and records the result of each request.
+//! [`gather()`] fetches the upstreams' records of what they ran, and [`judge()`] compares both
+//! sides: it reports each violated guarantee with the request that shows it and that request's
+//! history. [`Report`] aggregates latencies from the scheduled time, so that a stall of the system
+//! counts for every request that it delayed.
 //!
-//! Invariants: the schedule depends on nothing but the scene; the judge is a pure function of the
-//! evidence and takes no daemon's word; a request that arrived has exactly one record.
+//! Invariants: the schedule depends only on the scene; the judge is a pure function of the
+//! evidence and uses nothing that daemons report; each arrival has exactly one record.
 //!
-//! Start with [`scene`](Scene) for the file, `caller` for what a caller does, [`judge()`] for the
-//! promises. [`look_up`] and [`hop()`] measure look-ups and the entry's own part alone. The tests of
-//! `rig` use this crate in their own process; the binary is a thin wrapper.
+//! Start with [`Scene`] for the file format, `caller` for the callers' behaviour and [`judge()`]
+//! for the guarantees. [`look_up`] measures look-ups alone, and [`hop()`] the latency that an
+//! entry adds. The tests of `rig` use this crate in their own process; the binary is a thin
+//! wrapper.
 
 mod caller;
 mod client;
@@ -27,10 +29,10 @@
 mod lookups;
 mod payload;
 mod record;
+mod report;
 mod scene;
 mod schedule;
 mod shifted;
-mod table;
 mod window;
 
 pub use caller::Daemons;
@@ -48,8 +50,8 @@
     Gathered, //
 };
 pub use headroom::{
-    FreeSecond,
     Headroom, //
+    SecondHeadroom,
 };
 pub use hop::{
     hop,
@@ -86,6 +88,11 @@
     UnixUs,
     UpstreamFacts, //
 };
+pub use report::{
+    Report,
+    Row,
+    SlotUsage, //
+};
 pub use scene::{
     Burst,
     CallerRegion,
@@ -102,8 +109,3 @@
     Arrival, //
 };
 pub use shifted::Shifted;
-pub use table::{
-    Report,
-    Row,
-    Use, //
-};
--- a/crates/load/src/limits.rs
+++ b/crates/load/src/limits.rs
@@ -1,4 +1,4 @@
-//! What the configuration promises of regions and links, for comparing a run with it.
+//! Headroom targets and traffic caps of the configuration, with which the report compares a run.
 
 use base::{
     RegionId,
@@ -7,22 +7,22 @@
 use conf::Findings;
 use std::collections::BTreeMap;
 
-/// Headroom targets and caps.
+/// Headroom targets and traffic caps.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Limits {
-    /// Part of a service's slots that stays free in each region, in percent; where several classes
-    /// use the service, the least that one of them states.
+    /// Share of a service's slots that should stay free in each region, in percent. If several
+    /// classes use the service, their lowest target applies.
     pub headroom_pct: BTreeMap<ServiceId, u8>,
-    /// Bytes a second that one region may send to another.
+    /// Bytes per second that one region may send to another.
     pub caps_bytes_per_s: BTreeMap<(RegionId, RegionId), u64>,
 }
 
 impl Limits {
-    /// Reads them from the operators' configuration; `file` names it in findings.
+    /// Reads the limits from the operators' configuration; `file` names it in findings.
     ///
     /// # Errors
     ///
-    /// All findings with their places.
+    /// All findings with their positions.
     pub fn read(file: &str, text: &str) -> Result<Self, Findings> {
         let config = spec::parse(file, text)?;
         let mut limits = Self::default();
--- a/crates/load/src/lookups.rs
+++ b/crates/load/src/lookups.rs
@@ -1,14 +1,14 @@
-//! Drives look-ups alone: how many a second, and how long each takes.
+//! Measures the throughput and latency of look-ups alone.
 //!
-//! Closed loop on a number of connections, each with one look-up at a time; blocks are drawn at
-//! random, so that no answer profits from the one before.
+//! The load is closed loop: each connection has one look-up in flight. Blocks are drawn at random,
+//! so that no look-up benefits from an earlier one.
 
 use crate::{
     client::client,
     clock::micros,
-    table::{
+    report::{
+        format_ms, //
         histogram,
-        ms, //
     },
 };
 use base::ClassId;
@@ -30,47 +30,47 @@
     },
 };
 
-/// What to drive.
+/// Parameters of a run of look-ups.
 #[derive(Clone, Debug)]
 pub struct LookupLoad {
-    /// The daemon.
+    /// Callers' address of the daemon.
     pub addr: ByteString,
     /// Class to look up.
     pub class: ClassId,
-    /// Connections over all threads.
+    /// Connections of all threads together.
     pub connections: usize,
-    /// Threads of the driver.
+    /// Threads that send look-ups.
     pub threads: usize,
-    /// Time to go on for.
-    pub time: Duration,
-    /// Seed of the blocks.
+    /// Length of the run.
+    pub duration: Duration,
+    /// Seed of the random blocks.
     pub seed: u64,
 }
 
-/// What look-ups took.
+/// Throughput and latency of look-ups.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LookupFigures {
-    /// Look-ups answered with success.
+    /// Look-ups that succeeded.
     pub answered: u64,
     /// Look-ups that failed.
     pub failed: u64,
-    /// Answered look-ups a second.
+    /// Successful look-ups per second.
     pub per_s: f64,
-    /// Median.
+    /// Median latency.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latency.
     pub p99_us: u64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the latency.
     pub p999_us: u64,
 }
 
-/// Result of one connection or more.
+/// Results of one or more connections.
 struct Tally {
     failed: u64,
     latency_us: Histogram<u64>,
 }
 
-/// Drives look-ups for the time and adds up.
+/// Sends look-ups for the length of the run and returns their figures.
 pub fn look_up(load: &LookupLoad) -> LookupFigures {
     let start = Instant::now();
     let threads: Vec<_> = (0..load.threads.max(1))
@@ -84,11 +84,11 @@
         let tally = thread.join().expect("a thread of look-ups does not panic");
         total.add(&tally);
     }
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     LookupFigures {
         answered: total.latency_us.len(),
         failed: total.failed,
-        per_s: total.latency_us.len() as f64 / took.as_secs_f64(),
+        per_s: total.latency_us.len() as f64 / elapsed.as_secs_f64(),
         p50_us: total.latency_us.value_at_quantile(0.5),
         p99_us: total.latency_us.value_at_quantile(0.99),
         p999_us: total.latency_us.value_at_quantile(0.999),
@@ -114,11 +114,11 @@
 }
 
 async fn run_connection(load: LookupLoad, stream: u64) -> Tally {
-    // A client of its own has a pool of its own: one connection, used again and again.
+    // Each client has its own pool, so that the look-ups of this task share one connection.
     let client = client();
     let mut rng = SmallRng::seed_from_u64(load.seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut tally = Tally::new();
-    let end = Instant::now() + load.time;
+    let end = Instant::now() + load.duration;
     while Instant::now() < end {
         let block = Ipv4Addr::from(rng.random::<u32>());
         let url = format!(
@@ -127,7 +127,7 @@
         );
         let start = Instant::now();
         let answered = match client.get(url).send().await {
-            Ok(mut answer) => answer.status().is_success() && answer.body().await.is_ok(),
+            Ok(mut response) => response.status().is_success() && response.body().await.is_ok(),
             Err(_) => false,
         };
         if answered {
@@ -163,9 +163,9 @@
             self.answered,
             self.failed,
             self.per_s,
-            ms(self.p50_us),
-            ms(self.p99_us),
-            ms(self.p999_us)
+            format_ms(self.p50_us),
+            format_ms(self.p99_us),
+            format_ms(self.p999_us)
         )
     }
 }
--- a/crates/load/src/payload.rs
+++ b/crates/load/src/payload.rs
@@ -1,4 +1,4 @@
-//! Requests whose answers can be checked to the last byte.
+//! Requests whose responses can be checked byte by byte.
 
 use crate::{
     record::Flaw,
@@ -9,40 +9,40 @@
 use serde::Deserialize;
 use standin::pattern::Pattern;
 
-/// Bytes of a crossed answer that a record keeps.
-const KEPT_BYTES: usize = 160;
-/// Bytes of an echo that are kept for the check.
-const ECHO_LIMIT_BYTES: usize = 64 << 10;
+/// Characters of another request's response that a record keeps.
+const MAX_CROSSED_CHARS: usize = 160;
+/// Bytes of an echo that are kept for the check; the rest is ignored.
+const MAX_ECHO_BYTES: usize = 64 << 10;
 
-/// One try's request, and what must come back.
+/// The request of one try, and the expected response.
 #[derive(Clone, Debug)]
 pub struct Payload {
-    /// Path and query at the upstream.
+    /// Path and query to send to the upstream.
     pub path: String,
     /// Body to send.
     pub body: Bytes,
-    expect: Expect,
+    expected_body: ExpectedBody,
 }
 
-/// What an answer must be.
+/// Expected body of a response.
 #[derive(Clone, Debug)]
-enum Expect {
+enum ExpectedBody {
     /// The pattern of `/bytes` and `/chunked`, which the path decides.
     Pattern { pattern: Pattern, length: u64 },
-    /// Facts about the request: its path, its body's length and digest.
+    /// The request's path, and its body's length and digest.
     Echo,
 }
 
-/// Checks an answer as it streams in.
+/// Checks a response as it is received.
 #[derive(Debug)]
 pub struct Checker<'a> {
     payload: &'a Payload,
     received: u64,
-    kept: Vec<u8>,
-    wrong_at: Option<u64>,
+    echo_body: Vec<u8>,
+    mismatch_at: Option<u64>,
 }
 
-/// Answer of an upstream to `/echo`.
+/// Response of an upstream to `/echo`.
 #[derive(Deserialize)]
 struct Echo {
     path: String,
@@ -51,10 +51,10 @@
 }
 
 impl Payload {
-    /// A try of `work`, with an answer or a body of `bytes`.
+    /// Creates a try of `work` with a response or a body of `bytes` bytes.
     ///
-    /// The id and the number of the try go in the query. A try of an answer from memory may be
-    /// answered with an earlier try's echo, so the number is no part of what the check compares.
+    /// The query contains the id and the number of the try. A retry may receive the stored response
+    /// of an earlier try, so the check of an echo ignores the number.
     pub fn new(work: Work, bytes: u64, id: &ByteString, try_number: u32) -> Self {
         let query = format!("caller={id}&try={try_number}");
         match work {
@@ -62,8 +62,8 @@
             Work::Chunked => Self::pattern(format!("/chunked/{bytes}?{query}"), bytes),
             Work::Echo => Self {
                 path: format!("/echo?{query}"),
-                body: filed(bytes, id),
-                expect: Expect::Echo,
+                body: filing_body(bytes, id),
+                expected_body: ExpectedBody::Echo,
             },
         }
     }
@@ -73,78 +73,79 @@
         Self {
             path,
             body: Bytes::new(),
-            expect: Expect::Pattern { pattern, length },
+            expected_body: ExpectedBody::Pattern { pattern, length },
         }
     }
 
-    /// Starts the check of an answer.
+    /// Starts the check of a response.
     pub fn checker(&self) -> Checker<'_> {
         Checker {
             payload: self,
             received: 0,
-            kept: Vec::new(),
-            wrong_at: None,
+            echo_body: Vec::new(),
+            mismatch_at: None,
         }
     }
 }
 
 impl Checker<'_> {
-    /// Takes the next part of the body.
+    /// Checks the next part of the body.
     pub fn feed(&mut self, part: &[u8]) {
-        match &self.payload.expect {
-            Expect::Pattern { pattern, length } => {
-                // What comes beyond the length is found by the length.
-                let room = usize::try_from(length.saturating_sub(self.received));
-                let within = &part[..part.len().min(room.unwrap_or(usize::MAX))];
-                if self.wrong_at.is_none() && !pattern.matches(self.received, within) {
-                    self.wrong_at = Some(self.received);
+        match &self.payload.expected_body {
+            ExpectedBody::Pattern { pattern, length } => {
+                // `finish` reports bytes beyond the expected length.
+                let remaining = usize::try_from(length.saturating_sub(self.received));
+                let within = &part[..part.len().min(remaining.unwrap_or(usize::MAX))];
+                if self.mismatch_at.is_none() && !pattern.matches(self.received, within) {
+                    self.mismatch_at = Some(self.received);
                 }
             }
-            Expect::Echo => {
-                let room = ECHO_LIMIT_BYTES.saturating_sub(self.kept.len());
-                self.kept.extend_from_slice(&part[..part.len().min(room)]);
+            ExpectedBody::Echo => {
+                let remaining = MAX_ECHO_BYTES.saturating_sub(self.echo_body.len());
+                self.echo_body
+                    .extend_from_slice(&part[..part.len().min(remaining)]);
             }
         }
         self.received += part.len() as u64;
     }
 
-    /// Says what is wrong with the whole body.
+    /// Returns the flaw of the whole body.
     pub fn finish(self) -> Option<Flaw> {
-        match self.payload.expect {
-            Expect::Pattern { length, .. } if length != self.received => Some(Flaw::Length {
+        match self.payload.expected_body {
+            ExpectedBody::Pattern { length, .. } if length != self.received => Some(Flaw::Length {
                 expected: length,
                 received: self.received,
             }),
-            Expect::Pattern { .. } => self.wrong_at.map(|at| Flaw::Content { at }),
-            Expect::Echo => self.finish_echo(),
+            ExpectedBody::Pattern { .. } => self.mismatch_at.map(|at| Flaw::Content { at }),
+            ExpectedBody::Echo => self.finish_echo(),
         }
     }
 
     fn finish_echo(&self) -> Option<Flaw> {
         let body = &self.payload.body;
-        let same = serde_json::from_slice(&self.kept).is_ok_and(|echo: Echo| {
-            without_try(&echo.path) == without_try(&self.payload.path)
+        let is_same = serde_json::from_slice(&self.echo_body).is_ok_and(|echo: Echo| {
+            without_try_number(&echo.path) == without_try_number(&self.payload.path)
                 && echo.body_bytes == body.len() as u64
                 && echo.body_digest == blake3::hash(body).to_hex().as_str()
         });
-        if same {
+        if is_same {
             return None;
         }
-        let text = String::from_utf8_lossy(&self.kept);
-        let start: String = text.chars().take(KEPT_BYTES).collect();
+        let text = String::from_utf8_lossy(&self.echo_body);
+        let prefix: String = text.chars().take(MAX_CROSSED_CHARS).collect();
         Some(Flaw::Crossed {
-            received: start.into(),
+            received: prefix.into(),
         })
     }
 }
 
 /// Path and query without the number of the try.
-fn without_try(path: &str) -> &str {
+fn without_try_number(path: &str) -> &str {
     path.split_once("&try=").map_or(path, |(rest, _)| rest)
 }
 
-/// Body of `length` bytes or a few more that names the request.
-fn filed(length: u64, id: &ByteString) -> Bytes {
+/// Body that contains the request's id, padded to `length` bytes.
+fn filing_body(length: u64, id: &ByteString) -> Bytes {
     let head = format!("{{\"caller\":\"{id}\",\"pad\":\"");
     let pad = usize::try_from(length)
         .unwrap_or(0)
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -1,6 +1,6 @@
-//! What callers were told and what upstreams ran: the two sides that the judge compares.
+//! Records of the callers' requests and of the upstreams' runs, which the judge compares.
 //!
-//! Times are microseconds since the Unix epoch on one machine, so that both sides share a clock.
+//! Times are microseconds since the Unix epoch. Both sides run on one machine and share its clock.
 
 use crate::scene::FilingWay;
 use base::{
@@ -23,13 +23,13 @@
     }, //
 };
 
-/// Time of the wall clock in microseconds since the Unix epoch.
+/// Wall-clock time in microseconds since the Unix epoch.
 pub type UnixUs = u64;
 
-/// One request of a caller, from its arrival to what the caller knows at the end.
+/// One request of a caller, from its arrival to its result.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CallerRecord {
-    /// The request's id, which goes in its path to the upstream.
+    /// The request's id, which is part of its path to the upstream.
     pub id: ByteString,
     /// Class of work.
     pub class: ClassId,
@@ -37,74 +37,75 @@
     pub region: RegionId,
     /// How the request is kept from running twice.
     pub filing: FilingWay,
-    /// When the schedule wanted it to start.
+    /// When it was scheduled to start.
     pub scheduled_us: UnixUs,
     /// When it started.
     pub started_us: UnixUs,
-    /// When the caller gave up or had its final answer whole.
+    /// When the caller gave up or had received its final response completely.
     pub finished_us: UnixUs,
-    /// Time that the caller gave it, from its start.
+    /// Time to its deadline, from its start.
     pub deadline_ms: u64,
-    /// What the caller knows at the end.
+    /// Result that the caller knows.
+    #[serde(rename = "told")]
     pub told: Told,
-    /// What is wrong with the final answer.
+    /// Flaw of the final response.
     pub flaw: Option<Flaw>,
     /// All tries, in order.
     pub tries: Vec<Try>,
 }
 
-/// What a caller knows at the end of its request.
+/// Result of a request, as its caller knows it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Told {
-    /// An upstream's answer with a status of success.
+    /// An upstream's response with a success status.
     Done,
-    /// An upstream's answer with a status of failure.
+    /// An upstream's response with a failure status, or a response without an outcome.
     Failed,
-    /// The request was not run.
+    /// The request did not run.
     Refused,
     /// It may have run.
     Unknown,
     /// No entry could be reached, and nothing was sent.
     Unreached,
-    /// Something was sent and no final answer came.
+    /// A try was sent and no final response arrived.
     NoAnswer,
 }
 
-/// What is wrong with an answer.
+/// Flaw of a response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Flaw {
-    /// Fewer or more bytes than asked for.
+    /// Fewer or more bytes than requested.
     Length {
-        /// Bytes asked for.
+        /// Bytes requested.
         expected: u64,
-        /// Bytes that came.
+        /// Bytes received.
         received: u64,
     },
-    /// A byte that the upstream can't have sent for this request.
+    /// A byte that differs from the expected body.
     Content {
-        /// Offset of the first such byte.
+        /// Offset of the part of the body in which it was found.
         at: u64,
     },
-    /// The answer to somebody else's request.
+    /// The response to another request.
     Crossed {
-        /// Start of what came.
+        /// Start of the received body.
         received: ByteString,
     },
-    /// An answer of an entry without a `Jasmine-Outcome`.
+    /// An entry's response without `Jasmine-Outcome`.
     NoOutcome,
 }
 
-/// One request on the wire, to one entry.
+/// One request as sent to one entry.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Try {
-    /// Number that goes in the path to the upstream, from 1; copies of a filing with the same ticket
-    /// or key have the same, for they are the same request.
+    /// Number from 1, which is part of the path to the upstream. Copies of a filing with the same
+    /// ticket or key share a number, since they are the same request.
     pub number: u32,
     /// Address of the entry.
     pub entry: ByteString,
-    /// Ticket or key sent with it, shortened.
+    /// Ticket or key sent with it, truncated.
     pub filing: Option<ByteString>,
     /// When it was sent.
     pub sent_us: UnixUs,
@@ -112,13 +113,13 @@
     pub ended_us: UnixUs,
     /// How it ended.
     pub end: TryEnd,
-    /// `Jasmine-Request` of the answer.
+    /// `Jasmine-Request` of the response.
     pub request: Option<ByteString>,
-    /// `Jasmine-Instance` of the answer.
+    /// `Jasmine-Instance` of the response.
     pub instance: Option<ByteString>,
-    /// Status of the answer.
+    /// Status of the response.
     pub status: Option<u16>,
-    /// Start of the body of an answer that is not an upstream's.
+    /// Start of the body, unless the outcome is `done`.
     pub detail: Option<ByteString>,
 }
 
@@ -126,19 +127,19 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TryEnd {
-    /// By an answer with a claim.
+    /// A response with this outcome.
     Answered(RunOutcome),
-    /// By an answer that claims nothing about the request.
+    /// A response without an outcome.
     Unclaimed,
     /// No connection was made.
     NotConnected,
-    /// The connection closed before the final answer was whole.
+    /// The connection closed before the final response was complete.
     Cut,
-    /// The caller stopped waiting.
+    /// The caller's timeout expired.
     TimedOut,
 }
 
-/// One request that reached an upstream, in the upstream's own words.
+/// One request that reached an upstream, as the upstream recorded it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Run {
     /// The upstream.
@@ -147,50 +148,50 @@
     pub id: ByteString,
     /// Caller's number of the try, from the path.
     pub try_number: u32,
-    /// `Jasmine-Filing` that came with it.
+    /// Its `Jasmine-Filing` header.
     pub filing: Option<ByteString>,
     /// When it arrived.
     pub arrived_us: UnixUs,
-    /// When it got a slot; none when it never ran.
+    /// When it got a slot; none if it never ran.
     pub started_us: Option<UnixUs>,
-    /// When it was over; none while it runs.
+    /// When it ended; none while it runs.
     pub ended_us: Option<UnixUs>,
-    /// Upstream's own word for how it ended.
+    /// How it ended, as the upstream names it.
     pub end: ByteString,
-    /// Bytes of its body and of its answer as far as that was handed over whole.
+    /// Bytes of its body, and of its response if that was sent completely.
     pub bytes: u64,
 }
 
-/// An upstream as the platform's list names it.
+/// Properties of an upstream: those that the platform lists, and its longest queue.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct UpstreamFacts {
-    /// Service that it is of.
+    /// Its service.
     pub service: ServiceId,
-    /// Region that it is in.
+    /// Its region.
     pub region: RegionId,
-    /// Requests that it runs side by side.
+    /// Requests that it can run concurrently.
     pub slots: u32,
-    /// Most requests that waited for a slot at a time, by its own record.
+    /// Longest queue of requests for its slots, by its own record.
     pub max_queued: u64,
 }
 
 impl Run {
-    /// End of a run whose upstream broke off its answer.
+    /// End of a run whose upstream truncated its response.
     pub const TRUNCATED: &'static str = "truncated";
 
-    /// How long it waited for a slot; forever if it never got one.
+    /// Time for which it waited for a slot, or until it ended without one.
     pub fn waited_us(&self) -> u64 {
         let until = self.started_us.or(self.ended_us).unwrap_or(UnixUs::MAX);
         until.saturating_sub(self.arrived_us)
     }
 }
 
-/// The wall clock now.
+/// Current wall-clock time.
 pub fn unix_us() -> UnixUs {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl fmt::Display for CallerRecord {
--- a/crates/load/src/table.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run: by class, by the callers' region, and of the upstreams' use.
+//! The report of a run: figures by class and callers' region, and the use of upstreams' slots.
 
 use crate::{
     drain::{
@@ -39,14 +39,14 @@
     fmt, //
 };
 
-/// Longest latency that a histogram holds, in microseconds; longer ones count as this.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper limit of a histogram's latencies, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
-/// Violations that the text names; the JSON has all.
-const NAMED_VIOLATIONS: usize = 20;
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Violations that the text lists; the JSON output has all.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// Everything that a run showed.
+/// Figures and violations of a run.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Figures by class.
@@ -55,17 +55,17 @@
     pub regions: BTreeMap<String, Row>,
     /// Figures by class and region, as `class/region`.
     pub class_regions: BTreeMap<String, Row>,
-    /// Use of the upstreams by region and service, as `region/service`.
-    pub uses: BTreeMap<String, Use>,
+    /// Use of the upstreams' slots by region and service, as `region/service`.
+    pub uses: BTreeMap<String, SlotUsage>,
     /// Headroom over time, as `service/region`.
     pub headroom: BTreeMap<String, Headroom>,
-    /// How long drains took.
+    /// Drain times.
     pub drains: Vec<DrainTime>,
-    /// What regions sent to each other, as `from>to`.
+    /// Traffic that regions shifted to each other, as `from>to`.
     pub shifted: BTreeMap<String, Shifted>,
-    /// Requests of callers.
+    /// Number of callers' requests.
     pub requests: usize,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
 }
 
@@ -74,23 +74,23 @@
 pub struct Row {
     /// Requests that arrived.
     pub offered: u64,
-    /// Answered whole with success by an upstream.
+    /// Answered by an upstream with a success status.
     pub done: u64,
-    /// Answered by an upstream with a status of failure.
+    /// Answered with a failure status, or without an outcome.
     pub failed: u64,
-    /// Refused and not run.
+    /// Refused without having run.
     pub refused: u64,
-    /// Left unknown.
+    /// Of unknown outcome.
     pub unknown: u64,
-    /// Without a final answer.
+    /// Without a final response.
     pub unanswered: u64,
-    /// Callers' tries beyond the first.
+    /// Callers' tries after the first.
     pub retries: u64,
-    /// Requests that reached an upstream beyond the first of the same try: the entries' own retries.
+    /// Entries' retries: requests that reached an upstream after the first of the same try.
     pub entry_retries: u64,
-    /// Both kinds of retries for each request that was offered.
+    /// Both kinds of retries per offered request.
     pub retries_per_request: f64,
-    /// Median latency of the done, from the scheduled time.
+    /// Median latency of the requests done, from the scheduled time.
     pub p50_us: u64,
     /// 99th percentile of the same.
     pub p99_us: u64,
@@ -102,33 +102,33 @@
 
 /// Use of a service's slots in a region.
 #[derive(Debug, Default, Serialize)]
-pub struct Use {
+pub struct SlotUsage {
     /// Slots of all upstreams.
     pub slots: u32,
-    /// Most requests in flight at a time.
+    /// Highest number of requests in flight.
     pub peak_in_flight: u32,
-    /// Mean of the requests in flight, over the time from the first run to the last.
+    /// Mean number of requests in flight, from the first start of a run to the last end.
     pub mean_in_flight: f64,
-    /// Runs that began.
+    /// Runs that got a slot.
     pub runs: u64,
-    /// Requests that came and never got a slot.
+    /// Requests that arrived and never got a slot.
     pub turned_away: u64,
-    /// Most requests that waited for a slot at a time, added up over the upstreams.
+    /// Sum of the upstreams' longest queues.
     pub queued: u64,
 }
 
 impl Report {
-    /// Adds up a run.
+    /// Aggregates the evidence of a run.
     pub fn new(evidence: &Evidence, violations: Vec<Violation>) -> Self {
         let callers = &evidence.callers;
         let window = Window::of(callers);
-        let repeats = repeats(&evidence.runs);
-        let rows = |key: fn(&CallerRecord) -> String| rows(callers, &repeats, key);
+        let retries_by_id = entry_retries_by_id(&evidence.runs);
+        let rows = |key: fn(&CallerRecord) -> String| rows(callers, &retries_by_id, key);
         Self {
             classes: rows(|caller| caller.class.to_string()),
             regions: rows(|caller| caller.region.to_string()),
             class_regions: rows(|caller| format!("{}/{}", caller.class, caller.region)),
-            uses: uses(&evidence.runs, &evidence.upstreams),
+            uses: slot_usage(&evidence.runs, &evidence.upstreams),
             headroom: headroom::headroom(evidence, window),
             drains: drain::drains(evidence),
             shifted: shifted::shifted(evidence, window),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Share of the requests that were done, of all that were offered.
+    /// Requests done as a share of those offered.
     pub fn done_ratio(&self) -> f64 {
         let done: u64 = self.classes.values().map(|row| row.done).sum();
         if self.requests == 0 {
@@ -173,8 +173,8 @@
         match caller.told {
             Told::Done => {
                 self.done += 1;
-                // From the scheduled time: a driver that falls behind its schedule must not hide
-                // the wait of the requests that it sent late.
+                // Measured from the scheduled time, so that the latency includes the delay of a
+                // request that the driver sent late.
                 let latency_us = caller.finished_us.saturating_sub(caller.scheduled_us);
                 self.latency_us.saturating_record(latency_us);
             }
@@ -185,7 +185,7 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn finish(&mut self) {
         let retries = self.retries + self.entry_retries;
         self.retries_per_request = retries as f64 / self.offered.max(1) as f64;
         self.p50_us = self.latency_us.value_at_quantile(0.5);
@@ -194,59 +194,63 @@
     }
 }
 
-/// A histogram of latencies in microseconds.
+/// Creates a histogram of latencies in microseconds.
 pub(crate) fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, DIGITS).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds are in order")
 }
 
-/// Requests that reached upstreams beyond the first of each try, by the caller's id.
-fn repeats(runs: &[Run]) -> FastMap<&str, u64> {
+/// Entries' retries of each request, by the caller's id.
+fn entry_retries_by_id(runs: &[Run]) -> FastMap<&str, u64> {
     let mut arrived: FastMap<(&str, u32), u64> = FastMap::default();
     for run in runs {
         *arrived.entry((&*run.id, run.try_number)).or_default() += 1;
     }
-    let mut repeats: FastMap<&str, u64> = FastMap::default();
+    let mut retries: FastMap<&str, u64> = FastMap::default();
     for ((id, _), arrived) in arrived {
-        *repeats.entry(id).or_default() += arrived - 1;
+        *retries.entry(id).or_default() += arrived - 1;
     }
-    repeats
+    retries
 }
 
 fn rows(
     callers: &[CallerRecord],
-    repeats: &FastMap<&str, u64>,
+    retries_by_id: &FastMap<&str, u64>,
     key: impl Fn(&CallerRecord) -> String,
 ) -> BTreeMap<String, Row> {
     let mut rows = BTreeMap::new();
     for caller in callers {
-        let repeated = repeats.get(&*caller.id).copied().unwrap_or(0);
+        let entry_retries_of_request = retries_by_id.get(&*caller.id).copied().unwrap_or(0);
         let row = rows.entry(key(caller)).or_insert_with(Row::new);
-        row.add(caller, repeated);
+        row.add(caller, entry_retries_of_request);
     }
-    rows.values_mut().for_each(Row::settle);
+    rows.values_mut().for_each(Row::finish);
     rows
 }
 
-/// Sweeps over the starts and ends of runs, by region and service.
-fn uses(runs: &[Run], upstreams: &BTreeMap<UpstreamId, UpstreamFacts>) -> BTreeMap<String, Use> {
-    let mut uses: BTreeMap<(&RegionId, &ServiceId), Use> = BTreeMap::new();
+/// Computes the use of slots by region and service from the starts and ends of runs.
+fn slot_usage(
+    runs: &[Run],
+    upstreams: &BTreeMap<UpstreamId, UpstreamFacts>,
+) -> BTreeMap<String, SlotUsage> {
+    let mut usages: BTreeMap<(&RegionId, &ServiceId), SlotUsage> = BTreeMap::new();
     let mut edges: BTreeMap<(&RegionId, &ServiceId), Vec<(UnixUs, i64)>> = BTreeMap::new();
     for facts in upstreams.values() {
-        let used = uses.entry((&facts.region, &facts.service)).or_default();
-        used.slots += facts.slots;
-        used.queued += facts.max_queued;
+        let usage = usages.entry((&facts.region, &facts.service)).or_default();
+        usage.slots += facts.slots;
+        usage.queued += facts.max_queued;
     }
     for run in runs {
         let Some(facts) = upstreams.get(&run.upstream) else {
             continue;
         };
         let key = (&facts.region, &facts.service);
-        let used = uses.entry(key).or_default();
+        let usage = usages.entry(key).or_default();
         let Some(started_us) = run.started_us else {
-            used.turned_away += 1;
+            usage.turned_away += 1;
             continue;
         };
-        used.runs += 1;
+        usage.runs += 1;
         let edges = edges.entry(key).or_default();
         edges.push((started_us, 1));
         edges.push((run.ended_us.unwrap_or(started_us), -1));
@@ -254,34 +258,35 @@
     for (key, mut edges) in edges {
         // Ends sort before starts of the same microsecond.
         edges.sort_unstable();
-        if let Some(used) = uses.get_mut(&key) {
-            sweep(&edges, used);
+        if let Some(usage) = usages.get_mut(&key) {
+            sweep(&edges, usage);
         }
     }
-    uses.into_iter()
-        .map(|((region, service), used)| (format!("{region}/{service}"), used))
+    usages
+        .into_iter()
+        .map(|((region, service), usage)| (format!("{region}/{service}"), usage))
         .collect()
 }
 
-fn sweep(edges: &[(UnixUs, i64)], used: &mut Use) {
+fn sweep(edges: &[(UnixUs, i64)], usage: &mut SlotUsage) {
     let mut in_flight: i64 = 0;
-    let mut area = 0.0;
+    let mut in_flight_us = 0.0;
     let mut last_us = edges.first().map_or(0, |edge| edge.0);
     let first_us = last_us;
-    for (at_us, step) in edges {
-        area += in_flight as f64 * (at_us - last_us) as f64;
+    for (at_us, change) in edges {
+        in_flight_us += in_flight as f64 * (at_us - last_us) as f64;
         last_us = *at_us;
-        in_flight += step;
-        let now = u32::try_from(in_flight).unwrap_or(0);
-        used.peak_in_flight = used.peak_in_flight.max(now);
+        in_flight += change;
+        let current = u32::try_from(in_flight).unwrap_or(0);
+        usage.peak_in_flight = usage.peak_in_flight.max(current);
     }
     if last_us > first_us {
-        used.mean_in_flight = area / (last_us - first_us) as f64;
+        usage.mean_in_flight = in_flight_us / (last_us - first_us) as f64;
     }
 }
 
 /// Microseconds as milliseconds with two decimals.
-pub(crate) fn ms(us: u64) -> String {
+pub(crate) fn format_ms(us: u64) -> String {
     format!("{:.2}", us as f64 / 1_000.0)
 }
 
@@ -291,7 +296,7 @@
         writeln!(f)?;
         write_rows(f, "region", &self.regions)?;
         writeln!(f)?;
-        write_uses(f, &self.uses)?;
+        write_usage(f, &self.uses)?;
         writeln!(f)?;
         headroom::write(f, &self.headroom)?;
         writeln!(f)?;
@@ -300,11 +305,11 @@
         if !self.violations.is_empty() {
             writeln!(f)?;
         }
-        for violation in self.violations.iter().take(NAMED_VIOLATIONS) {
+        for violation in self.violations.iter().take(MAX_LISTED_VIOLATIONS) {
             writeln!(f, "{violation}")?;
         }
-        if self.violations.len() > NAMED_VIOLATIONS {
-            let more = self.violations.len() - NAMED_VIOLATIONS;
+        if self.violations.len() > MAX_LISTED_VIOLATIONS {
+            let more = self.violations.len() - MAX_LISTED_VIOLATIONS;
             writeln!(f, "and {more} violations more, all in the JSON output")?;
         }
         let count = self.violations.len();
@@ -338,9 +343,9 @@
             row.refused,
             row.unknown,
             row.unanswered,
-            ms(row.p50_us),
-            ms(row.p99_us),
-            ms(row.p999_us),
+            format_ms(row.p50_us),
+            format_ms(row.p99_us),
+            format_ms(row.p999_us),
             row.retries + row.entry_retries,
             row.retries_per_request,
         )?;
@@ -348,22 +353,22 @@
     Ok(())
 }
 
-fn write_uses(f: &mut fmt::Formatter<'_>, uses: &BTreeMap<String, Use>) -> fmt::Result {
+fn write_usage(f: &mut fmt::Formatter<'_>, uses: &BTreeMap<String, SlotUsage>) -> fmt::Result {
     writeln!(
         f,
         "{:<24}{:>8}{:>8}{:>8}{:>8}{:>8}{:>14}",
         "upstreams", "slots", "runs", "peak", "mean", "queued", "turned away"
     )?;
-    for (key, used) in uses {
+    for (key, usage) in uses {
         writeln!(
             f,
             "{key:<24}{:>8}{:>8}{:>8}{:>8.1}{:>8}{:>14}",
-            used.slots,
-            used.runs,
-            used.peak_in_flight,
-            used.mean_in_flight,
-            used.queued,
-            used.turned_away
+            usage.slots,
+            usage.runs,
+            usage.peak_in_flight,
+            usage.mean_in_flight,
+            usage.queued,
+            usage.turned_away
         )?;
     }
     Ok(())
--- a/crates/load/src/scene.rs
+++ b/crates/load/src/scene.rs
@@ -1,9 +1,9 @@
-//! A scene: who asks for what, how often, and what happens meanwhile.
+//! A scene: the load of a run, and the events during it.
 //!
-//! A scene file is YAML. It names no address of the system: daemons, upstreams and targets of
-//! events come from the command line, so that one scene runs on any free ports. [`Scene::read`]
-//! reads one and reports every wrong value with its place; [`Plan::read`] reads what a file says of
-//! the system besides.
+//! A scene file is YAML. It contains no addresses: those of daemons, upstreams and events' targets
+//! come from the command line, so that a scene can run on any free ports. [`Scene::read`] reads the
+//! load and the events and reports each wrong value with its position; [`Plan::read`] also reads
+//! what the file states about the system under test.
 
 use base::{
     ClassId,
@@ -28,26 +28,26 @@
     Plan, //
 };
 
-/// Everything that a run of load does, given a seed.
+/// The load and the events of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scene {
     /// Seed of the schedule of arrivals.
     pub seed: u64,
     /// Time over which requests arrive.
     pub duration_ms: u64,
-    /// Time over its deadline after which a request without a final answer is a violation.
+    /// Time after its deadline by which a request must have its final response.
     pub allowance_ms: u64,
-    /// Time after which an upstream that began to leave may get no new work.
+    /// Time after which an upstream that began to leave must receive no new work.
     pub leaving_bound_ms: u64,
-    /// Threads that drive callers.
+    /// Threads that run callers.
     pub threads: usize,
-    /// Regions in which callers are.
+    /// Regions of the callers.
     pub regions: Vec<CallerRegion>,
     /// Classes of work in the mix.
     pub classes: Vec<ClassLoad>,
-    /// Intervals of heavier load.
+    /// Intervals of changed load.
     pub bursts: Vec<Burst>,
-    /// What the driver does to the stand-ins and daemons meanwhile.
+    /// Requests of the driver to stand-ins and daemons during the run.
     pub events: Vec<Event>,
 }
 
@@ -56,13 +56,13 @@
 pub struct CallerRegion {
     /// The region's name.
     pub name: RegionId,
-    /// Block from which the callers' addresses are taken, `a.b.c.d/len`.
+    /// Block of the callers' addresses, `a.b.c.d/len`.
     pub block: ByteString,
-    /// Callers, each with its own address and cache of look-ups.
+    /// Number of callers, each with its own address and look-up cache.
     pub callers: u32,
-    /// Weight of the region in the load.
+    /// Relative weight of the region in the load.
     pub share: f64,
-    /// Delay between a caller and its entries, each way.
+    /// One-way delay between a caller and its entries.
     pub one_way_ms: u64,
 }
 
@@ -71,30 +71,30 @@
 pub struct ClassLoad {
     /// The class, as the configuration names it.
     pub name: ClassId,
-    /// Mean rate over all regions, outside of bursts.
+    /// Mean rate of all regions together, outside bursts.
     pub rate_per_s: f64,
-    /// Time that a caller gives a request.
+    /// Time to a request's deadline, from its start.
     pub deadline_ms: u64,
-    /// What is asked of the upstream.
+    /// Operation that is requested of the upstream.
     pub work: Work,
-    /// Size of the answer to ask for, or of the body to file.
+    /// Size of the response to request, or of the body to send.
     pub bytes: u64,
     /// How the request is kept from running twice.
     pub filing: FilingWay,
-    /// Tries of one request at most, look-ups not counted.
+    /// Maximum number of tries of a request, without look-ups.
     pub tries: u32,
-    /// Time after which a try of idempotent work without an answer is given up for another entry.
+    /// Timeout after which a try of idempotent work is abandoned and retried at another entry.
     pub attempt_ms: Option<u64>,
 }
 
-/// What a request asks of an upstream.
+/// Operation of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Work {
-    /// `GET /bytes/<n>`: an answer of known bytes with a declared length.
+    /// `GET /bytes/<n>`: a response of known bytes with a declared length.
     Bytes,
-    /// `GET /chunked/<n>`: an answer of known bytes in chunks.
+    /// `GET /chunked/<n>`: a response of known bytes in chunks.
     Chunked,
-    /// `POST /echo`: an answer that repeats the request's body.
+    /// `POST /echo`: a response with the request's path and its body's length and digest.
     Echo,
 }
 
@@ -105,18 +105,18 @@
     /// Not at all: the work is idempotent.
     #[default]
     None,
-    /// By a ticket from a look-up of its own.
+    /// By a ticket from a separate look-up.
     Ticket,
-    /// By an `Idempotency-Key` that the caller makes.
+    /// By an `Idempotency-Key` that the caller generates.
     Key,
 }
 
-/// Interval of heavier load.
+/// Interval in which a factor applies to the rate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Burst {
-    /// Class that bursts; all when left out.
+    /// Class that the factor applies to; all if omitted.
     pub class: Option<ClassId>,
-    /// Region that bursts; all when left out.
+    /// Region that the factor applies to; all if omitted.
     pub region: Option<RegionId>,
     /// Start, from the start of the run.
     pub from_ms: u64,
@@ -126,20 +126,20 @@
     pub factor: f64,
 }
 
-/// A request of the driver to a stand-in or a daemon's operator port at a set time.
+/// A request of the driver to a stand-in or a daemon's operator port at a given time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
     /// When, from the start of the run.
     pub at_ms: u64,
-    /// Name that the command line binds to an address.
+    /// Name of the target, to which the command line assigns an address.
     pub target: ByteString,
     /// Path to post to.
     pub path: ByteString,
     /// JSON body.
     pub body: ByteString,
-    /// Upstreams that leave by this event, for the judge.
+    /// Upstreams that leave because of this event, for the judge.
     pub leaves: Vec<UpstreamId>,
-    /// Upstreams that are back by this event, for the judge.
+    /// Upstreams that return because of this event, for the judge.
     pub returns: Vec<UpstreamId>,
 }
 
@@ -154,19 +154,20 @@
     /// Address of the `index`th caller, within the region's block.
     pub fn address(&self, index: u32) -> Ipv4Addr {
         let (first, hosts) = self.first_address().unwrap_or((Ipv4Addr::LOCALHOST, 1));
-        // An odd factor spreads neighbours over the block without repeating within it.
+        // Block sizes are powers of two, so that an odd factor spreads consecutive callers over the
+        // block without duplicates.
         let offset = u64::from(index).wrapping_mul(2_654_435_761) % hosts;
         let offset = u32::try_from(offset).unwrap_or(0);
         Ipv4Addr::from(u32::from(first).wrapping_add(offset))
     }
 
-    /// First address of the block and how many it has.
+    /// First address of the block and the number of its addresses.
     fn first_address(&self) -> Option<(Ipv4Addr, u64)> {
         first_address(&self.block)
     }
 }
 
-/// First address of an IPv4 block and how many it has; none if the text is no block.
+/// First address of an IPv4 block and the number of its addresses; none if the text is no block.
 pub(crate) fn first_address(block: &str) -> Option<(Ipv4Addr, u64)> {
     let (address, length) = block.split_once('/')?;
     let address: Ipv4Addr = address.parse().ok()?;
--- a/crates/load/src/scene/plan.rs
+++ b/crates/load/src/scene/plan.rs
@@ -1,13 +1,13 @@
-//! What a scene file says beyond the load: the system that it is meant for and how to measure it.
+//! The parts of a scene file that define the system under test and the measurement.
 //!
-//! The load driver alone needs none of it. `measure`, an example of `rig`, brings up the system,
-//! runs the scene under each policy and does what no request can do: it kills instances.
+//! The load driver alone ignores them. `measure`, an example of `rig`, starts the system, runs the
+//! scene under each policy and kills instances, which no request to the system can do.
 
 use super::{
     read::{
-        listed,
+        read_items,
         scene,
-        LONGEST_MS, //
+        MAX_TIME_MS, //
     },
     Scene, //
 };
@@ -24,29 +24,29 @@
 };
 use steer::Policy;
 
-/// Warm-up where none is stated: the caches of all upstreams of `measure` are warm after it.
+/// Default warm-up, after which the caches of all upstreams of `measure` are warm.
 const WARM_UP_MS: u64 = 8_000;
 
-/// A scene with everything that its file says.
+/// The whole contents of a scene file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The load and the events.
     pub scene: Scene,
-    /// User whose sizes the system has.
+    /// User whose system sizes `measure` uses.
     pub user: Option<ByteString>,
-    /// Policies that are worth comparing here; all where the file names none.
+    /// Policies to compare; all if the file names none.
     pub policies: Vec<Policy>,
-    /// Region in question, whose quick lookups are judged; all where the file names none.
+    /// Region whose requests of the first class are evaluated; all regions if the file names none.
     pub focus: Option<RegionId>,
-    /// Time of load without bursts and events before what is measured.
+    /// Length of the load without bursts and events that precedes the measurement.
     pub warm_up_ms: u64,
-    /// When the region in question takes load back, from the start of the run.
+    /// When `focus` takes load back, from the start of the run.
     pub back_at_ms: Option<u64>,
-    /// Instances that die without notice.
+    /// Instances to kill without notice.
     pub kills: Vec<Kill>,
 }
 
-/// Instances that die at one moment.
+/// Instances to kill at the same time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Kill {
     /// When, from the start of the run.
@@ -56,18 +56,18 @@
 }
 
 impl Plan {
-    /// Reads a scene file whole; `file` names it in findings.
+    /// Reads a whole scene file; `file` names it in findings.
     ///
     /// # Errors
     ///
-    /// All findings with their places.
+    /// All findings with their positions.
     pub fn read(file: &str, text: &str) -> Result<Self, Findings> {
         let document = Document::parse(file, text);
         let plan = document.map().and_then(|mut map| plan(&mut map));
         document.finish(plan)
     }
 
-    /// The load alone, as it is before anything happens.
+    /// The load of the warm-up, without bursts and events.
     pub fn warm_up(&self) -> Scene {
         Scene {
             seed: self.scene.seed.wrapping_add(1),
@@ -84,10 +84,10 @@
     let policies = policies(map.optional("policies"));
     let focus_field = map.optional("focus");
     let focus = focus_field.text();
-    let warm_up_ms = map.optional("warm_up_ms").integer(0..=LONGEST_MS, "ms");
+    let warm_up_ms = map.optional("warm_up_ms").integer(0..=MAX_TIME_MS, "ms");
     let back_field = map.optional("back_at_ms");
-    let back_at_ms = back_field.integer(0..=LONGEST_MS, "ms");
-    let kills = listed(map.optional("kills"), kill);
+    let back_at_ms = back_field.integer(0..=MAX_TIME_MS, "ms");
+    let kills = read_items(map.optional("kills"), kill);
     let scene = scene(map)?;
     let known = |name: &RegionId| scene.regions.iter().any(|region| region.name == *name);
     if !focus.as_ref().is_none_or(known) {
@@ -111,14 +111,14 @@
     if field.is_absent() {
         return Policy::ALL.to_vec();
     }
-    let named = field.list().into_iter();
-    named
+    let names = field.list().into_iter();
+    names
         .filter_map(|field| field.parse("the name of a policy"))
         .collect()
 }
 
 fn kill(map: &mut Map<'_>) -> Option<Kill> {
-    let at_ms = map.required("at_ms").integer(0..=LONGEST_MS, "ms");
+    let at_ms = map.required("at_ms").integer(0..=MAX_TIME_MS, "ms");
     let instances = map.required("instances").list();
     Some(Kill {
         at_ms: at_ms?,
--- a/crates/load/src/scene/read.rs
+++ b/crates/load/src/scene/read.rs
@@ -1,4 +1,4 @@
-//! Reads a scene file, with every finding at its place.
+//! Reads a scene file and reports each finding with its position.
 
 use super::{
     first_address,
@@ -23,23 +23,25 @@
 };
 use std::collections::BTreeSet;
 
-/// Longest run and longest time of any other field.
-pub(super) const LONGEST_MS: u64 = 24 * 3_600_000;
-/// Most threads, callers of a region and tries.
-const MOST_THREADS: usize = 64;
-const MOST_CALLERS: u32 = 1_000_000;
-const MOST_TRIES: u32 = 100;
-/// Place of each id in an event's path.
-const EACH_ID: &str = "{id}";
-/// Largest body.
-const MOST_BYTES: u64 = 1 << 32;
+/// Upper limit of all times in a scene.
+pub(super) const MAX_TIME_MS: u64 = 24 * 3_600_000;
+/// Upper limit of `threads`.
+const MAX_THREADS: usize = 64;
+/// Upper limit of a region's `callers`.
+const MAX_CALLERS: u32 = 1_000_000;
+/// Upper limit of a class's `tries`.
+const MAX_TRIES: u32 = 100;
+/// Placeholder for each id in an event's path.
+const ID_PLACEHOLDER: &str = "{id}";
+/// Upper limit of a class's `bytes`.
+const MAX_BODY_BYTES: u64 = 1 << 32;
 
 impl Scene {
     /// Reads the load and the events of a scene file; `file` names it in findings.
     ///
     /// # Errors
     ///
-    /// All findings with their places.
+    /// All findings with their positions.
     pub fn read(file: &str, text: &str) -> Result<Self, Findings> {
         Plan::read(file, text).map(|plan| plan.scene)
     }
@@ -47,36 +49,36 @@
 
 pub(super) fn scene(map: &mut Map<'_>) -> Option<Scene> {
     let seed = map.optional("seed").integer(0..=u64::MAX, "");
-    let duration_ms = map.required("duration_ms").integer(1..=LONGEST_MS, "ms");
-    let allowance_ms = map.optional("allowance_ms").integer(0..=LONGEST_MS, "ms");
+    let duration_ms = map.required("duration_ms").integer(1..=MAX_TIME_MS, "ms");
+    let allowance_ms = map.optional("allowance_ms").integer(0..=MAX_TIME_MS, "ms");
     let leaving_bound_ms = map
         .optional("leaving_bound_ms")
-        .integer(0..=LONGEST_MS, "ms");
-    let threads = map.optional("threads").integer(1..=MOST_THREADS, "");
-    let regions = listed(map.required("regions"), region);
-    let classes = listed(map.required("classes"), class);
+        .integer(0..=MAX_TIME_MS, "ms");
+    let threads = map.optional("threads").integer(1..=MAX_THREADS, "");
+    let regions = read_items(map.required("regions"), region);
+    let classes = read_items(map.required("classes"), class);
     let bursts: Vec<_> = map
         .optional("bursts")
         .list()
         .into_iter()
         .filter_map(|field| burst(field, &regions, &classes))
         .collect();
-    let events = listed(map.optional("events"), event);
+    let events = read_items(map.optional("events"), event);
     Some(Scene {
         seed: seed.unwrap_or(1),
         duration_ms: duration_ms?,
         allowance_ms: allowance_ms.unwrap_or(2_000),
         leaving_bound_ms: leaving_bound_ms.unwrap_or(3_000),
         threads: threads.unwrap_or(2),
-        regions: named_once(regions, |region| &region.name),
-        classes: named_once(classes, |class| &class.name),
+        regions: check_unique_names(regions, |region| &region.name),
+        classes: check_unique_names(classes, |class| &class.name),
         bursts,
         events: events.into_iter().flat_map(|(_, events)| events).collect(),
     })
 }
 
-/// Items of a list with the fields that they were read from.
-pub(super) fn listed<'a, T>(
+/// Reads the items of a list; returns each with its field, for later findings.
+pub(super) fn read_items<'a, T>(
     field: Field<'a>,
     read: impl Fn(&mut Map<'a>) -> Option<T>,
 ) -> Vec<(Field<'a>, T)> {
@@ -87,8 +89,8 @@
         .collect()
 }
 
-/// Drops the fields and finds names that stand twice, and lists without an item.
-fn named_once<T>(items: Vec<(Field<'_>, T)>, name: impl Fn(&T) -> &ByteString) -> Vec<T> {
+/// Reports duplicate names and returns the items without their fields.
+fn check_unique_names<T>(items: Vec<(Field<'_>, T)>, name: impl Fn(&T) -> &ByteString) -> Vec<T> {
     let mut names = BTreeSet::new();
     for (field, item) in &items {
         if !names.insert(name(item).clone()) {
@@ -102,9 +104,9 @@
     let name = map.required("name").text();
     let block_field = map.required("block");
     let block = block_field.text();
-    let callers = map.optional("callers").integer(1..=MOST_CALLERS, "");
-    let share = number(map.optional("share"));
-    let one_way_ms = map.optional("one_way_ms").integer(0..=LONGEST_MS, "ms");
+    let callers = map.optional("callers").integer(1..=MAX_CALLERS, "");
+    let share = non_negative(map.optional("share"));
+    let one_way_ms = map.optional("one_way_ms").integer(0..=MAX_TIME_MS, "ms");
     if block.as_ref().is_some_and(|b| first_address(b).is_none()) {
         block_field.report("must be an IPv4 block as in 10.1.0.0/16");
     }
@@ -119,15 +121,15 @@
 
 fn class(map: &mut Map<'_>) -> Option<ClassLoad> {
     let name = map.required("name").text();
-    let rate_per_s = number(map.required("rate_per_s"));
-    let deadline_ms = map.required("deadline_ms").integer(1..=LONGEST_MS, "ms");
+    let rate_per_s = non_negative(map.required("rate_per_s"));
+    let deadline_ms = map.required("deadline_ms").integer(1..=MAX_TIME_MS, "ms");
     let work_field = map.required("work");
     let work = work_field.choice(&[
         ("bytes", Work::Bytes),
         ("chunked", Work::Chunked),
         ("echo", Work::Echo),
     ]);
-    let bytes = map.optional("bytes").integer(0..=MOST_BYTES, "bytes");
+    let bytes = map.optional("bytes").integer(0..=MAX_BODY_BYTES, "bytes");
     let filing = map
         .optional("filing")
         .choice(&[
@@ -136,8 +138,8 @@
             ("key", FilingWay::Key),
         ])
         .unwrap_or_default();
-    let tries = map.optional("tries").integer(1..=MOST_TRIES, "");
-    let attempt_ms = map.optional("attempt_ms").integer(1..=LONGEST_MS, "ms");
+    let tries = map.optional("tries").integer(1..=MAX_TRIES, "");
+    let attempt_ms = map.optional("attempt_ms").integer(1..=MAX_TIME_MS, "ms");
     if filing != FilingWay::None && work.is_some_and(|work| work != Work::Echo) {
         work_field.report("of a filing must be echo");
     }
@@ -163,10 +165,10 @@
     let region_field = map.optional("region");
     let class: Option<ClassId> = class_field.text();
     let region: Option<RegionId> = region_field.text();
-    let from_ms = map.required("from_ms").integer(0..=LONGEST_MS, "ms");
+    let from_ms = map.required("from_ms").integer(0..=MAX_TIME_MS, "ms");
     let to_field = map.required("to_ms");
-    let to_ms = to_field.integer(0..=LONGEST_MS, "ms");
-    let factor = number(map.required("factor"));
+    let to_ms = to_field.integer(0..=MAX_TIME_MS, "ms");
+    let factor = non_negative(map.required("factor"));
     let known = |name: &ClassId| classes.iter().any(|(_, class)| class.name == *name);
     if !class.as_ref().is_none_or(known) {
         class_field.report("names no class of this scene");
@@ -187,27 +189,29 @@
     })
 }
 
-/// Reads an event; one that names several ids is one event for each.
+/// Reads an event; one with `each` becomes one event for each id.
 fn event(map: &mut Map<'_>) -> Option<Vec<Event>> {
-    let at_ms = map.required("at_ms").integer(0..=LONGEST_MS, "ms");
+    let at_ms = map.required("at_ms").integer(0..=MAX_TIME_MS, "ms");
     let target = map.required("target").text();
     let path_field = map.required("path");
     let path = path_field.text();
     let each_field = map.optional("each");
     let body_field = map.optional("body");
     let body = body_field.text();
-    let leaves = texts(map.optional("leaves"));
-    let returns = texts(map.optional("returns"));
+    let leaves = text_list(map.optional("leaves"));
+    let returns = text_list(map.optional("returns"));
     if path.as_ref().is_some_and(|path| !path.starts_with('/')) {
         path_field.report("must start with `/`");
     }
     if body.as_ref().is_some_and(|body| !is_json(body)) {
         body_field.report("must be JSON");
     }
-    let has_place = path.as_ref().is_some_and(|path| path.contains(EACH_ID));
-    if path.is_some() && has_place == each_field.is_absent() {
+    let has_placeholder = path
+        .as_ref()
+        .is_some_and(|path| path.contains(ID_PLACEHOLDER));
+    if path.is_some() && has_placeholder == each_field.is_absent() {
         path_field.report(format_args!(
-            "must have `{EACH_ID}` exactly if there is `each`"
+            "must have `{ID_PLACEHOLDER}` exactly if there is `each`"
         ));
     }
     let event = Event {
@@ -221,15 +225,15 @@
     if each_field.is_absent() {
         return Some(vec![event]);
     }
-    let ids = texts(each_field).into_iter();
+    let ids = text_list(each_field).into_iter();
     let events = ids.map(|id| Event {
-        path: event.path.replace(EACH_ID, &id).into(),
+        path: event.path.replace(ID_PLACEHOLDER, &id).into(),
         ..event.clone()
     });
     Some(events.collect())
 }
 
-fn texts(field: Field<'_>) -> Vec<ByteString> {
+fn text_list(field: Field<'_>) -> Vec<ByteString> {
     let items = field.list().into_iter();
     items.filter_map(Field::text).collect()
 }
@@ -238,8 +242,8 @@
     serde_json::from_str::<serde::de::IgnoredAny>(text).is_ok()
 }
 
-/// A number that is neither negative nor endless.
-fn number(field: Field<'_>) -> Option<f64> {
+/// Reads a finite number of 0 or more.
+fn non_negative(field: Field<'_>) -> Option<f64> {
     let value: f64 = field.parse("a number")?;
     if value.is_finite() && value >= 0.0 {
         return Some(value);
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,8 +1,8 @@
-//! The schedule of arrivals: fixed by the scene and its seed, whatever the system does.
+//! The schedule of arrivals, which depends on the scene and its seed alone.
 //!
-//! Load is open loop: a slow answer delays no later arrival. Each class in each region is a Poisson
-//! process of its own, whose rate bursts change; they are drawn apart and merged, so that a change
-//! to one class leaves the arrivals of the others as they were.
+//! The load is open loop: a slow response delays no later arrival. Each class in each region is a
+//! separate Poisson process, whose rate changes with bursts. The processes have separate random
+//! streams, so that a change to one class leaves the arrivals of the others unchanged.
 
 use crate::scene::{
     Burst,
@@ -27,7 +27,7 @@
     pub class: usize,
     /// Index of the caller in the region.
     pub caller: u32,
-    /// Id that is unique to the request and goes in its path to the upstream.
+    /// Unique id of the request, which is part of its path to the upstream.
     pub id: ByteString,
 }
 
@@ -64,7 +64,7 @@
         if at_s >= end_s {
             return;
         }
-        // Thinning: arrivals at the peak rate are kept in proportion to the rate of the moment.
+        // Thinning: arrivals at the peak rate are kept in proportion to the current rate.
         let keep: f64 = rng.random();
         let caller = rng.random_range(0..scene.regions[region].callers);
         let id: u128 = rng.random();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Rate of a class in a region outside of bursts, per second.
+/// Rate of a class in a region outside bursts, per second.
 fn base_rate(scene: &Scene, class: usize, region: usize) -> f64 {
     let total: f64 = scene.regions.iter().map(|region| region.share).sum();
     if total <= 0.0 {
@@ -90,7 +90,7 @@
     scene.classes[class].rate_per_s * scene.regions[region].share / total
 }
 
-/// Bursts that touch a class in a region.
+/// Bursts that apply to a class in a region.
 fn bursts_of(scene: &Scene, class: usize, region: usize) -> Vec<&Burst> {
     let class = &scene.classes[class].name;
     let region = &scene.regions[region].name;
@@ -102,7 +102,7 @@
         .collect()
 }
 
-/// Product of the factors of all bursts at a moment.
+/// Product of the factors of all bursts at a point in time.
 fn factor_at(bursts: &[&Burst], at_s: f64) -> f64 {
     let at_ms = at_s * 1_000.0;
     bursts
@@ -112,7 +112,7 @@
         .product()
 }
 
-/// Seed of the stream of one class in one region.
+/// Seed of the random stream of one class in one region.
 fn stream_seed(seed: u64, class: usize, region: usize) -> u64 {
     let stream = ((class as u64) << 32) | region as u64;
     seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stream
--- a/crates/load/src/window.rs
+++ b/crates/load/src/window.rs
@@ -1,4 +1,4 @@
-//! The time over which requests arrived, cut into seconds.
+//! The time window in which requests arrived, divided into seconds.
 
 use crate::record::{
     CallerRecord,
@@ -7,7 +7,7 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// From the first arrival to the last.
+/// The time from the first arrival to the last.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Window {
     from_us: UnixUs,
@@ -15,16 +15,16 @@
 }
 
 impl Window {
-    /// The time over which these requests arrived.
+    /// The window in which these requests arrived.
     pub(crate) fn of(callers: &[CallerRecord]) -> Self {
         let scheduled = || callers.iter().map(|caller| caller.scheduled_us);
         let from_us = scheduled().min().unwrap_or(0);
-        // A lone arrival still takes some time.
+        // The end is exclusive, so that a single arrival has a window too.
         let to_us = scheduled().max().map_or(from_us, |last_us| last_us + 1);
         Self { from_us, to_us }
     }
 
-    /// How many seconds it has; the last may be short.
+    /// Number of seconds; the last may be shorter.
     pub(crate) fn seconds(&self) -> usize {
         let seconds = (self.to_us - self.from_us).div_ceil(SECOND_US);
         usize::try_from(seconds).unwrap_or(usize::MAX)
@@ -36,22 +36,22 @@
         to_us - from_us
     }
 
-    /// The second of a moment; none outside.
-    pub(crate) fn second_of(&self, at_us: UnixUs) -> Option<usize> {
+    /// The second that contains a time; none outside the window.
+    pub(crate) fn second_at(&self, at_us: UnixUs) -> Option<usize> {
         let within = (self.from_us..self.to_us).contains(&at_us);
         let second = within.then(|| (at_us - self.from_us) / SECOND_US)?;
         usize::try_from(second).ok()
     }
 
-    /// The parts of an interval by second, with their lengths.
-    pub(crate) fn parts(
+    /// Divides an interval by second; returns each second's index and the length in it.
+    pub(crate) fn split_by_second(
         &self,
         from_us: UnixUs,
         to_us: UnixUs,
     ) -> impl Iterator<Item = (usize, u64)> + '_ {
         let from_us = from_us.max(self.from_us);
         let to_us = to_us.min(self.to_us);
-        let first = self.second_of(from_us).unwrap_or(self.seconds());
+        let first = self.second_at(from_us).unwrap_or(self.seconds());
         (first..self.seconds()).map_while(move |second| {
             let bounds = self.bounds(second);
             let length_us = to_us.min(bounds.1).saturating_sub(from_us.max(bounds.0));
--- a/crates/load/tests/client.rs
+++ b/crates/load/tests/client.rs
@@ -1,4 +1,4 @@
-//! Callers against a bare socket: what breaks off is never taken for whole.
+//! Callers against a plain socket: truncated responses are never taken for complete ones.
 
 use load::{
     drive,
@@ -24,40 +24,40 @@
     thread, //
 };
 
-/// Answers look-ups with its own address, and work with `answer`, then closes.
-fn serve(answer: &'static str) -> String {
+/// Responds to look-ups with its own address and to work with `response`, then closes.
+fn serve(response: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let own = addr.clone();
+    let own_addr = addr.clone();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let own = own.clone();
-            thread::spawn(move || serve_one(stream.unwrap(), &own, answer));
+            let own_addr = own_addr.clone();
+            thread::spawn(move || serve_one(stream.unwrap(), &own_addr, response));
         }
     });
     addr
 }
 
-fn serve_one(mut stream: TcpStream, own: &str, answer: &str) {
+fn serve_one(mut stream: TcpStream, own_addr: &str, response: &str) {
     let mut head = String::new();
-    let mut lines = BufReader::new(stream.try_clone().unwrap());
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
     while !head.ends_with("\r\n\r\n") {
-        if lines.read_line(&mut head).unwrap_or(0) == 0 {
+        if reader.read_line(&mut head).unwrap_or(0) == 0 {
             return;
         }
     }
     let text = if head.starts_with("GET /v1/entries") {
-        let body = format!("{{\"ttl_ms\":60000,\"entries\":[{{\"addr\":\"{own}\"}}]}}");
+        let body = format!("{{\"ttl_ms\":60000,\"entries\":[{{\"addr\":\"{own_addr}\"}}]}}");
         let length = body.len();
         format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n{body}")
     } else {
-        answer.to_owned()
+        response.to_owned()
     };
-    // The caller may be gone.
+    // The caller may have closed the connection.
     let _ = stream.write_all(text.as_bytes());
 }
 
-fn told_of(work: Work, answer: &'static str) -> (Told, TryEnd) {
+fn result_of(work: Work, response: &'static str) -> (Told, TryEnd) {
     let scene = Scene {
         seed: 1,
         duration_ms: 100,
@@ -84,37 +84,39 @@
         bursts: Vec::new(),
         events: Vec::new(),
     };
-    let mut sites = Sites::default();
-    sites
+    let mut addresses = Sites::default();
+    addresses
         .daemons
-        .insert("arusha".into(), vec![serve(answer).into()]);
-    let driven = drive(&scene, &sites);
-    let caller = driven.callers.first().expect("the seed gives an arrival");
+        .insert("arusha".into(), vec![serve(response).into()]);
+    let load_records = drive(&scene, &addresses);
+    let caller = load_records
+        .callers
+        .first()
+        .expect("the seed gives an arrival");
     (caller.told, caller.tries[0].end)
 }
 
-macro_rules! broken {
-    ($($(#[$doc:meta])* $name:ident: $work:expr, $answer:expr => $end:expr;)*) => {$(
+macro_rules! cut_responses {
+    ($($(#[$doc:meta])* $name:ident: $work:expr, $response:expr => $end:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(told_of($work, $answer), (Told::NoAnswer, $end));
+            assert_eq!(result_of($work, $response), (Told::NoAnswer, $end));
         }
     )*};
 }
 
-broken! {
-    /// Symptom: half a page passes for a whole one. Sequence: a chunked answer ends with its
-    /// connection, before its last chunk. Cause: the library's client takes the end of the stream
-    /// for the end of the body.
-    chunked_answer_without_its_last_chunk: Work::Chunked,
+cut_responses! {
+    /// A chunked response whose connection closes before the last chunk was taken for complete,
+    /// because the library's client treats the end of the stream as the end of the body.
+    chunked_response_without_its_last_chunk: Work::Chunked,
         "HTTP/1.1 200 OK\r\njasmine-outcome: done\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n"
         => TryEnd::Cut;
-    /// Symptom and cause as above, with a declared length.
-    answer_shorter_than_declared: Work::Bytes,
+    /// The same fault with a declared length.
+    response_shorter_than_declared: Work::Bytes,
         "HTTP/1.1 200 OK\r\njasmine-outcome: done\r\ncontent-length: 100\r\n\r\nab"
         => TryEnd::Cut;
-    /// Symptom: a caller waits for an answer that can't come. Sequence: the connection closes
-    /// before the head of the answer.
-    no_answer_at_all: Work::Bytes, "" => TryEnd::Cut;
+    /// A connection that closes before the head of the response must end the try, or the caller
+    /// waits for a response that can't arrive.
+    no_response: Work::Bytes, "" => TryEnd::Cut;
 }
--- a/crates/load/tests/events.rs
+++ b/crates/load/tests/events.rs
@@ -1,4 +1,4 @@
-//! What becomes of a scene's events.
+//! Events of a scene: which of them had no effect, and which upstreams left by them.
 
 use load::{
     leaving,
@@ -8,7 +8,7 @@
     UpstreamFacts, //
 };
 
-/// An event that drains `u1` and was answered so.
+/// An event that drains `upstream`, with the status or error of its response.
 fn event(upstream: &str, answer: Result<u16, String>) -> EventRecord {
     EventRecord {
         event: Event {
@@ -19,13 +19,13 @@
             leaves: vec![upstream.into()],
             returns: Vec::new(),
         },
-        asked_us: 10,
+        sent_us: 10,
         answered_us: 20,
         answer,
     }
 }
 
-fn found(record: EventRecord) -> Vec<String> {
+fn failures(record: EventRecord) -> Vec<String> {
     let facts = UpstreamFacts {
         service: "menu".into(),
         region: "arusha".into(),
@@ -36,10 +36,10 @@
 }
 
 macro_rules! events {
-    ($($name:ident: $record:expr => [$($found:expr),*];)*) => {$(
+    ($($name:ident: $record:expr => [$($expected:expr),*];)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(found($record), [$($found),*] as [&str; _]);
+            assert_eq!(failures($record), [$($expected),*] as [&str; _]);
         }
     )*};
 }
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn upstream_leaves_since_the_answer_and_is_asked_before() {
-    let left = leaving(&[event("u1", Ok(200))]).remove(0);
+fn leaving_starts_at_the_response_and_is_requested_before() {
+    let departure = leaving(&[event("u1", Ok(200))]).remove(0);
     assert_eq!(
-        (&*left.upstream, left.asked_us, left.since_us),
+        (&*departure.upstream, departure.asked_us, departure.since_us),
         ("u1", 10, 20)
     );
     assert!(leaving(&[event("u1", Ok(503))]).is_empty());
--- a/crates/load/tests/judge.rs
+++ b/crates/load/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge finds each broken promise, names its request, and finds nothing in good evidence.
+//! The judge reports each violated guarantee with its request, and nothing if all guarantees hold.
 
 use load::{
     judge,
@@ -97,7 +97,7 @@
     judge(evidence).into_iter().map(|v| v.breach).collect()
 }
 
-macro_rules! verdicts {
+macro_rules! violations {
     ($($name:ident: $evidence:expr => [$($breach:expr),*];)*) => {$(
         #[test]
         fn $name() {
@@ -216,8 +216,8 @@
 const REFUSED: TryEnd = TryEnd::Answered(NotRun);
 const UNKNOWN: TryEnd = TryEnd::Answered(Unknown);
 
-verdicts! {
-    good_answer: evidence(done(true), vec![run(1)]) => [];
+violations! {
+    complete_response: evidence(done(true), vec![run(1)]) => [];
     filing_run_twice: evidence(done(true), vec![run(1), run(2)]) => [Breach::DoubledFiling { runs: 2 }];
     filing_run_twice_by_one_try: evidence(done(true), vec![run(1), run(1)])
         => [Breach::DoubledFiling { runs: 2 }];
@@ -225,11 +225,11 @@
         caller(true, Told::Done, &[REFUSED, TryEnd::Answered(Done)]),
         vec![refused_run(), run(2)],
     ) => [];
-    filing_run_twice_behind_an_unknown: evidence(
+    filing_run_twice_with_unknown_outcome: evidence(
         caller(true, Told::Unknown, &[UNKNOWN]),
         vec![run(1), run(1)],
     ) => [Breach::DoubledFiling { runs: 2 }];
-    filing_answered_from_memory: evidence(
+    filing_with_a_stored_response: evidence(
         copies(FilingWay::Ticket, &[UNKNOWN, TryEnd::Answered(Done)]),
         vec![run(1)],
     ) => [];
@@ -237,7 +237,7 @@
         copies(FilingWay::Ticket, &[TryEnd::TimedOut, REFUSED]),
         vec![run(1)],
     ) => [Breach::NotRunRan { try_number: 1 }];
-    copy_by_key_refused_where_nobody_knew: evidence(
+    copy_by_key_refused_by_an_entry_unaware_of_the_run: evidence(
         copies(FilingWay::Key, &[TryEnd::TimedOut, REFUSED]),
         vec![run(1)],
     ) => [];
@@ -252,22 +252,22 @@
     idempotent_run_twice: evidence(done(false), vec![run(1), run(1)]) => [];
     refused_but_ran: evidence(refused(&[REFUSED]), vec![run(1)])
         => [Breach::NotRunRan { try_number: 1 }];
-    refused_and_refused_by_the_upstream: evidence(refused(&[REFUSED]), vec![refused_run()]) => [];
+    refused_by_entry_and_upstream: evidence(refused(&[REFUSED]), vec![refused_run()]) => [];
     second_try_refused_but_ran: evidence(refused(&[REFUSED, REFUSED]), vec![run(2)])
         => [Breach::NotRunRan { try_number: 2 }];
     done_but_never_ran: evidence(done(false), vec![]) => [Breach::DoneNotRun { try_number: 1 }];
     done_but_record_lost: Evidence { runs_complete: false, ..evidence(done(false), vec![]) } => [];
-    short_answer: evidence(flawed(Flaw::Length { expected: 2, received: 1 }), vec![run(1)])
+    truncated_response: evidence(flawed(Flaw::Length { expected: 2, received: 1 }), vec![run(1)])
         => [Breach::NotWhole { flaw: "Length { expected: 2, received: 1 }".into() }];
     late_within_allowance: evidence(late_by(50_000), vec![run(1)]) => [];
     late: evidence(late_by(51_000), vec![run(1)]) => [Breach::NoFinalAnswer { late_ms: 51 }];
-    never_answered: evidence(caller(false, Told::NoAnswer, &[TryEnd::TimedOut]), vec![run(1)])
+    no_response: evidence(caller(false, Told::NoAnswer, &[TryEnd::TimedOut]), vec![run(1)])
         => [Breach::NoFinalAnswer { late_ms: 0 }];
-    never_answered_by_a_frozen_entry: with_disturbed(
+    no_response_from_a_frozen_entry: with_disturbed(
         evidence(caller(false, Told::NoAnswer, &[TryEnd::TimedOut]), vec![]),
         START_US + 5_000,
     ) => [];
-    nobody_reached: evidence(caller(false, Told::Unreached, &[]), vec![])
+    no_entry_reached: evidence(caller(false, Told::Unreached, &[]), vec![])
         => [Breach::NoFinalAnswer { late_ms: 0 }];
     cut_though_retried: evidence(
         caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
@@ -287,7 +287,7 @@
         ),
         START_US + 20_000,
     ) => [Breach::Cut { entry: ENTRY.into() }];
-    cut_because_the_upstream_was_short: evidence(
+    cut_after_the_upstream_truncated_its_response: evidence(
         caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
         vec![truncated_run(), run(2)],
     ) => [];
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn violation_tells_the_history_of_its_request() {
+fn violation_contains_the_history_of_its_request() {
     let evidence = evidence(refused(&[REFUSED]), vec![run(1)]);
     let text = judge(&evidence)[0].to_string();
     for part in [
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report's figures, each from a few records of callers and upstreams.
+//! The report's figures, computed from a few records of callers and upstreams.
 
 use base::RunOutcome::Done;
 use load::{
@@ -6,11 +6,11 @@
     DrainTime,
     Evidence,
     FilingWay,
-    FreeSecond,
     Leaving,
     Limits,
     Report,
     Run,
+    SecondHeadroom,
     Told,
     Try,
     TryEnd,
@@ -34,7 +34,7 @@
 ";
 const START_MS: u64 = 1_000_000;
 
-/// A request from arusha at a time in milliseconds from the start, by one try to `entry`.
+/// A request from arusha, `at_ms` after the start, with one try at `entry`.
 fn caller(id: &str, at_ms: u64, entry: &str) -> CallerRecord {
     let at_us = (START_MS + at_ms) * 1_000;
     let attempt = Try {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Two seconds of arrivals, an upstream of two slots in each region.
+/// Two seconds of arrivals, and an upstream with two slots in each region.
 fn evidence(runs: Vec<Run>) -> Evidence {
     let facts = |region: &str| UpstreamFacts {
         service: "menu".into(),
@@ -108,10 +108,11 @@
     Report::new(evidence, Vec::new())
 }
 
-/// Least and mean of each second, in whole percent.
-fn seconds(free: &[FreeSecond]) -> Vec<(i64, i64)> {
+/// Minimum and mean of each second, in whole percent.
+fn seconds(headroom: &[SecondHeadroom]) -> Vec<(i64, i64)> {
     let whole = |pct: f64| pct.round() as i64;
-    free.iter()
+    headroom
+        .iter()
         .map(|second| (whole(second.least_pct), whole(second.mean_pct)))
         .collect()
 }
@@ -130,26 +131,27 @@
 }
 
 headroom! {
-    idle_region_is_free: [] => [(100, 100), (100, 100)], below 0;
-    runs_elsewhere_take_nothing: [run("c1", "m0", 0, 2_000)] => [(100, 100), (100, 100)], below 0;
+    idle_region_has_full_headroom: [] => [(100, 100), (100, 100)], below 0;
+    runs_in_another_region_use_no_slot: [run("c1", "m0", 0, 2_000)]
+        => [(100, 100), (100, 100)], below 0;
     one_run_of_half_a_second: [run("c1", "a0", 0, 500)] => [(50, 75), (100, 100)], below 0;
     one_run_over_the_boundary: [run("c1", "a0", 500, 1_500)] => [(50, 75), (50, 75)], below 0;
     one_run_from_before_the_first_arrival: [Run {
         started_us: Some(START_MS * 1_000 - 5_000_000),
         ..run("c1", "a0", 0, 1_000)
     }] => [(50, 50), (100, 100)], below 0;
-    full_for_a_second: [run("c1", "a0", 0, 1_000), run("c2", "a0", 0, 1_000)]
+    all_slots_in_use_for_a_second: [run("c1", "a0", 0, 1_000), run("c2", "a0", 0, 1_000)]
         => [(0, 0), (100, 100)], below 1;
-    unended_run_holds_its_slot: [Run { ended_us: None, ..run("c1", "a0", 1_000, 0) }]
+    running_request_uses_its_slot: [Run { ended_us: None, ..run("c1", "a0", 1_000, 0) }]
         => [(100, 100), (50, 50)], below 0;
-    refused_run_holds_none: [Run { started_us: None, ..run("c1", "a0", 0, 1_000) }]
+    refused_request_uses_no_slot: [Run { started_us: None, ..run("c1", "a0", 0, 1_000) }]
         => [(100, 100), (100, 100)], below 0;
-    one_ends_as_the_next_begins: [run("c1", "a0", 0, 500), run("c2", "a0", 500, 1_000)]
+    run_that_starts_as_another_ends: [run("c1", "a0", 0, 500), run("c2", "a0", 500, 1_000)]
         => [(50, 50), (100, 100)], below 0;
 }
 
-/// `(requests, bytes, bytes of the fullest second)` of a pair.
-fn shift(report: &Report, pair: &str) -> (u64, u64, u64) {
+/// `(requests, bytes, bytes of the second with the most)` of a pair.
+fn shifted_figures(report: &Report, pair: &str) -> (u64, u64, u64) {
     let shifted = &report.shifted[pair];
     assert_eq!(shifted.cap_bytes_per_s, Some(5_000));
     (shifted.requests, shifted.bytes, shifted.peak_bytes_per_s)
@@ -160,24 +162,25 @@
         #[test]
         fn $name() {
             let report = report(&evidence(vec![$($run),*]));
-            assert_eq!(shift(&report, $pair), $expected);
+            assert_eq!(shifted_figures(&report, $pair), $expected);
         }
     )*};
 }
 
 shifts! {
-    work_at_home_is_no_shift: [run("c1", "a0", 0, 10)], "arusha>moshi" => (0, 0, 0);
-    work_of_an_entry_elsewhere: [run("c1", "m0", 0, 10)], "arusha>moshi" => (1, 1_000, 1_000);
-    other_way_is_another_pair: [run("c1", "m0", 0, 10)], "moshi>arusha" => (0, 0, 0);
-    caller_who_asks_the_other_region_himself: [run("c2", "m0", 1_999, 2_000)], "arusha>moshi" => (0, 0, 0);
+    work_in_the_entrys_region_is_not_shifted: [run("c1", "a0", 0, 10)], "arusha>moshi" => (0, 0, 0);
+    work_in_another_region_is_shifted: [run("c1", "m0", 0, 10)], "arusha>moshi" => (1, 1_000, 1_000);
+    opposite_direction_is_a_separate_pair: [run("c1", "m0", 0, 10)], "moshi>arusha" => (0, 0, 0);
+    work_in_the_other_entrys_region_is_not_shifted: [run("c2", "m0", 1_999, 2_000)],
+        "arusha>moshi" => (0, 0, 0);
     runs_of_two_seconds_peak_in_one: [
         run("c1", "m0", 0, 10), run("c1", "m0", 0, 20), run("c1", "m0", 0, 1_500)
     ], "arusha>moshi" => (3, 3_000, 2_000);
-    refused_elsewhere_is_no_shift: [Run { started_us: None, ..run("c1", "m0", 0, 10) }],
+    refused_request_is_not_shifted: [Run { started_us: None, ..run("c1", "m0", 0, 10) }],
         "arusha>moshi" => (0, 0, 0);
 }
 
-/// Drain of `a0`, asked for at 100 ms and known from 300 ms on.
+/// Drain of `a0`, requested at 100 ms and detectable from 300 ms on.
 fn drained(until_ms: Option<u64>, runs: Vec<Run>) -> DrainTime {
     let us = |ms: u64| (START_MS + ms) * 1_000;
     let leaving = Leaving {
@@ -204,14 +207,15 @@
 }
 
 drains! {
-    empty_at_once: until None, [run("c1", "a0", 99, 5_000)] => 0, 0;
+    no_new_work: until None, [run("c1", "a0", 99, 5_000)] => 0, 0;
     last_new_work_counts: until None, [run("c1", "a0", 200, 210), run("c2", "a0", 900, 910)] => 800, 2;
-    work_elsewhere_does_not: until None, [run("c1", "m0", 900, 910)] => 0, 0;
-    work_after_the_return_does_not: until Some(500), [run("c1", "a0", 200, 210), run("c2", "a0", 500, 510)]
-        => 100, 1;
+    work_elsewhere_does_not_count: until None, [run("c1", "m0", 900, 910)] => 0, 0;
+    work_after_the_return_does_not_count: until Some(500), [
+        run("c1", "a0", 200, 210), run("c2", "a0", 500, 510)
+    ] => 100, 1;
 }
 
-/// Retries of callers, of entries, and both for each request.
+/// Retries of callers, retries of entries, and both per request.
 fn retries(evidence: &Evidence) -> (u64, u64, f64) {
     let row = &report(evidence).classes["menu"];
     (row.retries, row.entry_retries, row.retries_per_request)
@@ -224,24 +228,24 @@
 }
 
 #[test]
-fn entry_that_asks_a_second_upstream_retries() {
+fn second_upstream_counts_as_an_entry_retry() {
     let evidence = evidence(vec![run("c1", "a0", 0, 10), run("c1", "m0", 20, 30)]);
     assert_eq!(retries(&evidence), (0, 1, 0.5));
 }
 
 #[test]
-fn caller_who_tries_again_retries() {
+fn second_try_counts_as_a_caller_retry() {
     let mut evidence = evidence(vec![run("c1", "a0", 0, 10)]);
-    let again = Try {
+    let second_try = Try {
         number: 2,
         ..evidence.callers[0].tries[0].clone()
     };
-    evidence.callers[0].tries.push(again);
-    let second = Run {
+    evidence.callers[0].tries.push(second_try);
+    let second_run = Run {
         try_number: 2,
         ..run("c1", "a0", 20, 30)
     };
-    evidence.runs.push(second);
+    evidence.runs.push(second_run);
     assert_eq!(retries(&evidence), (1, 0, 0.5));
 }
 
--- a/crates/load/tests/scene.rs
+++ b/crates/load/tests/scene.rs
@@ -1,4 +1,4 @@
-//! Scenes: what a file may say, and the schedule that follows from it.
+//! Scene files, the schedule of arrivals, and the check of responses.
 
 use load::{
     schedule,
@@ -29,8 +29,8 @@
   - {class: menu, region: moshi, from_ms: 4000, to_ms: 6000, factor: 5}
 ";
 
-/// What a file may say besides.
-const MORE: &str = "
+/// Optional fields: the system under test, the policies, events and kills.
+const OPTIONAL_FIELDS: &str = "
 user: kilima
 policies: [ours, hot-cold]
 focus: arusha
@@ -50,9 +50,9 @@
     ($($name:ident: $from:expr => $to:expr, [$($finding:expr),+ $(,)?];)*) => {$(
         #[test]
         fn $name() {
-            let whole = format!("{SCENE}{MORE}");
-            let text = whole.replace($from, $to);
-            assert_ne!(text, whole);
+            let original = format!("{SCENE}{OPTIONAL_FIELDS}");
+            let text = original.replace($from, $to);
+            assert_ne!(text, original);
             let found = Scene::read("scene.yaml", &text).unwrap_err().to_string();
             let found: Vec<_> = found.lines().collect();
             assert_eq!(found, [$($finding),+]);
@@ -61,20 +61,20 @@
 }
 
 findings! {
-    two_mistakes_reported_together: "share: 3" => "share: -3, caller: 1", [
+    all_findings_are_reported_together: "share: 3" => "share: -3, caller: 1", [
         "scene.yaml:5:47: `share` must be a number of 0 or more",
         "scene.yaml:5:51: unknown field `caller`, did you mean `callers`?",
     ];
-    block_that_is_none: "10.2.0.0/16" => "10.2.0.1/16", [
+    invalid_block: "10.2.0.0/16" => "10.2.0.1/16", [
         "scene.yaml:6:26: `block` must be an IPv4 block as in 10.1.0.0/16",
     ];
-    filing_of_a_download: "work: echo" => "work: bytes", [
+    filing_with_a_download: "work: echo" => "work: bytes", [
         "scene.yaml:9:61: `work` of a filing must be echo",
     ];
     burst_of_an_unknown_class: "{class: menu" => "{class: menus", [
         "scene.yaml:11:13: `class` names no class of this scene",
     ];
-    region_twice: "name: moshi" => "name: arusha", [
+    duplicate_region: "name: moshi" => "name: arusha", [
         "scene.yaml:6:5: `regions` names `arusha` twice",
         "scene.yaml:11:27: `region` names no region of this scene",
     ];
@@ -84,27 +84,27 @@
     focus_on_an_unknown_region: "focus: arusha" => "focus: dar", [
         "scene.yaml:15:8: `focus` names no region of this scene",
     ];
-    return_of_no_region: "focus: arusha\n" => "", [
+    back_at_without_focus: "focus: arusha\n" => "", [
         "scene.yaml:15:13: `back_at_ms` needs `focus` to say which region is back",
     ];
-    path_without_place_for_each: "?id={id}" => "?id=m0", [
+    path_without_placeholder_for_each: "?id={id}" => "?id=m0", [
         "scene.yaml:18:44: `path` must have `{id}` exactly if there is `each`",
     ];
-    place_without_each: "each: [m0, m1], " => "", [
+    placeholder_without_each: "each: [m0, m1], " => "", [
         "scene.yaml:18:44: `path` must have `{id}` exactly if there is `each`",
     ];
-    body_that_is_no_json: "body: '{}'" => "body: '{'", [
+    body_that_is_not_json: "body: '{}'" => "body: '{'", [
         "scene.yaml:19:63: `body` must be JSON",
     ];
-    kill_of_nobody: "instances: [arusha-0, arusha-1]" => "instance: arusha-0", [
+    kill_without_instances: "instances: [arusha-0, arusha-1]" => "instance: arusha-0", [
         "scene.yaml:21:5: missing field `instances`",
         "scene.yaml:21:19: unknown field `instance`, did you mean `instances`?",
     ];
 }
 
 #[test]
-fn file_says_for_which_system_and_policies() {
-    let plan = Plan::read("scene.yaml", &format!("{SCENE}{MORE}")).unwrap();
+fn plan_contains_the_system_and_the_policies() {
+    let plan = Plan::read("scene.yaml", &format!("{SCENE}{OPTIONAL_FIELDS}")).unwrap();
     assert_eq!(plan.user.as_deref(), Some("kilima"));
     assert_eq!(plan.policies, [Policy::LeastLoaded, Policy::HotCold]);
     assert_eq!(
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn event_for_each_is_one_for_each() {
-    let scene = Plan::read("scene.yaml", &format!("{SCENE}{MORE}"))
+fn each_expands_to_one_event_per_id() {
+    let scene = Plan::read("scene.yaml", &format!("{SCENE}{OPTIONAL_FIELDS}"))
         .unwrap()
         .scene;
     let paths: Vec<_> = scene.events.iter().map(|event| &*event.path).collect();
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn file_that_names_no_policy_compares_all() {
+fn policies_default_to_all() {
     let plan = Plan::read("scene.yaml", SCENE).unwrap();
     assert_eq!(plan.policies, Policy::ALL);
 }
 
-/// Symptom: a run of minutes ends at a scene that can't be read. Cause: nobody read it before.
+/// Without this test, an invalid scene file is found only when a run of minutes reaches it.
 #[test]
 fn every_scene_of_the_repository_reads() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenes");
@@ -150,14 +150,14 @@
     assert_ne!(schedule(&scene()), schedule(&other));
 }
 
-/// Counts arrivals of a class in a region within seconds of the run.
+/// Counts the arrivals of a class in a region from second `from_s` to second `to_s`.
 fn count(scene: &Scene, class: usize, region: usize, from_s: u64, to_s: u64) -> f64 {
     let within = Duration::from_secs(from_s)..Duration::from_secs(to_s);
     let arrivals = schedule(scene);
-    let of_it = arrivals
+    let matching = arrivals
         .iter()
         .filter(|a| a.class == class && a.region == region && within.contains(&a.at));
-    of_it.count() as f64
+    matching.count() as f64
 }
 
 macro_rules! rates {
@@ -166,7 +166,7 @@
         fn $name() {
             let counted = count(&scene(), $class, $region, $from, $to);
             let expected: f64 = $expected;
-            // Five standard deviations of a Poisson count; the seed is fixed anyhow.
+            // Five standard deviations of a Poisson count; the seed is fixed.
             let tolerance = 5.0 * expected.sqrt();
             assert!((counted - expected).abs() < tolerance, "{counted} arrivals");
         }
@@ -174,7 +174,7 @@
 }
 
 rates! {
-    home_share: class 0, region 0, 0, 10 => 1_500.0;
+    share_of_a_region: class 0, region 0, 0, 10 => 1_500.0;
     before_the_burst: class 0, region 1, 0, 4 => 200.0;
     in_the_burst: class 0, region 1, 4, 6 => 500.0;
     after_the_burst: class 0, region 1, 6, 10 => 200.0;
@@ -192,8 +192,8 @@
 }
 
 #[test]
-fn burst_of_one_class_leaves_the_others_as_they_were() {
-    let calm = Scene {
+fn burst_of_one_class_leaves_the_others_unchanged() {
+    let without_bursts = Scene {
         bursts: Vec::new(),
         ..scene()
     };
@@ -203,7 +203,7 @@
             .filter(|a| a.class == 1)
             .collect()
     };
-    assert_eq!(orders(&calm), orders(&scene()));
+    assert_eq!(orders(&without_bursts), orders(&scene()));
 }
 
 #[test]
@@ -216,8 +216,8 @@
     assert_eq!(addresses.len(), 50);
 }
 
-fn id(fill: &str) -> bytestring::ByteString {
-    fill.repeat(32).into()
+fn id(digit: &str) -> bytestring::ByteString {
+    digit.repeat(32).into()
 }
 
 fn check(feed: impl FnOnce(&mut Checker<'_>)) -> Option<Flaw> {
@@ -227,61 +227,61 @@
     checker.finish()
 }
 
-/// Whole answer to the request of [`check`], as the stand-in makes it.
-fn whole() -> Vec<u8> {
+/// Complete response to the request of [`check`], as the stand-in generates it.
+fn body() -> Vec<u8> {
     let path = Payload::new(Work::Bytes, 1_000, &id("a"), 1).path;
     Pattern::new(&path, 1_000).chunk(0, 1_000).to_vec()
 }
 
 #[test]
-fn whole_answer_in_parts_is_whole() {
-    let whole = whole();
-    let flaw = check(|checker| whole.chunks(33).for_each(|part| checker.feed(part)));
+fn complete_response_in_parts_has_no_flaw() {
+    let body = body();
+    let flaw = check(|checker| body.chunks(33).for_each(|part| checker.feed(part)));
     assert_eq!(flaw, None);
 }
 
 #[test]
-fn short_answer_is_found() {
-    let whole = whole();
-    let flaw = check(|checker| checker.feed(&whole[..whole.len() - 1]));
+fn truncated_response_is_found() {
+    let body = body();
+    let flaw = check(|checker| checker.feed(&body[..body.len() - 1]));
     let (expected, received) = (1_000, 999);
     assert_eq!(flaw, Some(Flaw::Length { expected, received }));
 }
 
 #[test]
 fn changed_byte_is_found() {
-    let mut whole = whole();
-    whole[40] ^= 1;
-    let flaw = check(|checker| whole.chunks(33).for_each(|part| checker.feed(part)));
+    let mut body = body();
+    body[40] ^= 1;
+    let flaw = check(|checker| body.chunks(33).for_each(|part| checker.feed(part)));
     assert_eq!(flaw, Some(Flaw::Content { at: 33 }));
 }
 
 #[test]
-fn answer_to_another_download_is_found() {
+fn response_to_another_download_is_found() {
     let other = Payload::new(Work::Bytes, 1_000, &id("b"), 1).path;
-    let whole = Pattern::new(&other, 1_000).chunk(0, 1_000);
+    let body = Pattern::new(&other, 1_000).chunk(0, 1_000);
     assert_eq!(
-        check(|checker| checker.feed(&whole)),
+        check(|checker| checker.feed(&body)),
         Some(Flaw::Content { at: 0 })
     );
 }
 
-/// Echo of a filing as the stand-in makes it.
+/// Echo of a filing, as the stand-in generates it.
 fn echo(payload: &Payload) -> String {
     let digest = blake3::hash(&payload.body).to_hex();
     let (path, bytes) = (&payload.path, payload.body.len());
     format!("{{\"path\":\"{path}\",\"body_bytes\":{bytes},\"body_digest\":\"{digest}\"}}")
 }
 
-fn check_echo(answered: &Payload) -> Option<Flaw> {
-    let asked = Payload::new(Work::Echo, 100, &id("a"), 2);
-    let mut checker = asked.checker();
-    checker.feed(echo(answered).as_bytes());
+fn check_echo(echoed: &Payload) -> Option<Flaw> {
+    let sent = Payload::new(Work::Echo, 100, &id("a"), 2);
+    let mut checker = sent.checker();
+    checker.feed(echo(echoed).as_bytes());
     checker.finish()
 }
 
 #[test]
-fn echo_of_an_earlier_try_is_whole() {
+fn echo_of_an_earlier_try_has_no_flaw() {
     assert_eq!(
         check_echo(&Payload::new(Work::Echo, 100, &id("a"), 1)),
         None
