--- a/crates/op/src/burn.rs
+++ b/crates/op/src/burn.rs
@@ -18,9 +18,9 @@
 pub struct Bucket {
     /// Number of the bucket since the process started.
     pub index: u64,
-    /// Requests answered whole within the class's latency target.
+    /// Requests with a complete response within the class's latency target.
     pub good: u64,
-    /// All others.
+    /// All other requests.
     pub bad: u64,
 }
 
@@ -29,28 +29,28 @@
 pub struct ClassBurn {
     /// Class.
     pub class: ClassId,
-    /// Good requests that the configuration asks for, per million.
+    /// Configured target for good requests, per million.
     pub success_target_ppm: u32,
-    /// Latency up to which a whole answer is good, in milliseconds.
+    /// Latency up to which a complete response is good, in milliseconds.
     pub latency_target_ms: u64,
-    /// Buckets that are not empty, oldest first.
+    /// Non-empty buckets, oldest first.
     pub buckets: Vec<Bucket>,
-    /// Whole answers since the start: latency in microseconds, to about 1 %, and their number.
+    /// Complete responses since the start, as latency in microseconds (to about 1 %) and count.
     pub latency_us: Vec<(u64, u64)>,
 }
 
-/// Counts of one daemon. They begin with its process.
+/// Counts of one daemon since its process started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Burn {
     /// The daemon.
     pub instance: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Configuration in force there.
+    /// Configuration version in force there.
     pub version: Version,
     /// Time since counting started, in milliseconds.
     pub age_ms: u64,
--- a/crates/op/src/change.rs
+++ b/crates/op/src/change.rs
@@ -1,4 +1,4 @@
-//! Requests that change something, as the client sends them.
+//! State-changing requests, as the client sends them.
 
 use crate::{
     AcceptRequest,
@@ -9,16 +9,16 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// A request that changes something under an accept id.
+/// A request that changes state under an accept id.
 pub trait Change: Serialize {
     /// Path on the operators' port.
     const PATH: &'static str;
 
-    /// Whether "another accept came first" also speaks for an earlier request of this accept id
-    /// whose answer was lost.
+    /// Whether [`Refusal::Raced`](crate::Refusal::Raced) also settles an earlier request with this
+    /// accept id whose response was lost.
     ///
-    /// It does if the base is fixed: once the head has moved past it, no commit on it can take
-    /// effect. A drain or a target is tried again on newer bases by the daemon itself.
+    /// It does if the base version is fixed: once the head has moved past it, no commit on that
+    /// base can take effect. The daemon itself retries a drain or a target on newer bases.
     fn raced_is_final(&self) -> bool {
         false
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Content type of a request without anything beside its JSON.
+/// Content type of a request that consists of JSON only.
 const JSON: &str = "application/json";
 
 fn to_json(request: &(impl Serialize + ?Sized)) -> Bytes {
--- a/crates/op/src/client.rs
+++ b/crates/op/src/client.rs
@@ -1,4 +1,4 @@
-//! The client that tries daemons in turn.
+//! Client of the operators' port, which tries daemons in turn.
 
 use crate::{
     Accepted,
@@ -26,20 +26,20 @@
 };
 use strict::strict_connector;
 
-/// Longest answer that is read: a configuration with its block table.
-const ANSWER_LIMIT_BYTES: usize = 256 << 20;
+/// Size limit of a response; the largest is a configuration with its block table.
+const RESPONSE_LIMIT_BYTES: usize = 256 << 20;
 
-/// What became of one request to one daemon.
+/// Result of one request to one daemon.
 enum Exchange {
-    /// It answered.
-    Answer(u16, Bytes),
-    /// Nothing was sent.
+    /// The daemon responded with this status and body.
+    Response(u16, Bytes),
+    /// The request was not sent.
     NotSent(String),
-    /// It may have reached the daemon.
+    /// The request may have reached the daemon.
     MaybeSent(String),
 }
 
-/// Client of the daemons that were named.
+/// Client of the configured daemons.
 pub struct Client {
     daemons: Vec<String>,
     key: Option<String>,
@@ -56,9 +56,9 @@
 }
 
 impl Client {
-    /// Client that uses the first of `daemons` that answers, each within `timeout`.
+    /// Creates a client that uses the first of `daemons` that responds, each within `timeout`.
     ///
-    /// To be used inside an actix system.
+    /// Has to run inside an actix system.
     pub fn new(daemons: Vec<String>, key: Option<String>, timeout: Duration) -> Self {
         let http = awc::Client::builder()
             .connector(strict_connector().timeout(timeout))
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Reads `path` from the first daemon that answers.
+    /// Reads `path` from the first daemon that responds.
     ///
     /// # Errors
     ///
-    /// The first refusal, or that no daemon answered.
+    /// The first refusal, or that no daemon responded.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let mut tried = Vec::new();
         for daemon in &self.daemons {
             match self.get_from(daemon, path).await {
-                Err(Failure::NoAnswer { tried: why }) => tried.extend(why),
-                answered => return answered,
+                Err(Failure::NoAnswer { tried: reasons }) => tried.extend(reasons),
+                result => return result,
             }
         }
         Err(Failure::NoAnswer { tried })
@@ -93,26 +93,26 @@
     ///
     /// # Errors
     ///
-    /// Its refusal, or that it didn't answer.
+    /// Its refusal, or that it didn't respond.
     pub async fn get_from<T: DeserializeOwned>(
         &self,
         daemon: &str,
         path: &str,
     ) -> Result<T, Failure> {
         let request = self.http.get(format!("http://{daemon}{path}"));
-        let no_answer = |why| Failure::NoAnswer {
-            tried: vec![format!("{daemon}: {why}")],
+        let no_response = |reason| Failure::NoAnswer {
+            tried: vec![format!("{daemon}: {reason}")],
         };
         match self.exchange(request, Bytes::new()).await {
-            Exchange::Answer(status, body) => match read(status, &body) {
-                Ok(answer) => answer.map_err(|refusal| refused(daemon, refusal)),
-                Err(why) => Err(no_answer(why)),
+            Exchange::Response(status, body) => match parse_response(status, &body) {
+                Ok(result) => result.map_err(|refusal| refused(daemon, refusal)),
+                Err(reason) => Err(no_response(reason)),
             },
-            Exchange::NotSent(why) | Exchange::MaybeSent(why) => Err(no_answer(why)),
+            Exchange::NotSent(reason) | Exchange::MaybeSent(reason) => Err(no_response(reason)),
         }
     }
 
-    /// The daemons that this client was given.
+    /// The daemons that this client is configured with.
     pub fn given_daemons(&self) -> Vec<Daemon> {
         let to_daemon = |addr: &String| Daemon {
             addr: addr.clone(),
@@ -121,15 +121,15 @@
         self.daemons.iter().map(to_daemon).collect()
     }
 
-    /// All daemons that are known: those that the first one to answer knows and that have not left,
-    /// and those that this client was given.
+    /// All known daemons: those that the first one to respond knows and that have not left, and
+    /// those that this client is configured with.
     ///
     /// # Errors
     ///
-    /// When no daemon answered.
+    /// When no daemon responded.
     pub async fn known_daemons(&self) -> Result<Vec<Daemon>, Failure> {
-        let known: Instances = self.get("/op/v1/instances").await?;
-        let present = known.instances.into_iter();
+        let view: Instances = self.get("/op/v1/instances").await?;
+        let present = view.instances.into_iter();
         let present = present.filter(|instance| instance.state != LeaseState::Left);
         let mut daemons: Vec<Daemon> = present
             .map(|instance| Daemon {
@@ -137,29 +137,29 @@
                 instance: Some(instance.instance),
             })
             .collect();
-        for given in self.given_daemons() {
-            if daemons.iter().all(|daemon| daemon.addr != given.addr) {
-                daemons.push(given);
+        for configured in self.given_daemons() {
+            if daemons.iter().all(|daemon| daemon.addr != configured.addr) {
+                daemons.push(configured);
             }
         }
         Ok(daemons)
     }
 
-    /// Reads `path` from each of `daemons` at once, answers in their order.
+    /// Reads `path` from all `daemons` concurrently; the results are in their order.
     pub async fn get_from_each<T: DeserializeOwned>(
         &self,
         daemons: &[Daemon],
         path: &str,
     ) -> Vec<Result<T, Failure>> {
-        let asked = daemons.iter();
-        join_all(asked.map(|daemon| self.get_from(&daemon.addr, path))).await
+        let queried = daemons.iter();
+        join_all(queried.map(|daemon| self.get_from(&daemon.addr, path))).await
     }
 
-    /// Asks for a change, and repeats it at the next daemon when an answer was lost.
+    /// Requests a change, and repeats it at the next daemon if a response was lost.
     ///
     /// # Errors
     ///
-    /// A refusal that is certain, or that the outcome is unknown.
+    /// A definite refusal, that no daemon responded, or that the outcome is unknown.
     pub async fn change<C: Change>(&self, change: &C) -> Result<Accepted, Failure> {
         let (content_type, body) = change.to_body();
         let mut tried = Vec::new();
@@ -169,8 +169,9 @@
                 .http
                 .post(format!("http://{daemon}{}", C::PATH))
                 .content_type(content_type);
-            let why = match self.exchange(request, body.clone()).await {
-                Exchange::Answer(status, body) => match read::<Accepted>(status, &body) {
+            let reason = match self.exchange(request, body.clone()).await {
+                Exchange::Response(status, body) => match parse_response::<Accepted>(status, &body)
+                {
                     Ok(Ok(accepted)) => return Ok(accepted),
                     Ok(Err(refusal)) if is_final(&refusal, in_doubt, change) => {
                         return Err(refused(daemon, refusal));
@@ -179,19 +180,19 @@
                         tried.push(format!("{daemon}: {refusal}"));
                         return Err(Failure::Unknown { tried });
                     }
-                    Err(why) => {
-                        // Whoever has no such request did nothing, whatever its release.
+                    Err(reason) => {
+                        // A daemon that lacks the request changed nothing, whichever its release.
                         in_doubt |= !is_unknown_request(status);
-                        why
+                        reason
                     }
                 },
-                Exchange::NotSent(why) => why,
-                Exchange::MaybeSent(why) => {
+                Exchange::NotSent(reason) => reason,
+                Exchange::MaybeSent(reason) => {
                     in_doubt = true;
-                    why
+                    reason
                 }
             };
-            tried.push(format!("{daemon}: {why}"));
+            tried.push(format!("{daemon}: {reason}"));
         }
         Err(if in_doubt {
             Failure::Unknown { tried }
@@ -206,12 +207,12 @@
             None => request,
         };
         let exchange = async {
-            let mut answer = match request.send_body(body).await {
-                Ok(answer) => answer,
-                Err(error) => return unanswered(&error),
+            let mut response = match request.send_body(body).await {
+                Ok(response) => response,
+                Err(error) => return classify_send_error(&error),
             };
-            match answer.body().limit(ANSWER_LIMIT_BYTES).await {
-                Ok(body) => Exchange::Answer(answer.status().as_u16(), body),
+            match response.body().limit(RESPONSE_LIMIT_BYTES).await {
+                Ok(body) => Exchange::Response(response.status().as_u16(), body),
                 Err(error) => Exchange::MaybeSent(error.to_string()),
             }
         };
@@ -224,18 +225,18 @@
     }
 }
 
-/// Whether a refusal settles what became of a change.
+/// Whether a refusal settles the outcome of a change.
 fn is_final(refusal: &Refusal, in_doubt: bool, change: &impl Change) -> bool {
     match refusal {
         Refusal::Unknown { .. } => false,
         Refusal::Raced { .. } => !in_doubt || change.raced_is_final(),
         Refusal::Reused { .. } => true,
-        // They say that this request changed nothing, not what became of the one before.
+        // These state that this request changed nothing, but not the outcome of earlier ones.
         _ => !in_doubt,
     }
 }
 
-/// Whether a status says that there is no such request.
+/// Whether a status means that the daemon does not have this request.
 fn is_unknown_request(status: u16) -> bool {
     matches!(status, 404 | 405)
 }
@@ -247,12 +248,15 @@
     }
 }
 
-/// Reads an answer: what was asked for, or a refusal.
+/// Parses a response: the requested value, or a refusal.
 ///
 /// # Errors
 ///
-/// When it is neither, as from a daemon of another release.
-fn read<T: DeserializeOwned>(status: u16, body: &[u8]) -> Result<Result<T, Refusal>, String> {
+/// When it is neither, for example from a daemon of another release.
+fn parse_response<T: DeserializeOwned>(
+    status: u16,
+    body: &[u8],
+) -> Result<Result<T, Refusal>, String> {
     let malformed = |error: serde_json::Error| {
         format!("an answer of status {status} that can't be read, of another release? ({error})")
     };
@@ -262,8 +266,10 @@
     serde_json::from_slice(body).map(Err).map_err(malformed)
 }
 
-/// Sorts the client's errors by whether something was sent; see `plat` for the odd one.
-fn unanswered(error: &SendRequestError) -> Exchange {
+/// Classifies a send error by whether the request may have been sent.
+///
+/// See `plat` for the reason that `Disconnected` counts as sent.
+fn classify_send_error(error: &SendRequestError) -> Exchange {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => {
             Exchange::MaybeSent("the connection closed before an answer".to_owned())
--- a/crates/op/src/daemon.rs
+++ b/crates/op/src/daemon.rs
@@ -1,17 +1,17 @@
-//! Daemons as operators name them.
+//! Daemons as operators address them.
 
 use base::InstanceId;
 use std::fmt;
 
-/// Reads the operators' address of a daemon as a person gives it.
+/// Checks an operators' address of a daemon, as entered by a person.
 ///
 /// # Errors
 ///
 /// When it is not of the form HOST:PORT.
 pub fn read_addr(text: &str) -> Result<String, String> {
     let is_host = |host: &str| {
-        let is_part = |c: char| c.is_ascii_alphanumeric() || ".-_:[]".contains(c);
-        !host.is_empty() && host.chars().all(is_part)
+        let is_host_char = |c: char| c.is_ascii_alphanumeric() || ".-_:[]".contains(c);
+        !host.is_empty() && host.chars().all(is_host_char)
     };
     let parts = text.rsplit_once(':');
     let is_addr = parts.is_some_and(|(host, port)| is_host(host) && port.parse::<u16>().is_ok());
@@ -21,12 +21,12 @@
     Err("not an address of the form HOST:PORT".to_owned())
 }
 
-/// A daemon that is known.
+/// A known daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Daemon {
     /// Operators' address.
     pub addr: String,
-    /// Its instance, if another daemon named it.
+    /// Its instance, if another daemon reported it.
     pub instance: Option<InstanceId>,
 }
 
--- a/crates/op/src/failure.rs
+++ b/crates/op/src/failure.rs
@@ -1,38 +1,38 @@
-//! Why a command failed, by whether something may have changed.
+//! Failures of a command, by whether it may have changed something.
 
 use crate::Refusal;
 use std::fmt;
 
-/// Why a command was not done, or is not known to be.
+/// Why a command failed, or may have failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// A daemon refused; nothing was changed by this request.
+    /// A daemon refused the request, which changed nothing.
     Refused {
-        /// Which.
+        /// Address of the daemon.
         daemon: String,
-        /// Why.
+        /// Its refusal.
         refusal: Refusal,
     },
-    /// No daemon gave an answer that can be read; nothing was changed.
+    /// No daemon gave a valid response; nothing was changed.
     NoAnswer {
-        /// What became of each try.
+        /// Result of each attempt.
         tried: Vec<String>,
     },
-    /// It may have been done.
+    /// The command may have taken effect.
     Unknown {
-        /// What became of each try.
+        /// Result of each attempt.
         tried: Vec<String>,
     },
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (what, tried) = match self {
+        let (summary, tried) = match self {
             Self::Refused { daemon, refusal } => return write!(f, "{daemon}: {refusal}"),
             Self::NoAnswer { tried } => ("no daemon answered", tried),
             Self::Unknown { tried } => ("the outcome is unknown", tried),
         };
-        f.write_str(what)?;
+        f.write_str(summary)?;
         for line in tried {
             write!(f, "\n  {line}")?;
         }
--- a/crates/op/src/key.rs
+++ b/crates/op/src/key.rs
@@ -1,4 +1,4 @@
-//! The operators' key, as a client gets it.
+//! The operators' key, as a client obtains it.
 
 use std::{
     env, fmt, fs,
@@ -8,35 +8,35 @@
     },
 };
 
-/// Variable that holds the key where no file is named.
+/// Environment variable that holds the key if no file is given.
 pub const KEY_VARIABLE: &str = "JASMINE_KEY";
 
-/// A key that can't be used; the text of the key is never shown.
+/// Unusable key. The error never contains the key itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyError {
-    place: PathBuf,
-    why: String,
+    origin: PathBuf,
+    reason: String,
 }
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place.display(), self.why)
+        write!(f, "{}: {}", self.origin.display(), self.reason)
     }
 }
 
 impl std::error::Error for KeyError {}
 
-/// Reads the key from a file, or from [`KEY_VARIABLE`] if none is named; `None` if there is none.
+/// Reads the key from `file`, or else from [`KEY_VARIABLE`]; `None` if neither is set.
 ///
 /// # Errors
 ///
-/// When the file can't be read, or what it or the variable holds can't be a key.
+/// When the file can't be read, or the content of the file or variable is no valid key.
 pub fn read_key(file: Option<&Path>) -> Result<Option<String>, KeyError> {
-    let (place, text) = match file {
+    let (origin, text) = match file {
         Some(file) => {
             let text = fs::read_to_string(file).map_err(|error| KeyError {
-                place: file.to_owned(),
-                why: error.to_string(),
+                origin: file.to_owned(),
+                reason: error.to_string(),
             })?;
             (file, text)
         }
@@ -46,12 +46,12 @@
         },
     };
     let key = text.trim();
-    let is_plain = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
-    if is_plain {
+    let is_valid = !key.is_empty() && key.bytes().all(|byte| byte.is_ascii_graphic());
+    if is_valid {
         return Ok(Some(key.to_owned()));
     }
     Err(KeyError {
-        place: place.to_owned(),
-        why: "not a key on one line without spaces".to_owned(),
+        origin: origin.to_owned(),
+        reason: "not a key on one line without spaces".to_owned(),
     })
 }
--- a/crates/op/src/lib.rs
+++ b/crates/op/src/lib.rs
@@ -1,16 +1,15 @@
-//! The operators' port: its messages, and the client of it.
+//! The operators' port: its messages and its client.
 //!
-//! A daemon answers operators with JSON on a port of its own. Here are the messages of both sides,
-//! so that the daemon, `jasminectl` and `jasmine-report` can't drift apart, and [`Client`], which
-//! tries the daemons it was given one after the other.
+//! A daemon serves operators with JSON on a separate port. This crate defines the messages of both
+//! sides, so that the daemon, `jasminectl` and `jasmine-report` can't drift apart, and [`Client`],
+//! which tries its configured daemons one after the other.
 //!
-//! Invariants: a request that changes something carries an accept id, so that repeating it is
-//! harmless and tells what became of it. [`Failure`] says "nothing changed" only when that is
-//! certain; a lost answer is [`Failure::Unknown`] until a repeat was answered for certain.
+//! Invariants: a request that changes state carries an accept id, so that repeating it is harmless
+//! and returns the outcome. [`Failure`] states that nothing changed only when that is certain; a
+//! lost response is [`Failure::Unknown`] until a repeat gets a definite response.
 //!
-//! Start with `request` and `answer` for the words, `refusal` for what goes wrong, and `client`.
+//! Start with `request` and `response` for the messages, `refusal` for errors, and `client`.
 
-mod answer;
 mod burn;
 mod change;
 mod client;
@@ -19,25 +18,8 @@
 mod key;
 mod refusal;
 mod request;
+mod response;
 
-pub use answer::{
-    Accepted,
-    AcceptedHow,
-    Bounds,
-    ConfigAnswer,
-    Confirmation,
-    DrainStatus,
-    Drains,
-    InFlight,
-    InstanceStatus,
-    Instances,
-    PoolStatus,
-    ResourceStatus,
-    ShareStatus,
-    Shares,
-    Status,
-    Unconfirmed, //
-};
 pub use burn::{
     Bucket,
     Burn, //
@@ -63,3 +45,21 @@
     TargetRequest,
     WITH_BLOCKS, //
 };
+pub use response::{
+    Accepted,
+    AcceptedHow,
+    Bounds,
+    ConfigAnswer,
+    Confirmation,
+    DrainStatus,
+    Drains,
+    InFlight,
+    InstanceStatus,
+    Instances,
+    PoolStatus,
+    ResourceStatus,
+    ShareStatus,
+    Shares,
+    Status,
+    Unconfirmed, //
+};
--- a/crates/op/src/refusal.rs
+++ b/crates/op/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a daemon did not do what an operator asked for.
+//! Reasons for which a daemon refuses an operator's request.
 
 use base::Version;
 use bytestring::ByteString;
@@ -8,57 +8,57 @@
 };
 use std::fmt;
 
-/// Refusal by a daemon; the JSON's `error` names which.
+/// Refusal by a daemon; `error` in the JSON names the variant.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "error")]
 pub enum Refusal {
     /// The operators' key is missing or wrong.
     Unauthorized,
-    /// The request can't be read.
+    /// The request can't be parsed.
     BadRequest {
-        /// What is wrong with it.
+        /// What is invalid.
         detail: String,
     },
     /// The port has no such request, or there is no such version.
     NotFound {
-        /// What there is not.
+        /// What was not found.
         detail: String,
     },
-    /// The configuration, the blocks or the edit doesn't hold.
+    /// The configuration, the blocks or the edit is invalid.
     Findings {
-        /// Each with its place.
+        /// All findings, each with its position.
         findings: Vec<String>,
     },
-    /// The accept id was used before, for something else.
+    /// The accept id was used before, for a different change.
     Reused {
-        /// Version that it made then.
+        /// Version that was created with it.
         version: Version,
-        /// Operator who did.
+        /// Operator who used it.
         author: ByteString,
     },
-    /// Another accept came first: this one is not accepted, and never will be on its base.
+    /// Another accept came first: this one is not accepted, and can't be on its base version.
     Raced {
         /// Version in force.
         version: Version,
-        /// Operator who made it.
+        /// Operator who created it.
         author: ByteString,
-        /// Steps from the base to that version, as text; empty when not known.
+        /// Changes from the base to that version, as text; empty if unknown.
         difference: Vec<String>,
     },
-    /// Nothing was changed, and nothing will be by this request.
+    /// This request has changed nothing and will change nothing.
     NotDone {
-        /// Why.
+        /// Reason.
         detail: String,
     },
-    /// It may have been done; repeat it with the same accept id to learn which.
+    /// The change may have been made; repeating it with the same accept id returns the outcome.
     Unknown {
-        /// Why.
+        /// Reason.
         detail: String,
     },
 }
 
 impl Refusal {
-    /// Status of the HTTP answer.
+    /// Status of the HTTP response.
     pub fn status(&self) -> u16 {
         match self {
             Self::BadRequest { .. } => 400,
@@ -81,7 +81,7 @@
             Self::Reused { version, author } => write!(
                 f,
                 "this accept id was used before: {author} made version {version} with it, which \
-                 holds something else"
+                 has different content"
             ),
             Self::Raced {
                 version,
--- a/crates/op/src/request.rs
+++ b/crates/op/src/request.rs
@@ -1,4 +1,4 @@
-//! What operators ask for.
+//! Requests of operators.
 
 use base::{
     ClassId,
@@ -15,60 +15,60 @@
 };
 use std::time::Duration;
 
-/// Content type of an accept whose blocks follow: the request as JSON on one line, then the block
-/// file as it is.
+/// Content type of an accept followed by its blocks: the request as JSON on one line, then the
+/// unmodified block file.
 ///
-/// As a string in JSON a table of 1.7 million blocks would be held twice over by the daemon that
-/// takes it, which shows as a resident size past its limit.
+/// As a JSON string, a table of 1.7 million blocks would be in the receiving daemon's memory twice
+/// and raise its resident size above the limit.
 pub const WITH_BLOCKS: &str = "application/x-jasmine-accept";
 
-/// Makes a configuration the one in force: `POST /op/v1/accept`.
+/// Puts a configuration into force: `POST /op/v1/accept`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AcceptRequest {
-    /// Name of the accept; a repeat carries the same one.
+    /// Id of the accept; a repeat carries the same one.
     pub accept_id: String,
-    /// Operator, as stated.
+    /// Operator, as stated by the client.
     pub author: ByteString,
-    /// Version that the operator changed; without it, the one in force.
+    /// Version that the operator edited; the one in force if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base_version: Option<Version>,
     /// Configuration, in YAML.
     pub text: String,
-    /// Block table or a difference to the one in force; without it, the table stays. A large one
+    /// Block table, or a difference to the one in force; if absent, the table stays. A large one
     /// follows the request's line instead, see [`WITH_BLOCKS`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub blocks: Option<String>,
 }
 
-/// What becomes of a drain.
+/// Change to a drain.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainAction {
-    /// No new work goes there.
+    /// The target gets no new work.
     Start,
-    /// New work goes there again.
+    /// The target gets new work again.
     Stop,
 }
 
 /// Starts or stops a drain: `POST /op/v1/drain`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainRequest {
-    /// Name of the accept that this is under the hood.
+    /// Id of the accept that implements this request.
     pub accept_id: String,
-    /// Operator, as stated.
+    /// Operator, as stated by the client.
     pub author: ByteString,
     /// Start or stop.
     pub action: DrainAction,
-    /// What is drained.
+    /// Target of the drain.
     pub target: DrainTarget,
 }
 
-/// Revises the targets of a class: `POST /op/v1/target`. What is left out stays.
+/// Changes the targets of a class: `POST /op/v1/target`. Absent fields stay as they are.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetRequest {
-    /// Name of the accept that this is under the hood.
+    /// Id of the accept that implements this request.
     pub accept_id: String,
-    /// Operator, as stated.
+    /// Operator, as stated by the client.
     pub author: ByteString,
     /// Class.
     pub class: ClassId,
@@ -81,16 +81,16 @@
     /// Deadline, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Rank when work must be refused; 0 is refused last.
+    /// Rank for load shedding; 0 is refused last.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
-    /// Requests that should be answered whole and in time, per million.
+    /// Target for complete responses in time, per million requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub success_target_ppm: Option<u32>,
 }
 
 impl TargetRequest {
-    /// The revision of a class that this asks for.
+    /// The requested changes to the targets of the class.
     pub fn target(&self) -> Target {
         Target {
             latency_target: self.latency_ms.map(Duration::from_millis),
--- a/crates/op/src/answer.rs
+++ b/crates/op/src/response.rs
@@ -1,4 +1,4 @@
-//! What a daemon answers.
+//! Responses of a daemon on the operators' port.
 
 use base::{
     DomainId,
@@ -25,26 +25,26 @@
     Head, //
 };
 
-/// How an accept came to be in force.
+/// How an accepted version came into force.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AcceptedHow {
-    /// This request made the version.
+    /// This request created the version.
     New,
-    /// An earlier request with the same accept id had made it.
+    /// An earlier request with the same accept id created it.
     Repeated,
-    /// It was in force already, by another accept; nothing was changed.
+    /// The content was already in force through another accept; nothing changed.
     Unchanged,
 }
 
-/// A configuration, a drain or a target is in force.
+/// Confirms that a configuration, a drain or a target is in force.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Accepted {
-    /// Version in which it is.
+    /// Version that contains it.
     pub version: Version,
-    /// How it came to be.
+    /// How that version came into force.
     pub how: AcceptedHow,
-    /// Steps from the version before, as text; empty when nothing differs or it is not known.
+    /// Changes from the previous version, as text; empty if nothing differs or they are unknown.
     #[serde(default)]
     pub difference: Vec<String>,
 }
@@ -52,52 +52,52 @@
 /// A version of the configuration: `GET /op/v1/config`, `GET /op/v1/config/<version>`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigAnswer {
-    /// Version, author and the accept that made it.
+    /// Version, author and the accept that created it.
     #[serde(flatten)]
     pub head: Head,
     /// Canonical text.
     pub text: String,
-    /// Block object, if there are blocks beside those of the text.
+    /// Digest of the block object, if there are blocks besides those of the text.
     pub blocks: Option<Digest>,
 }
 
-/// A limit and how much of it is used.
+/// A limit and its current use.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Bounds {
-    /// What may be used now.
+    /// Number that may be used now.
     pub usable: u32,
-    /// What is used.
+    /// Number in use.
     pub used: u32,
 }
 
-/// One daemon's picture: `GET /op/v1/status`.
+/// One daemon's state and view: `GET /op/v1/status`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
     /// The daemon.
     pub instance: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its region.
     pub region: RegionId,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Stage of its life.
+    /// Lifecycle stage.
     pub stage: String,
-    /// Configuration in force there; 0 is none.
+    /// Configuration version in force there; 0 if none.
     pub version: Version,
-    /// Highest version that it has heard of.
+    /// Highest version that it knows of.
     pub highest_version: Version,
     /// Time since it started, in milliseconds.
     pub uptime_ms: u64,
     /// Time for which its lease allows the whole allotment, in milliseconds.
     pub lease_left_ms: u64,
-    /// Requests that are not finished.
+    /// Unfinished requests.
     pub active: u64,
     /// Sessions with other daemons.
     pub peers: usize,
     /// Pools of its region.
     pub pools: Vec<PoolStatus>,
-    /// What it knows of the others.
+    /// Its view of the other instances.
     pub instances: Vec<InstanceStatus>,
 }
 
@@ -106,9 +106,9 @@
 pub struct PoolStatus {
     /// Service.
     pub service: ServiceId,
-    /// Upstreams that the list names.
+    /// Listed upstreams.
     pub upstreams: usize,
-    /// Those of them that take new work.
+    /// Listed upstreams that accept new work.
     pub open: usize,
     /// Slots of this daemon.
     pub slots: Bounds,
@@ -116,7 +116,7 @@
     pub waiting: u32,
 }
 
-/// What a daemon knows of an instance.
+/// A daemon's view of one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceStatus {
     /// The instance.
@@ -125,15 +125,15 @@
     pub region: RegionId,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Its life; 0 before it was heard of.
+    /// Its incarnation; 0 until it is known.
     pub incarnation: Incarnation,
-    /// Configuration in force there, at least.
+    /// Lower bound of the configuration version in force there.
     pub version: Version,
-    /// How far its life is.
+    /// State of its lease.
     pub state: LeaseState,
-    /// How far the news can be trusted.
+    /// How recent this information is.
     pub freshness: Freshness,
-    /// Age of the news at worst, in milliseconds; none when only the list names it.
+    /// Upper bound of the information's age, in milliseconds; `None` if it is only listed.
     pub age_ms: Option<u64>,
     /// Address for callers.
     pub callers_addr: ByteString,
@@ -144,40 +144,40 @@
 /// All instances that a daemon knows, itself included: `GET /op/v1/instances`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instances {
-    /// Who says so.
+    /// Daemon that responds.
     pub instance: InstanceId,
     /// Sorted by name.
     pub instances: Vec<InstanceStatus>,
 }
 
-/// Requests of one daemon that an upstream has not answered.
+/// One daemon's requests in flight at an upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InFlight {
     /// Upstream.
     pub upstream: UpstreamId,
     /// Its service.
     pub service: ServiceId,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// One drain, as one daemon sees it.
+/// A daemon's view of one drain.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DrainStatus {
-    /// What is drained.
+    /// Drained target.
     pub target: DrainTarget,
-    /// This daemon's requests at each upstream of it that has any.
+    /// This daemon's requests in flight, for each drained upstream that has any.
     pub in_flight: Vec<InFlight>,
-    /// Requests at this daemon itself that are not finished, if it is drained.
+    /// Unfinished requests at this daemon, if the daemon itself is drained.
     pub active: Option<u64>,
 }
 
 /// Drains in force: `GET /op/v1/drain`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Drains {
-    /// Who says so.
+    /// Daemon that responds.
     pub instance: InstanceId,
-    /// Version in force there.
+    /// Configuration version in force there.
     pub version: Version,
     /// Sorted by target.
     pub drains: Vec<DrainStatus>,
@@ -188,7 +188,7 @@
 pub struct ResourceStatus {
     /// Upstream, or unit of a cap.
     pub resource: ByteString,
-    /// Tokens that there are.
+    /// Total number of tokens.
     pub capacity: u32,
     /// Tokens that the row allots to this daemon.
     pub allotted: u32,
@@ -200,7 +200,7 @@
     pub used: u32,
 }
 
-/// One pool whose capacity instances share.
+/// A pool whose capacity is shared among instances.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ShareStatus {
     /// Pool.
@@ -218,9 +218,9 @@
 /// Capacity shares of one daemon: `GET /op/v1/shares`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Shares {
-    /// Who says so.
+    /// Daemon that responds.
     pub instance: InstanceId,
-    /// Time up to which the whole of what is held may be used, in milliseconds from now.
+    /// Remaining time for which all held tokens may be used, in milliseconds.
     pub protected_ms: u64,
     /// Pools, sorted.
     pub pools: Vec<ShareStatus>,
@@ -231,11 +231,11 @@
 pub struct Unconfirmed {
     /// The instance.
     pub instance: InstanceId,
-    /// Version that it confirmed last; 0 is none.
+    /// Latest version that it confirmed; 0 if none.
     pub version: Version,
-    /// How far that news can be trusted.
+    /// How recent this information is.
     pub freshness: Freshness,
-    /// Age of the news, in milliseconds; none when only the list names it.
+    /// Age of the information, in milliseconds; `None` if it is only listed.
     pub age_ms: Option<u64>,
 }
 
@@ -246,8 +246,8 @@
     pub version: Version,
     /// Instances that have it, or a higher one, in force.
     pub confirmed: Vec<InstanceId>,
-    /// Live instances that have not said so.
+    /// Live instances that have not confirmed it.
     pub missing: Vec<Unconfirmed>,
-    /// Instances that are not waited for: silent, and their lease has lapsed or was given back.
+    /// Instances that are not waited for: silent, with a lapsed or released lease.
     pub lapsed: Vec<InstanceId>,
 }
--- a/crates/op/tests/port.rs
+++ b/crates/op/tests/port.rs
@@ -1,4 +1,5 @@
-//! The operators' port of a real daemon: one clear answer to whatever comes, and nothing changes.
+//! The operators' port of a real daemon: invalid requests are refused with a reason and change
+//! nothing, and block tables may follow an accept as a stream.
 
 use op::Refusal;
 use rig::{
@@ -17,10 +18,10 @@
     },
 };
 
-/// Bound on waits for things that take well under a tenth of it.
-const GENEROUS: Duration = Duration::from_secs(60);
+/// Limit of waits for events that take well under a tenth of it.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Status and body of the answer to some bytes on a connection of their own.
+/// Sends a request on a new connection and returns the status and body of the response.
 fn send(rig: &Rig, head: &str, body: &[u8]) -> (u16, String) {
     let mut stream = TcpStream::connect(&rig.daemons["arusha-0"].operator).unwrap();
     let head = format!(
@@ -39,7 +40,7 @@
 const JSON: &str = "content-type: application/json";
 const BLOCKS: &str = "content-type: application/x-jasmine-accept";
 
-/// An accept on one line, the configuration being what the rig runs already.
+/// An accept as one line of JSON, with the configuration that the rig already runs.
 fn accept(rig: &Rig, id: &str) -> String {
     let text = rig.layout.config();
     let request = serde_json::json!({"accept_id": id, "author": "a", "text": text});
@@ -47,10 +48,10 @@
 }
 
 #[test]
-fn whatever_is_wrong_gets_one_clear_refusal() {
+fn each_invalid_request_is_refused_with_a_reason() {
     let rig = Rig::start(Layout::one_region()).unwrap();
     let line = accept(&rig, "wrong");
-    let with = |blocks: &[u8]| [line.as_bytes(), blocks].concat();
+    let with_blocks = |blocks: &[u8]| [line.as_bytes(), blocks].concat();
     let cases: Vec<(String, Vec<u8>, u16, &str)> =
         vec![
         ("GET /op/v1/nothing HTTP/1.1".into(), vec![], 404, "/op/v1/nothing"),
@@ -94,42 +95,45 @@
         (format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}"), b"{}\n".into(), 400, "accept_id"),
         (
             format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}"),
-            with(b"10.0.0.0/8 arusha\nx arusha\n10.0.0.0/99 arusha"),
+            with_blocks(b"10.0.0.0/8 arusha\nx arusha\n10.0.0.0/99 arusha"),
             422,
             "blocks:2:1",
         ),
         (
             format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}"),
-            with(b"10.0.0.0/8 arusha\n10.0.0.0/8 arusha\n"),
+            with_blocks(b"10.0.0.0/8 arusha\n10.0.0.0/8 arusha\n"),
             422,
             "1 lines repeat",
         ),
         (
             format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}"),
-            with(b"10.0.0.0/8 nowhere\n"),
+            with_blocks(b"10.0.0.0/8 nowhere\n"),
             422,
             "`nowhere`",
         ),
         (
             format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}"),
-            with(&[0xff, b'\n']),
+            with_blocks(&[0xff, b'\n']),
             400,
             "UTF-8",
         ),
     ];
-    for (head, body, status, words) in cases {
-        let (found, answer) = send(&rig, &head, &body);
-        assert_eq!(found, status, "{head}: {answer}");
+    for (head, body, status, expected_text) in cases {
+        let (actual_status, answer) = send(&rig, &head, &body);
+        assert_eq!(actual_status, status, "{head}: {answer}");
         let refusal: Refusal = serde_json::from_str(&answer).expect(&answer);
         assert_eq!(refusal.status(), status, "{head}: {answer}");
-        assert!(answer.contains(words), "{head}: no `{words}` in {answer}");
+        assert!(
+            answer.contains(expected_text),
+            "{head}: no `{expected_text}` in {answer}"
+        );
     }
     let status = rig.operator("arusha-0", "/op/v1/status", None);
     assert_eq!(status.body["version"], 1);
 }
 
 #[test]
-fn blocks_may_follow_the_request_in_pieces() {
+fn blocks_may_follow_the_request_in_several_reads() {
     let rig = Rig::start(Layout::one_region()).unwrap();
     let head = format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}");
     let mut body = accept(&rig, "table");
@@ -149,10 +153,10 @@
     assert_eq!(status.body["version"], 4);
 }
 
-/// Symptom: a daemon grows past its memory limit. Sequence: two operators send it a whole large
-/// table at once. Cause: each is held beside the one in force; only one may be at a time.
+/// Guards against a daemon that exceeds its memory limit when two operators send it large tables
+/// concurrently: each is in memory besides the table in force, so only one may be at a time.
 #[test]
-fn of_two_large_tables_at_once_one_is_refused() {
+fn one_of_two_concurrent_large_tables_is_refused() {
     let rig = Rig::start(Layout::one_region()).unwrap();
     let head = format!("POST /op/v1/accept HTTP/1.1\r\n{BLOCKS}");
     let mut table = String::new();
@@ -162,16 +166,17 @@
     }
     let body = accept(&rig, "first") + &table;
     let mut first = TcpStream::connect(&rig.daemons["arusha-0"].operator).unwrap();
-    let begin = format!(
+    let first_head = format!(
         "{head}\r\nhost: a\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    first.write_all(begin.as_bytes()).unwrap();
-    let (most, last) = body.as_bytes().split_at(body.len() - 100);
-    first.write_all(most).unwrap();
-    // What was written may not be read yet; until it is, the other one is taken and found wrong.
+    first.write_all(first_head.as_bytes()).unwrap();
+    let (all_but_last, last) = body.as_bytes().split_at(body.len() - 100);
+    first.write_all(all_but_last).unwrap();
+    // The daemon may not have read the first request yet. Until it has, it reads the other table
+    // and reports its unknown region.
     let other = accept(&rig, "other") + &table.replace("arusha", "nowhere");
-    let end = Instant::now() + GENEROUS;
+    let deadline = Instant::now() + WAIT_LIMIT;
     loop {
         let (status, answer) = send(&rig, &head, other.as_bytes());
         if status == 503 {
@@ -179,7 +184,7 @@
             break;
         }
         assert_eq!(status, 422, "{answer}");
-        assert!(Instant::now() < end, "never refused");
+        assert!(Instant::now() < deadline, "never refused");
     }
     let (status, answer) = send(
         &rig,
@@ -192,5 +197,5 @@
     first.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 200");
     let (status, answer) = send(&rig, &head, other.as_bytes());
-    assert_eq!(status, 422, "the way is free again: {answer}");
+    assert_eq!(status, 422, "a large table is read again: {answer}");
 }
