--- a/crates/blocks/examples/measure.rs
+++ b/crates/blocks/examples/measure.rs
@@ -1,8 +1,8 @@
-//! Measures the block table: time to build, memory, look-ups, and the cost of a difference.
+//! Measures the block table: build time, memory, look-ups, and the cost of a difference.
 //!
-//! Run it in release mode with one size, so that resident memory, given as what a step added, is
-//! not blurred by what an earlier size freed: `measure 1700000`. `measure unrelated 1700000` holds
-//! two tables that share nothing, as after a snapshot.
+//! Run it in release mode with a single size: `measure 1700000`. Resident memory is reported as the
+//! increase in each step, which memory freed after an earlier size would distort.
+//! `measure unrelated 1700000` keeps two tables in memory that share nothing, as after a snapshot.
 
 #[path = "../tests/numbers/mod.rs"]
 mod numbers;
@@ -15,7 +15,7 @@
     Delta,
     Table, //
 };
-use numbers::Numbers;
+use numbers::Rng;
 use std::{
     env, fs,
     hint::black_box,
@@ -35,13 +35,13 @@
     },
 };
 
-const DIFFERENCE: usize = 1_000;
+const DELTA_LEN: usize = 1_000;
 const LOOKUPS: usize = 2_000_000;
-const SITES: usize = 100;
+const REGIONS: usize = 100;
 const PREFERENCES: u64 = 2_000;
 
-impl Numbers {
-    /// A block: three in four of IPv4, mostly /24, some around or inside others.
+impl Rng {
+    /// A random block: three in four are IPv4, mostly /24, and some are nested.
     fn block(&mut self) -> Block {
         let bits = self.next();
         if self.below(4) > 0 {
@@ -59,10 +59,10 @@
     }
 
     fn regions(&mut self) -> Vec<RegionId> {
-        let mut own = Numbers(self.below(PREFERENCES));
+        let mut preference_rng = Rng(self.below(PREFERENCES));
         let mut regions = Vec::new();
         while regions.len() < 3 {
-            let region = RegionId::from(format!("site-{}", own.below(SITES as u64)));
+            let region = RegionId::from(format!("site-{}", preference_rng.below(REGIONS as u64)));
             if !regions.contains(&region) {
                 regions.push(region);
             }
@@ -70,7 +70,7 @@
         regions
     }
 
-    /// An address inside a block of the table three times out of four.
+    /// A random address; three in four of IPv4 and all of IPv6 are from a block of the table.
     fn addr(&mut self, blocks: &[Block]) -> IpAddr {
         let block = blocks[self.below(blocks.len() as u64) as usize];
         match block.addr() {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Resident memory of this process in KiB.
+/// Resident memory of this process, in KiB.
 fn resident_kib() -> i64 {
     let status = fs::read_to_string("/proc/self/status").expect("procfs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -99,22 +99,22 @@
     duration.as_secs_f64() * 1e6
 }
 
-fn difference(numbers: &mut Numbers, blocks: &[Block]) -> Delta {
+fn random_delta(rng: &mut Rng, blocks: &[Block]) -> Delta {
     let mut delta = Delta::default();
-    while delta.len() < DIFFERENCE {
-        match numbers.below(4) {
-            0 => delta.set(numbers.block(), &numbers.regions()),
-            1 => delta.remove(blocks[numbers.below(blocks.len() as u64) as usize]),
+    while delta.len() < DELTA_LEN {
+        match rng.below(4) {
+            0 => delta.set(rng.block(), &rng.regions()),
+            1 => delta.remove(blocks[rng.below(blocks.len() as u64) as usize]),
             _ => {
-                let block = blocks[numbers.below(blocks.len() as u64) as usize];
-                delta.set(block, &numbers.regions());
+                let block = blocks[rng.below(blocks.len() as u64) as usize];
+                delta.set(block, &rng.regions());
             }
         }
     }
     delta
 }
 
-/// Nanoseconds per look-up, and how many were found.
+/// Mean duration of a look-up in nanoseconds, and the number of addresses found.
 fn lookups(table: &Table, addrs: &[IpAddr]) -> (f64, usize) {
     let start = Instant::now();
     let mut found = 0;
@@ -128,35 +128,35 @@
 }
 
 fn measure(size: usize) {
-    let mut numbers = Numbers(size as u64);
+    let mut rng = Rng(size as u64);
     let mut blocks: Vec<Block> = Vec::new();
     while blocks.len() < size {
-        blocks.extend((blocks.len()..size).map(|_| numbers.block()));
+        blocks.extend((blocks.len()..size).map(|_| rng.block()));
         blocks.sort_unstable();
         blocks.dedup();
     }
     blocks.shrink_to_fit();
-    let lists: Vec<Vec<RegionId>> = (0..500).map(|_| numbers.regions()).collect();
+    let lists: Vec<Vec<RegionId>> = (0..500).map(|_| rng.regions()).collect();
     let before_kib = resident_kib();
     let start = Instant::now();
     let mut builder = Builder::default();
     for block in &blocks {
-        let regions = &lists[numbers.below(lists.len() as u64) as usize];
+        let regions = &lists[rng.below(lists.len() as u64) as usize];
         builder.push(*block, regions).expect("few preferences");
     }
     let table = builder.finish();
     let build = start.elapsed();
-    let one_kib = resident_kib() - before_kib;
+    let table_kib = resident_kib() - before_kib;
 
-    let addrs: Vec<IpAddr> = (0..LOOKUPS).map(|_| numbers.addr(&blocks)).collect();
+    let addrs: Vec<IpAddr> = (0..LOOKUPS).map(|_| rng.addr(&blocks)).collect();
     let (lookup_ns, found) = lookups(&table, &addrs);
 
-    let delta = difference(&mut numbers, &blocks);
+    let delta = random_delta(&mut rng, &blocks);
     let before_kib = resident_kib();
     let start = Instant::now();
     let mut later = table.apply(&delta).expect("few preferences");
     let mut times = vec![start.elapsed()];
-    let two_kib = resident_kib() - before_kib;
+    let later_kib = resident_kib() - before_kib;
     for _ in 0..20 {
         let start = Instant::now();
         later = table.apply(&delta).expect("few preferences");
@@ -172,24 +172,24 @@
         "| {size} | {:.1} | {:.1} | {:.1} | {:.0} | {:.2} | {:.0} | {:.0} | {:.2} | {:.2} | {:.0} |",
         build.as_secs_f64() * 1e3,
         table.memory_bytes() as f64 / 1048576.0,
-        mib(one_kib),
+        mib(table_kib),
         lookup_ns,
         1e3 / lookup_ns,
         micros(times[times.len() / 2]),
         micros(times[times.len() - 1]),
         later.unshared_bytes(&table) as f64 / 1048576.0,
-        mib(two_kib),
+        mib(later_kib),
         micros(compare),
     );
-    beside_differences(&table, &delta, &addrs);
-    through_text(&table);
+    lookups_during_apply(&table, &delta, &addrs);
+    parse_compact_text(&table);
     eprintln!(
-        "{size} blocks: {found} of {LOOKUPS} look-ups found; the difference of {DIFFERENCE} blocks \
+        "{size} blocks: {found} of {LOOKUPS} look-ups found; the difference of {DELTA_LEN} blocks \
          has {delta_bytes} bytes of text and differs in {compared}"
     );
 }
 
-/// Median and 99th percentile of single look-ups in nanoseconds, the clock's reading included.
+/// Median and 99th percentile of single look-ups in nanoseconds, including the clock reads.
 fn percentiles(table: &Table, addrs: &[IpAddr]) -> (u128, u128) {
     let mut times: Vec<u128> = addrs
         .iter()
@@ -203,8 +203,8 @@
     (times[times.len() / 2], times[times.len() * 99 / 100])
 }
 
-/// Look-ups alone, then while another thread applies differences without pause.
-fn beside_differences(table: &Table, delta: &Delta, addrs: &[IpAddr]) {
+/// Measures look-ups alone, then while another thread continuously applies differences.
+fn lookups_during_apply(table: &Table, delta: &Delta, addrs: &[IpAddr]) {
     let (alone_median, alone_p99) = percentiles(table, addrs);
     let done = AtomicBool::new(false);
     let ((median, p99), applied) = thread::scope(|scope| {
@@ -216,9 +216,12 @@
             }
             applied
         });
-        let beside = percentiles(table, addrs);
+        let during_apply = percentiles(table, addrs);
         done.store(true, Ordering::Relaxed);
-        (beside, applying.join().expect("the thread does not panic"))
+        (
+            during_apply,
+            applying.join().expect("the thread does not panic"),
+        )
     });
     eprintln!(
         "single look-ups: alone median {alone_median} ns, p99 {alone_p99} ns; beside {applied} \
@@ -226,8 +229,8 @@
     );
 }
 
-/// A snapshot's way through its textual form.
-fn through_text(table: &Table) {
+/// Measures parsing of a table's compact textual form, as a snapshot has it.
+fn parse_compact_text(table: &Table) {
     let text = Compact(table).to_string();
     let start = Instant::now();
     let read = Table::parse(&text).expect("a printed table reads back");
@@ -239,28 +242,28 @@
     );
 }
 
-/// Two unrelated versions held at once, as after a snapshot.
-fn two_unrelated(size: usize) {
-    let mut numbers = Numbers(7);
-    let lists: Vec<Vec<RegionId>> = (0..500).map(|_| numbers.regions()).collect();
-    let build = |numbers: &mut Numbers| {
+/// Measures two unrelated tables in memory at once, as after a snapshot.
+fn measure_unrelated(size: usize) {
+    let mut rng = Rng(7);
+    let lists: Vec<Vec<RegionId>> = (0..500).map(|_| rng.regions()).collect();
+    let build = |rng: &mut Rng| {
         let mut builder = Builder::default();
         for _ in 0..size {
-            let regions = &lists[numbers.below(500) as usize];
-            builder.push(numbers.block(), regions).expect("few");
+            let regions = &lists[rng.below(500) as usize];
+            builder.push(rng.block(), regions).expect("few");
         }
         builder.finish()
     };
     let before_kib = resident_kib();
-    let one = build(&mut numbers);
-    let two = build(&mut numbers);
-    let held_kib = resident_kib() - before_kib;
+    let first = build(&mut rng);
+    let second = build(&mut rng);
+    let both_kib = resident_kib() - before_kib;
     println!(
         "two unrelated tables of {} and {} blocks: {:.1} MiB resident, {:.1} MiB by count",
-        one.len(),
-        two.len(),
-        mib(held_kib),
-        (one.memory_bytes() + two.memory_bytes()) as f64 / 1048576.0
+        first.len(),
+        second.len(),
+        mib(both_kib),
+        (first.memory_bytes() + second.memory_bytes()) as f64 / 1048576.0
     );
 }
 
@@ -268,7 +271,7 @@
     let args: Vec<String> = env::args().skip(1).collect();
     let sizes: Vec<usize> = args.iter().filter_map(|arg| arg.parse().ok()).collect();
     if args.first().is_some_and(|arg| arg == "unrelated") {
-        sizes.into_iter().for_each(two_unrelated);
+        sizes.into_iter().for_each(measure_unrelated);
         return;
     }
     println!(
--- a/crates/blocks/src/block.rs
+++ b/crates/blocks/src/block.rs
@@ -11,10 +11,10 @@
     str::FromStr, //
 };
 
-/// Network of client addresses, IPv4 or IPv6, without host bits.
+/// IPv4 or IPv6 network of client addresses, without host bits.
 ///
-/// Blocks order by family, then address, then length, so that a block comes before all that are
-/// nested in it.
+/// Blocks are ordered by family, address and length, so that a block precedes all blocks nested in
+/// it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Block {
     /// First address.
@@ -24,7 +24,7 @@
 }
 
 impl Block {
-    /// Makes a block of the first `len` bits of `addr`.
+    /// Creates a block of the first `len` bits of `addr`.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         difference.checked_shr(host_len).unwrap_or(0) == 0
     }
 
-    /// Makes a block of IPv4 from trusted parts.
+    /// Creates an IPv4 block from parts known to be valid.
     pub(crate) fn v4(bits: u32, len: u8) -> Self {
         Self {
             addr: Ipv4Addr::from_bits(bits).into(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Makes a block of IPv6 from trusted parts.
+    /// Creates an IPv6 block from parts known to be valid.
     pub(crate) fn v6(bits: u128, len: u8) -> Self {
         Self {
             addr: Ipv6Addr::from_bits(bits).into(),
@@ -97,8 +97,8 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (addr, len) = text.split_once('/').ok_or(BlockError::Form)?;
         let addr = addr.parse().map_err(|_| BlockError::Form)?;
-        let decimal = !len.is_empty() && len.bytes().all(|b| b.is_ascii_digit());
-        if !decimal {
+        let is_decimal = !len.is_empty() && len.bytes().all(|b| b.is_ascii_digit());
+        if !is_decimal {
             return Err(BlockError::Form);
         }
         let len = len.parse().map_err(|_| BlockError::Length)?;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Why a text is no block.
+/// Error in a block or its textual form.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum BlockError {
     /// Not of the form `address/length`.
--- a/crates/blocks/src/chunk.rs
+++ b/crates/blocks/src/chunk.rs
@@ -1,18 +1,18 @@
-//! A run of neighbouring blocks, immutable and shared between tables.
+//! Immutable run of adjacent blocks that tables share.
 
 use crate::key::Key;
 use std::mem::size_of;
 
-/// Most blocks in a chunk; a chunk that grows beyond is split.
+/// Maximum number of blocks in a chunk; a chunk that would exceed it is split.
 pub(crate) const MAX_LEN: usize = 512;
-/// Blocks in a new chunk, so that it can grow for a while.
+/// Number of blocks in a new chunk, which leaves room to grow before a split.
 pub(crate) const TARGET_LEN: usize = 256;
-/// A chunk that shrinks below this is joined with the one before it.
+/// A changed chunk with fewer blocks is merged into the previous one if both fit in one.
 pub(crate) const MIN_LEN: usize = 64;
 
-/// Block of one plane with the index of its preference.
+/// Block of one prefix map, with the index of its preference.
 ///
-/// Items order by start, then length: a block comes right before those nested in it.
+/// Items are ordered by start, then length: a block comes right before those nested in it.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Item<K> {
     /// First address.
@@ -24,7 +24,7 @@
 }
 
 impl<K: Key> Item<K> {
-    /// What tells one block from another.
+    /// Start and length, which identify the block.
     pub(crate) fn id(&self) -> (K, u8) {
         (self.start, self.len)
     }
@@ -35,48 +35,48 @@
     }
 }
 
-/// What is kept of a block beside its start.
+/// Data of a block other than its start.
 #[derive(Clone, Copy, Debug)]
 struct Meta {
     /// Index of the preference.
     pref: u16,
-    /// Position after that of the innermost block of this chunk around it; 0 if there is none.
+    /// Position, counted from 1, of the innermost enclosing block in this chunk; 0 if none.
     parent: u16,
     /// Length of the prefix.
     len: u8,
 }
 
-/// Sorted blocks of a chunk, never none.
+/// Sorted blocks of a chunk, at least one.
 ///
-/// Starts lie apart from the rest, so that the binary search touches few cache lines.
+/// Starts are stored separately, so that the binary search touches few cache lines.
 #[derive(Debug)]
 pub(crate) struct Chunk<K> {
     /// First addresses, ascending.
     starts: Box<[K]>,
-    /// The rest, in the same order.
+    /// Other data of the blocks, in the same order.
     metas: Box<[Meta]>,
 }
 
 impl<K: Key> Chunk<K> {
-    /// Builds a chunk of sorted, distinct blocks.
+    /// Builds a chunk from sorted, distinct blocks.
     pub(crate) fn build(items: &[Item<K>]) -> Self {
         debug_assert!(!items.is_empty() && items.len() <= MAX_LEN);
         debug_assert!(items.is_sorted_by(|a, b| a.id() < b.id()));
-        let mut around: Vec<u16> = Vec::new();
+        let mut enclosing: Vec<u16> = Vec::new();
         let mut metas = Vec::with_capacity(items.len());
         for (position, item) in (1..).zip(items) {
-            while let Some(&top) = around.last() {
-                if items[usize::from(top) - 1].last() >= item.start {
+            while let Some(&innermost) = enclosing.last() {
+                if items[usize::from(innermost) - 1].last() >= item.start {
                     break;
                 }
-                around.pop();
+                enclosing.pop();
             }
             metas.push(Meta {
                 pref: item.pref,
-                parent: around.last().copied().unwrap_or(0),
+                parent: enclosing.last().copied().unwrap_or(0),
                 len: item.len,
             });
-            around.push(position);
+            enclosing.push(position);
         }
         Self {
             starts: items.iter().map(|item| item.start).collect(),
@@ -104,23 +104,25 @@
         (0..self.len()).map(|index| self.item(index))
     }
 
-    /// Preference of the innermost block of this chunk around an address.
+    /// Preference of the innermost block of this chunk that contains an address.
     ///
-    /// The last block that starts at or before the address either contains it, or whatever block
-    /// contains it also contains that one: so only its parents need to be looked at.
+    /// Every block that contains the address also contains the last block that starts at or before
+    /// the address, or is that block. So only this block and its ancestors are examined.
     pub(crate) fn find(&self, addr: K) -> Option<u16> {
         let position = self.starts.partition_point(|start| *start <= addr);
-        let found = self.around(position).find(|item| item.last() >= addr);
-        found.map(|item| item.pref)
+        let containing = self
+            .with_ancestors(position)
+            .find(|item| item.last() >= addr);
+        containing.map(|item| item.pref)
     }
 
-    /// The last block and its parents, the innermost first.
-    pub(crate) fn last_and_parents(&self) -> impl Iterator<Item = Item<K>> + '_ {
-        self.around(self.len())
+    /// The last block and its ancestors, innermost first.
+    pub(crate) fn last_and_ancestors(&self) -> impl Iterator<Item = Item<K>> + '_ {
+        self.with_ancestors(self.len())
     }
 
-    /// The block at a position counted from 1 and its parents, the innermost first.
-    fn around(&self, position: usize) -> impl Iterator<Item = Item<K>> + '_ {
+    /// The block at a position counted from 1 and its ancestors, innermost first.
+    fn with_ancestors(&self, position: usize) -> impl Iterator<Item = Item<K>> + '_ {
         let mut position = position;
         std::iter::from_fn(move || {
             let index = position.checked_sub(1)?;
--- a/crates/blocks/src/delta.rs
+++ b/crates/blocks/src/delta.rs
@@ -1,4 +1,4 @@
-//! Difference between two tables.
+//! Differences between two tables.
 
 use crate::{
     prefs::Preference,
@@ -8,15 +8,15 @@
 use base::RegionId;
 use std::collections::BTreeMap;
 
-/// New state of each block that differs: a preference, or gone.
+/// Difference between two tables: the new preference of each changed block, or its removal.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Delta {
-    /// Sorted by block, as applying needs it.
+    /// Changes sorted by block, the order in which they are applied; `None` removes the block.
     changes: BTreeMap<Block, Option<Preference>>,
 }
 
 impl Delta {
-    /// What turns `old` into `new`. Chunks that both share are not looked at.
+    /// Computes the changes from `old` to `new`. Skips chunks that both share.
     pub fn between(old: &Table, new: &Table) -> Self {
         let mut delta = Self::default();
         old.compare(new, |block, regions| {
@@ -25,22 +25,22 @@
         delta
     }
 
-    /// What turns `old` into `new`, if at most `most` blocks differ.
+    /// Computes the changes from `old` to `new`, if at most `max_len` blocks differ.
     ///
-    /// Two tables that have little in common would make a difference several times larger than
-    /// themselves, only for it to be thrown away.
-    pub fn between_at_most(old: &Table, new: &Table, most: usize) -> Option<Self> {
-        let mut differ = 0;
-        old.compare(new, |_, _| differ += 1);
-        (differ <= most).then(|| Self::between(old, new))
+    /// Counts first, because the delta of two tables with little in common would take several times
+    /// their memory, only to be discarded.
+    pub fn between_at_most(old: &Table, new: &Table, max_len: usize) -> Option<Self> {
+        let mut count = 0;
+        old.compare(new, |_, _| count += 1);
+        (count <= max_len).then(|| Self::between(old, new))
     }
 
-    /// Adds a block or gives it another preference.
+    /// Records that a block is added or gets another preference.
     pub fn set(&mut self, block: Block, regions: &[RegionId]) {
         self.changes.insert(block, Some(regions.into()));
     }
 
-    /// Removes a block.
+    /// Records that a block is removed.
     pub fn remove(&mut self, block: Block) {
         self.changes.insert(block, None);
     }
@@ -55,12 +55,12 @@
         self.changes.is_empty()
     }
 
-    /// Whether the delta says something of the block.
+    /// Whether the delta changes the block.
     pub fn contains(&self, block: Block) -> bool {
         self.changes.contains_key(&block)
     }
 
-    /// The blocks that differ, sorted, each with its new preference unless it is gone.
+    /// The blocks that differ, sorted, each with its new preference, or `None` if it is removed.
     pub fn iter(&self) -> impl Iterator<Item = (Block, Option<&[RegionId]>)> + '_ {
         self.changes
             .iter()
--- a/crates/blocks/src/key.rs
+++ b/crates/blocks/src/key.rs
@@ -1,18 +1,18 @@
-//! Addresses as integers of one width.
+//! Addresses as unsigned integers of one width.
 
 use std::fmt::Debug;
 
-/// Unsigned integer that a prefix is cut from.
+/// Unsigned integer that holds the bits of an address.
 pub(crate) trait Key: Copy + Debug + Ord {
     /// Width in bits.
     const WIDTH: u8;
 
-    /// Last address of the block that starts here and has `len` bits of prefix.
+    /// Last address of the block that starts at this address and has a prefix of `len` bits.
     fn last(self, len: u8) -> Self;
 }
 
 /// Implements [`Key`] for an unsigned integer.
-macro_rules! key {
+macro_rules! impl_key {
     ($int:ty) => {
         impl Key for $int {
             const WIDTH: u8 = {
@@ -30,6 +30,6 @@
     };
 }
 
-key!(u32);
-key!(u64);
-key!(u128);
+impl_key!(u32);
+impl_key!(u64);
+impl_key!(u128);
--- a/crates/blocks/src/lib.rs
+++ b/crates/blocks/src/lib.rs
@@ -1,31 +1,31 @@
-//! Client blocks: longest prefix to an ordered preference of regions, compact.
+//! Client blocks: a compact longest-prefix table from networks to ordered preferences of regions.
 //!
-//! A caller's address decides which region is its home and where its work may go besides. The
-//! operators' platform knows this for whole networks, today some thousands, later 1.7 million. A
-//! [`Table`] holds them, answers [`Table::lookup`] without allocating, and is never changed: a
-//! [`Delta`] gives a new table that shares everything but the touched chunks, while traffic
-//! threads go on reading the old one.
+//! A caller's address determines its home region and the other regions that may serve it. The
+//! operators' platform knows this for whole networks: some thousands today, 1.7 million later. A
+//! [`Table`] holds them, serves [`Table::lookup`] without allocating, and is immutable: applying a
+//! [`Delta`] creates a new table that shares everything but the changed chunks, while traffic
+//! threads continue to read the old one.
 //!
-//! How it is laid out: blocks of one kind of address are sorted by start, then by length, and cut
-//! into chunks of a few hundred (`chunk`). A lookup finds the last block that starts at or before
-//! the address; if that one does not contain it, only blocks around that one can, and those are
-//! linked within the chunk (`parent`) or listed with the chunk if they began in an earlier one
-//! (`covers` in `plane`). Nothing is flattened, so removing a nested block uncovers its parent and
-//! the table prints the very blocks that it was built from.
+//! Layout: the blocks of one kind of address are sorted by start, then by length, and divided into
+//! chunks of a few hundred (`chunk`). A lookup finds the last block that starts at or before the
+//! address. If this block does not contain the address, only its enclosing blocks can. These are
+//! linked within the chunk (`parent`), or listed with the chunk if they begin in an earlier one
+//! (`covers` in `prefix_map`). Nested blocks are not flattened, so removing one exposes its parent,
+//! and the table prints exactly the blocks that it was built from.
 //!
-//! Invariants: blocks of a plane strictly ascend; no chunk is empty or longer than its limit;
-//! covers are exactly the blocks of earlier chunks around a chunk's first address; the index of a
-//! preference never changes its meaning among tables that share chunks.
+//! Invariants: the blocks of a prefix map strictly ascend; no chunk is empty or longer than its
+//! limit; the covers of a chunk are exactly the blocks of earlier chunks that contain its first
+//! address; the index of a preference never changes its meaning among tables that share chunks.
 //!
-//! Figures and the ways that were weighed: `docs/design/blocks.md`; measured by
-//! `cargo run --release -p blocks --example measure`. Where to go next: `spec`, whose versions
-//! carry tables and differences.
+//! `docs/design/blocks.md` has the figures and the alternatives that were considered; they are
+//! measured by `cargo run --release -p blocks --example measure`. `spec` uses this crate: its
+//! versions carry tables and differences.
 
 mod block;
 mod chunk;
 mod delta;
 mod key;
-mod plane;
+mod prefix_map;
 mod prefs;
 mod table;
 mod text;
--- a/crates/blocks/src/prefs.rs
+++ b/crates/blocks/src/prefs.rs
@@ -1,4 +1,4 @@
-//! The few preferences that many blocks share, each under a small index.
+//! Interned preferences: many blocks share few of them, so each block stores a small index.
 
 use base::{
     FastMap,
@@ -10,22 +10,22 @@
     sync::Arc, //
 };
 
-/// Regions in order of preference, the home first.
+/// Regions in order of preference, the home region first.
 pub type Preference = Arc<[RegionId]>;
 
-/// More distinct preferences than a table can tell apart, which is 65,536.
+/// More distinct preferences than the 65,536 that a table can index.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct TooManyPreferences;
 
 impl fmt::Display for TooManyPreferences {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("more than 65536 distinct preferences of regions")
+        f.write_str("more than 65536 distinct region preferences")
     }
 }
 
 impl Error for TooManyPreferences {}
 
-/// Gives each distinct preference one index; indices never change their meaning.
+/// Assigns one index to each distinct preference; an index never changes its meaning.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Interner {
     /// Preference of each index.
@@ -35,8 +35,8 @@
 }
 
 impl Interner {
-    /// Continues the indices of an existing table.
-    pub(crate) fn resume(lists: &[Preference]) -> Self {
+    /// Continues with the indices of an existing table.
+    pub(crate) fn from_lists(lists: &[Preference]) -> Self {
         let indices = lists.iter().cloned().zip(0..=u16::MAX).collect();
         Self {
             lists: lists.to_vec(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Index of a preference, a new one if need be.
+    /// Index of a preference, newly assigned if it has none.
     pub(crate) fn index(&mut self, regions: &[RegionId]) -> Result<u16, TooManyPreferences> {
         if let Some(index) = self.indices.get(regions) {
             return Ok(*index);
--- a/crates/blocks/src/table.rs
+++ b/crates/blocks/src/table.rs
@@ -1,11 +1,11 @@
-//! The block table: longest prefix to preference.
+//! The block table: longest-prefix lookup of preferences.
 
 use crate::{
     chunk::Item,
-    plane::{
+    prefix_map::{
         Edit,
-        Plane,
-        PlaneBuilder, //
+        PrefixMap,
+        PrefixMapBuilder, //
     },
     prefs::{
         Interner,
@@ -23,22 +23,22 @@
     sync::Arc, //
 };
 
-/// Longest prefix of IPv6 that is kept in the plane of half addresses.
-const HALF: u8 = 64;
+/// Half the bits of an IPv6 address: the longest prefix that is stored with a 64-bit key.
+const HALF_BITS: u8 = 64;
 
 /// Immutable table from client blocks to ordered preferences of regions.
 ///
-/// Cloning and [`Table::apply`] share what does not change. IPv6 blocks of at most 64 bits, which
-/// are nearly all, are kept as half addresses; a longer one always wins over them.
+/// Clones and the results of [`Table::apply`] share what does not change. IPv6 blocks of at most 64
+/// bits, which are nearly all, are stored with 64-bit keys; a longer one always takes precedence.
 #[derive(Clone, Debug)]
 pub struct Table {
     /// IPv4 blocks.
-    v4: Plane<u32>,
+    v4: PrefixMap<u32>,
     /// IPv6 blocks of at most 64 bits.
-    v6: Plane<u64>,
+    v6: PrefixMap<u64>,
     /// IPv6 blocks of more than 64 bits.
-    v6_long: Plane<u128>,
-    /// Preference of each index in the planes.
+    v6_long: PrefixMap<u128>,
+    /// Preference of each index in the prefix maps.
     prefs: Arc<[Preference]>,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Tables are equal if they hold the same blocks with the same preferences.
+/// Tables are equal if they have the same blocks with the same preferences.
 impl PartialEq for Table {
     fn eq(&self, other: &Self) -> bool {
         Delta::between(self, other).is_empty()
@@ -58,7 +58,7 @@
 impl Eq for Table {}
 
 impl Table {
-    /// Builds a table; of a block that is given twice the later one counts.
+    /// Builds a table. The last of repeated blocks counts.
     ///
     /// # Errors
     ///
@@ -73,9 +73,9 @@
         Ok(builder.finish())
     }
 
-    /// Preference of the longest block around an address, if any.
+    /// Preference of the longest block that contains an address, if any.
     ///
-    /// An IPv4 address that is mapped into IPv6 is looked up as IPv4.
+    /// An IPv4-mapped IPv6 address is looked up as IPv4.
     pub fn lookup(&self, addr: IpAddr) -> Option<&[RegionId]> {
         let index = match addr.to_canonical() {
             IpAddr::V4(addr) => self.v4.find(addr.to_bits()),
@@ -118,7 +118,7 @@
         &self.prefs
     }
 
-    /// All regions that some block prefers.
+    /// All regions in the preferences of the blocks.
     pub fn regions(&self) -> BTreeSet<RegionId> {
         let mut used = vec![false; self.prefs.len()];
         for (_, index) in self.indexed() {
@@ -129,24 +129,23 @@
             .collect()
     }
 
-    /// A table with the difference applied; this one stays as it is, and untouched parts are
-    /// shared.
+    /// Returns a table with the difference applied. It shares the unchanged parts with this one.
     ///
-    /// Removing a nested block uncovers the one around it; removing what is not there does nothing.
+    /// Removing a nested block exposes the enclosing one; removing an absent block has no effect.
     ///
     /// # Errors
     ///
-    /// When there are too many distinct preferences, also after those out of use were dropped.
+    /// When there are too many distinct preferences, even after unused ones are dropped.
     pub fn apply(&self, delta: &Delta) -> Result<Self, TooManyPreferences> {
         match self.apply_sharing(delta) {
             Ok(table) => Ok(table),
-            // Indices are never reused, so that shared chunks keep their meaning. Building anew
-            // drops those that no block uses any more.
+            // Indices are never reused, because shared chunks refer to them. Rebuilding drops those
+            // that no block uses any more.
             Err(TooManyPreferences) => self.rebuilt()?.apply_sharing(delta),
         }
     }
 
-    /// Bytes on the heap; parts that are shared with other tables count in full.
+    /// Bytes on the heap; parts shared with other tables count in full.
     pub fn memory_bytes(&self) -> usize {
         let prefs: usize = self
             .prefs
@@ -156,26 +155,26 @@
         prefs + self.v4.memory_bytes() + self.v6.memory_bytes() + self.v6_long.memory_bytes()
     }
 
-    /// Bytes on the heap beyond those shared with `other`, apart from preferences.
+    /// Bytes on the heap that are not shared with `other`, without preferences.
     pub fn unshared_bytes(&self, other: &Self) -> usize {
         self.v4.unshared_bytes(&other.v4)
             + self.v6.unshared_bytes(&other.v6)
             + self.v6_long.unshared_bytes(&other.v6_long)
     }
 
-    /// Applies a difference with the preference indices continued.
+    /// Applies a difference; new preferences get indices after the existing ones.
     fn apply_sharing(&self, delta: &Delta) -> Result<Self, TooManyPreferences> {
-        let mut interner = Interner::resume(&self.prefs);
+        let mut interner = Interner::from_lists(&self.prefs);
         let mut edits = Edits::default();
         for (block, regions) in delta.iter() {
             let index = regions.map(|regions| interner.index(regions)).transpose()?;
             edits.push(block, index);
         }
-        let lists = interner.into_lists();
-        let prefs = if lists.len() == self.prefs.len() {
+        let preferences = interner.into_lists();
+        let prefs = if preferences.len() == self.prefs.len() {
             Arc::clone(&self.prefs)
         } else {
-            lists.into()
+            preferences.into()
         };
         Ok(Self {
             v4: self.v4.apply(&edits.v4),
@@ -185,12 +184,12 @@
         })
     }
 
-    /// The same table with only the preferences that are in use.
+    /// Rebuilds the table with only the preferences in use.
     fn rebuilt(&self) -> Result<Self, TooManyPreferences> {
         Self::build(self.iter().map(|(block, regions)| (block, &**regions)))
     }
 
-    /// Calls `visit` for each block that differs, with its preference in `later` if it is there.
+    /// Calls `visit` for each block that differs, with its preference in `later` or `None`.
     pub(crate) fn compare(&self, later: &Self, mut visit: impl FnMut(Block, Option<&Preference>)) {
         let same = |old: u16, new: u16| {
             let old = &self.prefs[usize::from(old)];
@@ -202,9 +201,7 @@
             &later.v4,
             |a, b| same(a.pref, b.pref),
             |old, new| {
-                let item = new
-                    .or(old)
-                    .expect("A block that differs is in one of them.");
+                let item = new.or(old).expect("a differing block is in a table");
                 visit(block_v4(item), new.map(|new| pref(new.pref)));
             },
         );
@@ -212,9 +209,7 @@
             &later.v6,
             |a, b| same(a.pref, b.pref),
             |old, new| {
-                let item = new
-                    .or(old)
-                    .expect("A block that differs is in one of them.");
+                let item = new.or(old).expect("a differing block is in a table");
                 visit(block_v6(item), new.map(|new| pref(new.pref)));
             },
         );
@@ -222,17 +217,15 @@
             &later.v6_long,
             |a, b| same(a.pref, b.pref),
             |old, new| {
-                let item = new
-                    .or(old)
-                    .expect("A block that differs is in one of them.");
+                let item = new.or(old).expect("a differing block is in a table");
                 visit(block_v6_long(item), new.map(|new| pref(new.pref)));
             },
         );
     }
 }
 
-/// Which plane a block belongs to, and its bits there.
-enum Bits {
+/// The prefix map that a block belongs to, and its key there.
+enum TypedKey {
     /// IPv4.
     V4(u32),
     /// IPv6 of at most 64 bits.
@@ -241,12 +234,14 @@
     V6Long(u128),
 }
 
-impl Bits {
-    /// Bits of a block.
+impl TypedKey {
+    /// Key of a block.
     fn of(block: Block) -> Self {
         match block.addr() {
             IpAddr::V4(addr) => Self::V4(addr.to_bits()),
-            IpAddr::V6(addr) if block.prefix_len() <= HALF => Self::V6(high_half(addr.to_bits())),
+            IpAddr::V6(addr) if block.prefix_len() <= HALF_BITS => {
+                Self::V6(high_half(addr.to_bits()))
+            }
             IpAddr::V6(addr) => Self::V6Long(addr.to_bits()),
         }
     }
@@ -254,26 +249,26 @@
 
 /// First 64 bits of an IPv6 address.
 fn high_half(bits: u128) -> u64 {
-    // The shift leaves 64 bits.
-    (bits >> HALF) as u64
+    // After the shift only 64 bits are left.
+    (bits >> HALF_BITS) as u64
 }
 
-/// Block of an item of the IPv4 plane.
+/// Block of an item with an IPv4 key.
 fn block_v4(item: Item<u32>) -> Block {
     Block::v4(item.start, item.len)
 }
 
-/// Block of an item of the plane of half addresses.
+/// Block of an item with a 64-bit key.
 fn block_v6(item: Item<u64>) -> Block {
-    Block::v6(u128::from(item.start) << HALF, item.len)
+    Block::v6(u128::from(item.start) << HALF_BITS, item.len)
 }
 
-/// Block of an item of the plane of whole IPv6 addresses.
+/// Block of an item with a 128-bit key.
 fn block_v6_long(item: Item<u128>) -> Block {
     Block::v6(item.start, item.len)
 }
 
-/// Edits of each plane, sorted as the difference is.
+/// Edits of each prefix map, sorted like the difference.
 #[derive(Default)]
 struct Edits {
     /// IPv4.
@@ -288,29 +283,29 @@
     /// Adds the new state of a block.
     fn push(&mut self, block: Block, index: Option<u16>) {
         let len = block.prefix_len();
-        match Bits::of(block) {
-            Bits::V4(start) => self.v4.push(((start, len), index)),
-            Bits::V6(start) => self.v6.push(((start, len), index)),
-            Bits::V6Long(start) => self.v6_long.push(((start, len), index)),
+        match TypedKey::of(block) {
+            TypedKey::V4(start) => self.v4.push(((start, len), index)),
+            TypedKey::V6(start) => self.v6.push(((start, len), index)),
+            TypedKey::V6Long(start) => self.v6_long.push(((start, len), index)),
         }
     }
 }
 
-/// Gathers the blocks of a table in compact form, in any order; sorted ones cost the least.
+/// Builds a table from blocks in any order; sorted blocks take the least time and memory.
 #[derive(Debug, Default)]
 pub struct Builder {
     /// IPv4 blocks.
-    v4: PlaneBuilder<u32>,
+    v4: PrefixMapBuilder<u32>,
     /// IPv6 blocks of at most 64 bits.
-    v6: PlaneBuilder<u64>,
+    v6: PrefixMapBuilder<u64>,
     /// IPv6 blocks of more than 64 bits.
-    v6_long: PlaneBuilder<u128>,
+    v6_long: PrefixMapBuilder<u128>,
     /// Indices of preferences.
     interner: Interner,
 }
 
 impl Builder {
-    /// Adds a block; of one that is added twice the later counts.
+    /// Adds a block. If it was added before, the new preference replaces the earlier one.
     ///
     /// # Errors
     ///
@@ -318,10 +313,10 @@
     pub fn push(&mut self, block: Block, regions: &[RegionId]) -> Result<(), TooManyPreferences> {
         let pref = self.interner.index(regions)?;
         let len = block.prefix_len();
-        match Bits::of(block) {
-            Bits::V4(start) => self.v4.push(Item { start, len, pref }),
-            Bits::V6(start) => self.v6.push(Item { start, len, pref }),
-            Bits::V6Long(start) => self.v6_long.push(Item { start, len, pref }),
+        match TypedKey::of(block) {
+            TypedKey::V4(start) => self.v4.push(Item { start, len, pref }),
+            TypedKey::V6(start) => self.v6.push(Item { start, len, pref }),
+            TypedKey::V6Long(start) => self.v6_long.push(Item { start, len, pref }),
         }
         Ok(())
     }
@@ -331,12 +326,12 @@
         self.v4.len() + self.v6.len() + self.v6_long.len()
     }
 
-    /// Whether nothing was added.
+    /// Whether no block was added.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The table.
+    /// Returns the finished table.
     pub fn finish(self) -> Table {
         Table {
             v4: self.v4.finish(),
--- a/crates/blocks/src/text.rs
+++ b/crates/blocks/src/text.rs
@@ -1,10 +1,11 @@
-//! Textual forms of a table and of a difference, one block a line.
+//! Textual forms of a table and of a difference, one block per line.
 //!
-//! A table's line is `BLOCK REGION,REGION,…`. A difference's line is the same with `+` before it,
-//! or `-BLOCK` for a block that is gone. Empty lines and lines that begin with `#` are passed over.
+//! A line of a table is `BLOCK REGION,REGION,…`. A line of a difference is the same after a `+`, or
+//! `-BLOCK` for a removed block. Empty lines and lines that begin with `#` are ignored.
 //!
-//! A line `@NUMBER REGION,REGION,…` names a preference, and later lines may say `BLOCK @NUMBER`. So
-//! [`Compact`] halves the text of a large table, which a daemon has to hold while it reads it.
+//! A line `@NUMBER REGION,REGION,…` defines a preference, which later lines refer to by
+//! `BLOCK @NUMBER`. With it, [`Compact`] halves the text of a large table, which a daemon keeps in
+//! memory while it parses it.
 
 use crate::{
     table::Builder,
@@ -22,12 +23,12 @@
     fmt, //
 };
 
-/// A line that can't be taken.
+/// Error in one line.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LineError {
-    /// Line, counted from 1.
+    /// Line number, counted from 1.
     pub line: u32,
-    /// Why, in one line.
+    /// Reason, in one line.
     pub message: String,
 }
 
@@ -39,104 +40,104 @@
 
 impl Error for LineError {}
 
-/// All lines that can't be taken.
+/// All lines with errors.
 type LineErrors = Vec<LineError>;
 
 impl Table {
-    /// Reads a table from its textual form, in any order.
+    /// Parses a table from its textual form, with blocks in any order.
     ///
     /// # Errors
     ///
-    /// Every line that is no block with its regions, and every block that stands twice.
+    /// Every line that is not a block with its regions, and every repeated block.
     pub fn parse(text: &str) -> Result<Self, LineErrors> {
         let mut reader = TableReader::default();
         reader.push(text);
-        let (table, repeats, mut lines) = reader.build();
+        let (table, repeats, mut parser) = reader.build();
         if repeats > 0 {
-            lines.find_repeats(text);
+            parser.report_repeats(text);
         }
-        lines.finish(table)
+        parser.finish(table)
     }
 }
 
-/// Reads a table piece by piece, so that its text is never whole in memory.
+/// Incremental parser of a table, which does not need the whole text in memory.
 #[derive(Debug, Default)]
 pub struct TableReader {
     /// Blocks so far.
     builder: Builder,
-    /// Preferences and errors so far.
-    lines: Lines,
-    /// Lines of the pieces so far.
-    count: u32,
-    /// Whether there are too many preferences; the rest is passed over.
-    is_full: bool,
+    /// State of the line parser.
+    parser: LineParser,
+    /// Number of lines so far.
+    line_count: u32,
+    /// Whether there are too many preferences; the remaining lines are ignored.
+    has_too_many_preferences: bool,
 }
 
 impl TableReader {
-    /// Reads some more lines; a piece ends where a line does.
+    /// Parses more lines. `text` has to end with a complete line.
     pub fn push(&mut self, text: &str) {
-        for (number, line) in numbered(text) {
-            let number = self.count.saturating_add(number);
-            if self.is_full {
+        for (number, line) in numbered_lines(text) {
+            let number = self.line_count.saturating_add(number);
+            if self.has_too_many_preferences {
                 break;
             }
             if line.starts_with('@') {
-                self.lines.name_preference(number, line);
+                self.parser.define_preference(number, line);
                 continue;
             }
-            let Some((block, regions)) = self.lines.block_and_regions(number, line) else {
+            let Some((block, regions)) = self.parser.parse_block_and_regions(number, line) else {
                 continue;
             };
             if let Err(error) = self.builder.push(block, regions) {
-                self.lines.fail(number, error.to_string());
-                self.is_full = true;
+                self.parser.record_error(number, error.to_string());
+                self.has_too_many_preferences = true;
             }
         }
-        let count = u32::try_from(text.lines().count()).unwrap_or(u32::MAX);
-        self.count = self.count.saturating_add(count);
+        let lines = u32::try_from(text.lines().count()).unwrap_or(u32::MAX);
+        self.line_count = self.line_count.saturating_add(lines);
     }
 
-    /// The table.
+    /// Returns the finished table.
     ///
     /// # Errors
     ///
-    /// As of [`Table::parse`], but that blocks which stand twice are counted, not named: their
-    /// lines are gone.
+    /// As for [`Table::parse`], except that repeated blocks are only counted: their lines are no
+    /// longer in memory.
     pub fn finish(self) -> Result<Table, Vec<LineError>> {
-        let last = self.count;
-        let (table, repeats, mut lines) = self.build();
+        let last = self.line_count;
+        let (table, repeats, mut parser) = self.build();
         if repeats > 0 {
-            lines.fail(last, format!("{repeats} lines repeat the block of another"));
+            parser.record_error(last, format!("{repeats} lines repeat the block of another"));
         }
-        lines.finish(table)
+        parser.finish(table)
     }
 
-    /// The table, the number of lines that repeat a block, and the errors.
-    fn build(self) -> (Table, usize, Lines) {
+    /// Returns the table, the number of lines that repeat a block, and the line parser.
+    fn build(self) -> (Table, usize, LineParser) {
         let pushed = self.builder.len();
         let table = self.builder.finish();
         let repeats = pushed - table.len();
-        (table, repeats, self.lines)
+        (table, repeats, self.parser)
     }
 }
 
 impl Delta {
-    /// Reads a difference from its textual form, in any order.
+    /// Parses a difference from its textual form, with blocks in any order.
     ///
     /// # Errors
     ///
-    /// Every line that is no change of a block, and every block that stands twice.
+    /// Every line that is not a change of a block, and every repeated block.
     pub fn parse(text: &str) -> Result<Self, LineErrors> {
         let mut delta = Self::default();
-        let mut lines = Lines::default();
-        for (number, line) in numbered(text) {
+        let mut parser = LineParser::default();
+        for (number, line) in numbered_lines(text) {
             let change = match (line.strip_prefix('+'), line.strip_prefix('-')) {
-                (Some(line), _) => lines
-                    .block_and_regions(number, line)
+                (Some(line), _) => parser
+                    .parse_block_and_regions(number, line)
                     .map(|(block, regions)| (block, Some(regions))),
-                (_, Some(block)) => lines.block(number, block).map(|block| (block, None)),
+                (_, Some(block)) => parser.parse_block(number, block).map(|block| (block, None)),
                 _ => {
-                    lines.fail(number, "neither `+BLOCK REGIONS` nor `-BLOCK`".to_owned());
+                    parser.record_error(number, "neither `+BLOCK REGIONS` nor `-BLOCK`".to_owned());
                     None
                 }
             };
@@ -145,7 +146,7 @@
             };
             if delta.contains(block) {
                 let message = format!("block `{block}` stands twice");
-                lines.fail(number, message);
+                parser.record_error(number, message);
                 continue;
             }
             match regions {
@@ -153,26 +154,26 @@
                 None => delta.remove(block),
             }
         }
-        lines.finish(delta)
+        parser.finish(delta)
     }
 }
 
-/// One line a block, sorted within each kind of address.
+/// One line per block, sorted within each kind of address.
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (block, regions) in self.iter() {
-            writeln!(f, "{block} {}", Joined(regions))?;
+            writeln!(f, "{block} {}", CommaSeparated(regions))?;
         }
         Ok(())
     }
 }
 
-/// One line a block that differs, sorted.
+/// One line per changed block, sorted.
 impl fmt::Display for Delta {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (block, regions) in self.iter() {
             match regions {
-                Some(regions) => writeln!(f, "+{block} {}", Joined(regions))?,
+                Some(regions) => writeln!(f, "+{block} {}", CommaSeparated(regions))?,
                 None => writeln!(f, "-{block}")?,
             }
         }
@@ -180,17 +181,17 @@
     }
 }
 
-/// Text of a table with each preference written once.
+/// Textual form of a table that defines each preference once.
 #[derive(Clone, Copy, Debug)]
 pub struct Compact<'a>(
-    /// Table to write.
+    /// Table to format.
     pub &'a Table,
 );
 
 impl fmt::Display for Compact<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let preferences = self.0.preferences();
-        // Numbered by first use, so that equal tables have equal texts whatever their past.
+        // Numbered by first use, so that equal tables have equal texts regardless of their indices.
         let mut numbers = vec![None; preferences.len()];
         let mut next: u32 = 0;
         for (block, index) in self.0.indexed() {
@@ -198,7 +199,7 @@
             let number = match numbers[index] {
                 Some(number) => number,
                 None => {
-                    writeln!(f, "@{next} {}", Joined(&preferences[index]))?;
+                    writeln!(f, "@{next} {}", CommaSeparated(&preferences[index]))?;
                     numbers[index] = Some(next);
                     next += 1;
                     next - 1
@@ -210,10 +211,10 @@
     }
 }
 
-/// Regions with commas between them.
-struct Joined<'a>(&'a [RegionId]);
+/// Formats regions separated by commas.
+struct CommaSeparated<'a>(&'a [RegionId]);
 
-impl fmt::Display for Joined<'_> {
+impl fmt::Display for CommaSeparated<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, region) in self.0.iter().enumerate() {
             let comma = if index == 0 { "" } else { "," };
@@ -223,52 +224,52 @@
     }
 }
 
-/// Lines that hold something, with their numbers.
-fn numbered(text: &str) -> impl Iterator<Item = (u32, &str)> {
+/// Lines that are neither empty nor comments, with their numbers.
+fn numbered_lines(text: &str) -> impl Iterator<Item = (u32, &str)> {
     (1..)
         .zip(text.lines().map(str::trim))
         .filter(|(_, line)| !line.is_empty() && !line.starts_with('#'))
 }
 
-/// Reads lines and gathers those that can't be taken.
+/// Parses lines and collects their errors.
 #[derive(Debug, Default)]
-struct Lines {
-    /// Preferences by their text; a large table repeats few of them.
+struct LineParser {
+    /// Preferences by their text. A large table has few distinct ones.
     preferences: FastMap<Box<str>, Vec<RegionId>>,
     /// Errors so far.
     errors: LineErrors,
 }
 
-impl Lines {
+impl LineParser {
     /// Records an error.
-    fn fail(&mut self, line: u32, message: String) {
+    fn record_error(&mut self, line: u32, message: String) {
         self.errors.push(LineError { line, message });
     }
 
-    /// Reads a block.
-    fn block(&mut self, number: u32, text: &str) -> Option<Block> {
+    /// Parses a block.
+    fn parse_block(&mut self, number: u32, text: &str) -> Option<Block> {
         match text.parse() {
             Ok(block) => Some(block),
             Err(error) => {
                 let message = format!("`{}`: {error}", text.escape_debug());
-                self.fail(number, message);
+                self.record_error(number, message);
                 None
             }
         }
     }
 
-    /// Reads a block and its regions.
-    fn block_and_regions(&mut self, number: u32, line: &str) -> Option<(Block, &[RegionId])> {
+    /// Parses a block and its regions.
+    fn parse_block_and_regions(&mut self, number: u32, line: &str) -> Option<(Block, &[RegionId])> {
         let (block, regions) = line.split_once(' ').unwrap_or((line, ""));
-        let block = self.block(number, block);
+        let block = self.parse_block(number, block);
         let regions = regions.trim();
         if !self.preferences.contains_key(regions) {
-            match read_regions(regions) {
+            match parse_regions(regions) {
                 Ok(list) => {
                     self.preferences.insert(regions.into(), list);
                 }
                 Err(message) => {
-                    self.fail(number, message);
+                    self.record_error(number, message);
                     return None;
                 }
             }
@@ -276,40 +277,40 @@
         Some((block?, &self.preferences[regions]))
     }
 
-    /// Reads a line that names a preference.
-    fn name_preference(&mut self, number: u32, line: &str) {
+    /// Parses a line that defines a preference.
+    fn define_preference(&mut self, number: u32, line: &str) {
         let (name, regions) = line.split_once(' ').unwrap_or((line, ""));
-        match read_regions(regions.trim()) {
+        match parse_regions(regions.trim()) {
             Ok(_) if self.preferences.contains_key(name) => {
-                self.fail(number, format!("preference `{name}` stands twice"));
+                self.record_error(number, format!("preference `{name}` stands twice"));
             }
             Ok(list) => {
                 self.preferences.insert(name.into(), list);
             }
-            Err(message) => self.fail(number, message),
+            Err(message) => self.record_error(number, message),
         }
     }
 
-    /// Records each line whose block stood on an earlier one.
+    /// Records an error for each line that repeats the block of an earlier one.
     ///
-    /// Only run once repeats are known to exist, since remembering every line costs far more
+    /// Run only if repeats are known to exist: a map of the lines of all blocks takes far more
     /// memory than the table.
-    fn find_repeats(&mut self, text: &str) {
-        let mut first = BTreeMap::new();
-        for (number, line) in numbered(text) {
+    fn report_repeats(&mut self, text: &str) {
+        let mut first_lines = BTreeMap::new();
+        for (number, line) in numbered_lines(text) {
             let block = line.split(' ').next().unwrap_or_default();
             let Ok(block) = block.parse::<Block>() else {
                 continue;
             };
-            let earlier = *first.entry(block).or_insert(number);
+            let earlier = *first_lines.entry(block).or_insert(number);
             if earlier != number {
                 let message = format!("block `{block}` stands twice, first on line {earlier}");
-                self.fail(number, message);
+                self.record_error(number, message);
             }
         }
     }
 
-    /// Gives the value if every line was taken.
+    /// Returns `value` if no line has an error, or else the sorted errors.
     fn finish<T>(mut self, value: T) -> Result<T, LineErrors> {
         if self.errors.is_empty() {
             return Ok(value);
@@ -319,8 +320,8 @@
     }
 }
 
-/// Reads regions with commas between them.
-fn read_regions(text: &str) -> Result<Vec<RegionId>, String> {
+/// Parses regions separated by commas.
+fn parse_regions(text: &str) -> Result<Vec<RegionId>, String> {
     if text.starts_with('@') {
         let name = text.escape_debug();
         return Err(format!(
--- a/crates/blocks/tests/naive.rs
+++ b/crates/blocks/tests/naive.rs
@@ -1,4 +1,5 @@
-//! A table equals a naive model: all blocks in a map, the longest one that contains the address.
+//! Compares a table with a naive model, which keeps all blocks in a map and looks up the longest one
+//! that contains the address.
 
 mod numbers;
 
@@ -11,7 +12,7 @@
     Table,
     TableReader, //
 };
-use numbers::Numbers;
+use numbers::Rng;
 use std::{
     collections::BTreeMap,
     net::{
@@ -23,8 +24,8 @@
 
 type Model = BTreeMap<Block, Vec<RegionId>>;
 
-impl Numbers {
-    /// An address out of few enough that blocks nest, meet and repeat often.
+impl Rng {
+    /// An address from a set small enough that blocks often are nested, adjacent or repeated.
     fn addr(&mut self) -> IpAddr {
         let edge = [0, 0xff, self.next() & 0xff][self.below(3) as usize] as u8;
         let middle = self.below(16) as u8;
@@ -73,11 +74,11 @@
     Block::new(addr, len).unwrap()
 }
 
-fn table_of(model: &Model) -> Table {
+fn to_table(model: &Model) -> Table {
     Table::build(model.iter().map(|(block, regions)| (*block, &**regions))).unwrap()
 }
 
-fn longest(model: &Model, addr: IpAddr) -> Option<&[RegionId]> {
+fn model_lookup(model: &Model, addr: IpAddr) -> Option<&[RegionId]> {
     model
         .iter()
         .filter(|(block, _)| block.contains(addr))
@@ -85,7 +86,7 @@
         .map(|(_, regions)| &**regions)
 }
 
-fn assert_same(table: &Table, model: &Model, numbers: &mut Numbers) {
+fn assert_equal(table: &Table, model: &Model, rng: &mut Rng) {
     let listed: Model = table
         .iter()
         .map(|(b, regions)| (b, regions.to_vec()))
@@ -93,26 +94,26 @@
     assert_eq!(&listed, model);
     assert_eq!(table.len(), model.len());
     for _ in 0..64 {
-        let addr = numbers.addr();
-        assert_eq!(table.lookup(addr), longest(model, addr), "{addr}");
+        let addr = rng.addr();
+        assert_eq!(table.lookup(addr), model_lookup(model, addr), "{addr}");
     }
 }
 
-/// Random changes, many of them of blocks that are there.
-fn random_delta(model: &Model, numbers: &mut Numbers, len: u64) -> Delta {
+/// Random changes, about half of them to blocks of the model.
+fn random_delta(model: &Model, rng: &mut Rng, len: u64) -> Delta {
     let present: Vec<Block> = model.keys().copied().collect();
     let mut delta = Delta::default();
     for _ in 0..len {
-        let known = !present.is_empty() && numbers.below(2) == 0;
-        let block = if known {
-            present[numbers.below(present.len() as u64) as usize]
+        let is_present = !present.is_empty() && rng.below(2) == 0;
+        let block = if is_present {
+            present[rng.below(present.len() as u64) as usize]
         } else {
-            numbers.block()
+            rng.block()
         };
-        if numbers.below(2) == 0 {
+        if rng.below(2) == 0 {
             delta.remove(block);
         } else {
-            delta.set(block, &numbers.regions());
+            delta.set(block, &rng.regions());
         }
     }
     delta
@@ -133,35 +134,35 @@
         .with_iterations(60)
         .with_type::<(u64, u16)>()
         .for_each(|(seed, len)| {
-            let mut numbers = Numbers(*seed);
+            let mut rng = Rng(*seed);
             let mut model = Model::new();
             for _ in 0..len % 3_000 {
-                model.insert(numbers.block(), numbers.regions());
+                model.insert(rng.block(), rng.regions());
             }
-            let mut table = table_of(&model);
-            assert_same(&table, &model, &mut numbers);
+            let mut table = to_table(&model);
+            assert_equal(&table, &model, &mut rng);
             for _ in 0..3 {
-                let before = (table.clone(), model.clone());
-                let len = numbers.below(200) * numbers.below(20);
-                let delta = random_delta(&model, &mut numbers, len);
+                let old = (table.clone(), model.clone());
+                let len = rng.below(200) * rng.below(20);
+                let delta = random_delta(&model, &mut rng, len);
                 apply_to_model(&mut model, &delta);
                 table = table.apply(&delta).unwrap();
-                assert_same(&table, &model, &mut numbers);
-                // The old table stays as it was, and the difference leads from one to the other.
-                assert_same(&before.0, &before.1, &mut numbers);
-                let between = Delta::between(&before.0, &table);
-                assert_eq!(before.0.apply(&between).unwrap(), table);
-                assert_eq!(Delta::between(&before.0, &table_of(&model)), between);
+                assert_equal(&table, &model, &mut rng);
+                // The old table is unchanged, and the difference turns it into the new one.
+                assert_equal(&old.0, &old.1, &mut rng);
+                let between = Delta::between(&old.0, &table);
+                assert_eq!(old.0.apply(&between).unwrap(), table);
+                assert_eq!(Delta::between(&old.0, &to_table(&model)), between);
             }
             assert_eq!(Table::parse(&table.to_string()).unwrap(), table);
             let compact = Compact(&table).to_string();
             assert_eq!(Table::parse(&compact).unwrap(), table);
-            assert_eq!(Compact(&table_of(&model)).to_string(), compact);
+            assert_eq!(Compact(&to_table(&model)).to_string(), compact);
         });
 }
 
 #[test]
-fn any_text_is_read_or_refused() {
+fn any_text_that_parses_prints_and_parses_again() {
     bolero::check!()
         .with_iterations(2_000)
         .with_type::<String>()
@@ -176,19 +177,19 @@
 }
 
 #[test]
-fn pieces_give_the_same_table_as_the_whole() {
+fn incremental_parsing_equals_parsing_at_once() {
     bolero::check!()
         .with_iterations(2_000)
         .with_type::<(Vec<(u8, u8, bool)>, u8)>()
         .for_each(|(lines, cut)| {
-            let line = |(addr, kind, ends): &(u8, u8, bool)| {
+            let line = |(addr, kind, single_newline): &(u8, u8, bool)| {
                 let preference = ["a", "a,b", "@1", "@2", "x x"][usize::from(*kind) % 5];
                 let line = match kind % 7 {
                     0 => format!("@{} {preference}", addr % 3),
                     1 => "# nothing".to_owned(),
                     _ => format!("10.{addr}.0.0/16 {preference}"),
                 };
-                line + if *ends { "\n" } else { "\n\n" }
+                line + if *single_newline { "\n" } else { "\n\n" }
             };
             let lines: Vec<String> = lines.iter().map(line).collect();
             let (first, rest) = lines.split_at(lines.len().min(usize::from(*cut)));
@@ -197,45 +198,45 @@
             reader.push(&rest.concat());
             let whole = Table::parse(&lines.concat());
             match (reader.finish(), whole) {
-                (Ok(pieces), Ok(whole)) => assert_eq!(pieces, whole),
-                (Err(pieces), Err(whole)) => {
+                (Ok(incremental), Ok(whole)) => assert_eq!(incremental, whole),
+                (Err(incremental), Err(whole)) => {
                     let repeats = |e: &&LineError| e.message.contains("stands twice, first");
                     let lines = |e: &LineError| e.line;
                     let whole = whole.iter().filter(|e| !repeats(e)).map(lines);
                     let repeats = |e: &&LineError| e.message.contains("repeat the block");
-                    let pieces = pieces.iter().filter(|e| !repeats(e)).map(lines);
-                    assert!(pieces.eq(whole));
+                    let incremental = incremental.iter().filter(|e| !repeats(e)).map(lines);
+                    assert!(incremental.eq(whole));
                 }
-                (pieces, whole) => panic!("{pieces:?} but {whole:?}"),
+                (incremental, whole) => panic!("{incremental:?} but {whole:?}"),
             }
         });
 }
 
-/// Symptom: a block has a preference that a later line replaced, or callers get that of another
-/// block. Sequence: blocks come in order for some chunks, then out of order, some of them again.
-/// Cause: those in order are in chunks by then, and what came late is brought in at the end.
+/// Guards against a block that keeps a replaced preference or gets that of another block. This can
+/// happen when blocks arrive out of order, some of them repeated, after blocks in order have already
+/// been put into chunks: the two are merged only at the end.
 #[test]
-fn blocks_may_come_in_any_order_and_the_last_counts() {
+fn blocks_are_accepted_in_any_order_and_the_last_counts() {
     bolero::check!()
         .with_iterations(60)
         .with_type::<(u64, u8)>()
         .for_each(|(seed, in_order_of_256)| {
-            let mut numbers = Numbers(*seed);
-            let mut blocks: Vec<_> = (0..numbers.below(3_000))
-                .map(|_| (numbers.block(), numbers.regions()))
+            let mut rng = Rng(*seed);
+            let mut blocks: Vec<_> = (0..rng.below(3_000))
+                .map(|_| (rng.block(), rng.regions()))
                 .collect();
             let in_order = blocks.len() * usize::from(*in_order_of_256) / 256;
             blocks[..in_order].sort();
             let model: Model = blocks.iter().cloned().collect();
             let table = Table::build(blocks.iter().map(|(b, regions)| (*b, &**regions))).unwrap();
-            assert_same(&table, &model, &mut numbers);
+            assert_equal(&table, &model, &mut rng);
         });
 }
 
 #[test]
-fn removing_a_nested_block_uncovers_its_parent() {
-    // Symptom: callers of a removed /24 have no home. Sequence: a /8, a /24 inside it in a later
-    // chunk, then a difference without the /24. Cause would be a table that flattened the two.
+fn removing_a_nested_block_exposes_its_parent() {
+    // Guards against callers without a home region after their /24 is removed from inside a /8 that
+    // begins in an earlier chunk. A table that flattened nested blocks would fail here.
     let mut text = String::from("10.0.0.0/8 dar\n");
     for n in 0..2_000 {
         text.push_str(&format!("10.{}.{}.0/24 moshi\n", n / 256, n % 256));
@@ -247,10 +248,10 @@
     let later = table.apply(&delta).unwrap();
     assert_eq!(later.lookup(addr).unwrap(), ["dar"]);
     assert_eq!(table.lookup(addr).unwrap(), ["moshi"]);
-    let gone = later
+    let without_parent = later
         .apply(&Delta::parse("-10.0.0.0/8\n").unwrap())
         .unwrap();
-    assert_eq!(gone.lookup(addr), None);
+    assert_eq!(without_parent.lookup(addr), None);
 }
 
 #[test]
@@ -266,8 +267,8 @@
     assert!(later.unshared_bytes(&table) * 10 < whole);
 }
 
-/// Names a table of text with its expected errors.
-macro_rules! refused {
+/// Defines tests that parse a text and compare the errors.
+macro_rules! parse_errors {
     ($($name:ident: $kind:ident, $text:expr => $errors:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -278,18 +279,18 @@
     )*};
 }
 
-refused! {
-    every_bad_line_is_named: Table, "# head\n10.0.0.1/8 a\n\nx a\n10.0.0.0/8\n10.0.0.0/33 a\n1.0.0.0/8 a,a\n" => [
+parse_errors! {
+    every_invalid_line_is_reported: Table, "# head\n10.0.0.1/8 a\n\nx a\n10.0.0.0/8\n10.0.0.0/33 a\n1.0.0.0/8 a,a\n" => [
         "line 2: `10.0.0.1/8`: bits are set after the prefix",
         "line 4: `x`: not a block of the form address/length",
         "line 5: `` are no regions with commas between them",
         "line 6: `10.0.0.0/33`: longer than an address of its family",
         "line 7: region `a` stands twice",
     ];
-    a_repeated_block_is_named: Table, "10.0.0.0/8 a\n2001:db8::/32 b\n10.0.0.0/8 b\n" => [
+    a_repeated_block_is_reported: Table, "10.0.0.0/8 a\n2001:db8::/32 b\n10.0.0.0/8 b\n" => [
         "line 3: block `10.0.0.0/8` stands twice, first on line 1",
     ];
-    a_preference_is_named_once_and_before_its_use: Table, "10.0.0.0/8 @0\n@0 a,b\n@0 b\n@1 @0\n2001:db8::/32 @0\n" => [
+    a_preference_is_defined_once_and_before_its_use: Table, "10.0.0.0/8 @0\n@0 a,b\n@0 b\n@1 @0\n2001:db8::/32 @0\n" => [
         "line 1: preference `@0` is not named by an earlier line",
         "line 3: preference `@0` stands twice",
         "line 4: preference `@0` is not named by an earlier line",
--- a/crates/blocks/tests/numbers/mod.rs
+++ b/crates/blocks/tests/numbers/mod.rs
@@ -1,9 +1,9 @@
-//! Numbers for tests and measurements.
+//! Reproducible random numbers for tests and measurements.
 
-/// Numbers that depend on the seed alone.
-pub(crate) struct Numbers(pub(crate) u64);
+/// SplitMix64 generator; the field is its state, initially the seed.
+pub(crate) struct Rng(pub(crate) u64);
 
-impl Numbers {
+impl Rng {
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
