--- a/crates/explain/src/cause.rs
+++ b/crates/explain/src/cause.rs
@@ -1,11 +1,11 @@
-//! What went wrong with a request.
+//! Determines the likely cause of a request's failure.
 
 use crate::{
     fault::Fault,
     logs::{
-        end_of,
+        request_end,
+        LocatedLine, //
         Logs,
-        Placed, //
     },
 };
 use base::UpstreamId;
@@ -19,25 +19,25 @@
 };
 use serde::Serialize;
 
-/// Part of the caller's time after which its leaving means that the time ran out.
-const TIME_SPENT: f64 = 0.9;
-/// An answer that took so many times what was expected came from an upstream that is slow, ...
-const SLOW: u64 = 2;
-/// ... or so many times, where it may only have lacked the request's key: work without it takes some three
-/// times as long.
-const SLOW_COLD: u64 = 5;
-/// Time after a wait in which others' answers still say whether its upstream was alive: one that is slow
-/// by some factor answers by then.
-const AROUND_MS: u64 = 3_000;
-/// Time after a send in which the removal of its upstream's row means that it had ended.
-const REMOVED_WITHIN_MS: u64 = 12_000;
+/// Fraction of the deadline after which a cancellation means that the caller's time ran out.
+const DEADLINE_SPENT_RATIO: f64 = 0.9;
+/// An upstream counts as slow if a response took more than this many times its expected time.
+const SLOW_FACTOR: u64 = 2;
+/// The same factor for an upstream that may not have had the request's key. Work without the key takes some
+/// three times as long, which alone doesn't make the upstream slow.
+const SLOW_FACTOR_COLD: u64 = 5;
+/// Time after a timeout in which responses to other requests still show that the upstream was alive. An
+/// upstream that is slow by some factor responds within this time.
+const LATE_RESPONSES_MS: u64 = 3_000;
+/// Time after a send within which the removal of the upstream's row means that the upstream had ended.
+const REMOVAL_WINDOW_MS: u64 = 12_000;
 
-/// The likely cause, with what speaks for it.
+/// The likely cause of a failure, with evidence.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Cause {
-    /// What went wrong.
+    /// Kind of the failure.
     pub fault: Fault,
-    /// What speaks for it, a sentence each.
+    /// Observations that support the fault, one sentence each.
     pub evidence: Vec<String>,
 }
 
@@ -47,15 +47,15 @@
         Self { fault, evidence }
     }
 
-    fn with(mut self, evidence: impl Into<String>) -> Self {
+    fn with_evidence(mut self, evidence: impl Into<String>) -> Self {
         self.evidence.push(evidence.into());
         self
     }
 }
 
-/// The cause of what one request's lines tell.
-pub(crate) fn find_cause(logs: &Logs, lines: &[&Placed]) -> Cause {
-    let cut = lines.iter().find_map(|placed| match &placed.line.event {
+/// Determines the cause from the lines of one request.
+pub(crate) fn find_cause(logs: &Logs, lines: &[&LocatedLine]) -> Cause {
+    let cut = lines.iter().find_map(|located| match &located.line.event {
         Event::AnswerCut {
             why,
             upstream,
@@ -65,102 +65,109 @@
         _ => None,
     });
     if let Some((why, upstream, sent_bytes)) = cut {
-        return of_cut(logs, lines, why, upstream, sent_bytes);
+        return cause_of_cut(logs, lines, why, upstream, sent_bytes);
     }
-    let Some((line, ended)) = end_of(lines) else {
-        return Cause::new(Fault::Unfinished)
-            .with("the logs end before it, or its process ended, or the line was left out");
+    let Some((line, ended)) = request_end(lines) else {
+        return Cause::new(Fault::Unfinished).with_evidence(
+            "the logs end before it, or its process ended, or the line was left out",
+        );
     };
     let last_failure = lines
         .iter()
         .rev()
-        .find_map(|placed| match &placed.line.event {
-            Event::SendFailed(failed) => Some((&placed.line, failed.as_ref())),
+        .find_map(|located| match &located.line.event {
+            Event::SendFailed(failed) => Some((&located.line, failed.as_ref())),
             _ => None,
         });
     match ended.outcome {
-        Outcome::Answered => of_answer(logs, line, ended),
-        Outcome::UpstreamError => of_upstream_error(ended),
-        Outcome::Refused => of_refusal(logs, line, ended, last_failure),
-        Outcome::Failed | Outcome::TimedOut => of_failure(logs, line, ended, last_failure),
-        Outcome::Cancelled => of_cancelled(logs, line, ended),
+        Outcome::Answered => cause_of_answered(logs, line, ended),
+        Outcome::UpstreamError => cause_of_upstream_error(ended),
+        Outcome::Refused => cause_of_refusal(logs, line, ended, last_failure),
+        Outcome::Failed | Outcome::TimedOut => cause_of_failure(logs, line, ended, last_failure),
+        Outcome::Cancelled => cause_of_cancelled(logs, line, ended),
         Outcome::Closing => Cause::new(Fault::PlannedStop)
-            .with("the caller was told to use another entry; nothing ran"),
-        Outcome::NoRoutes => of_no_routes(logs, line),
-        Outcome::NoSuchRoute | Outcome::NoRequestId => Cause::new(Fault::BadRequest).with(format!(
-            "{} under version {} of the routes",
-            ended.outcome, ended.picture.routes
-        )),
+            .with_evidence("the caller was told to use another entry; nothing ran"),
+        Outcome::NoRoutes => cause_of_no_routes(logs, line),
+        Outcome::NoSuchRoute | Outcome::NoRequestId => {
+            Cause::new(Fault::BadRequest).with_evidence(format!(
+                "{} under version {} of the routes",
+                ended.outcome, ended.picture.routes
+            ))
+        }
         Outcome::NoService => Cause::new(Fault::NoUpstreamListed)
-            .with("all services of its route have the weight zero"),
+            .with_evidence("all services of its route have the weight zero"),
     }
 }
 
-fn of_cut(
+fn cause_of_cut(
     logs: &Logs,
-    lines: &[&Placed],
+    lines: &[&LocatedLine],
     why: &str,
     upstream: &UpstreamId,
     sent_bytes: u64,
 ) -> Cause {
     if why.contains("caller") {
         return Cause::new(Fault::CallerLeft)
-            .with(format!("after {sent_bytes} bytes of the answer"));
+            .with_evidence(format!("after {sent_bytes} bytes of the answer"));
     }
-    let at_ms = lines.last().map_or(0, |placed| placed.line.time_ms);
-    let said = format!("{upstream} after {sent_bytes} bytes: {why}");
-    of_broken(logs, upstream, at_ms).with(said)
+    let at_ms = lines.last().map_or(0, |located| located.line.time_ms);
+    let evidence = format!("{upstream} after {sent_bytes} bytes: {why}");
+    cause_of_broken_send(logs, upstream, at_ms).with_evidence(evidence)
 }
 
-fn of_answer(logs: &Logs, line: &Line, ended: &RequestEnded) -> Cause {
+fn cause_of_answered(logs: &Logs, line: &Line, ended: &RequestEnded) -> Cause {
     let target_ms = ended.target_ms.unwrap_or(u64::MAX);
     if ended.took_ms <= target_ms {
         return Cause::new(Fault::None);
     }
-    let said = format!("{} ms for a target of {target_ms} ms", ended.took_ms);
+    let evidence = format!("{} ms for a target of {target_ms} ms", ended.took_ms);
     let Some(sent) = &ended.sent else {
-        return Cause::new(Fault::Late).with(said);
+        return Cause::new(Fault::Late).with_evidence(evidence);
     };
     let expected = sent.expected;
-    let here = logs.region(&line.instance);
-    let far = here.is_some_and(|here| *here != sent.region);
+    let entry_region = logs.region(&line.instance);
+    let other_region = entry_region.is_some_and(|entry_region| *entry_region != sent.region);
     let fault = if ended.sends > 1 {
-        // The time went to the sends before it.
+        // The earlier sends took the time.
         Fault::UpstreamBrokeOff
     } else if expected.wait_ms > 0 {
         Fault::Queued
     } else if ended.took_ms
-        > expected
-            .answer_ms
-            .saturating_mul(if sent.warm { SLOW } else { SLOW_COLD })
+        > expected.answer_ms.saturating_mul(if sent.warm {
+            SLOW_FACTOR
+        } else {
+            SLOW_FACTOR_COLD
+        })
     {
         Fault::UpstreamSlow
     } else if !sent.warm {
         Fault::ColdCache
-    } else if far {
+    } else if other_region {
         Fault::FarAway
     } else {
         Fault::Late
     };
-    let at = format!(
+    let load = format!(
         "{} in {} had {:.0} requests for {} slots; an answer was expected after {} ms, {} of them waiting",
         sent.upstream, sent.region, sent.load, sent.slots, expected.answer_ms, expected.wait_ms
     );
-    Cause::new(fault).with(said).with(at)
+    Cause::new(fault)
+        .with_evidence(evidence)
+        .with_evidence(load)
 }
 
-fn of_upstream_error(ended: &RequestEnded) -> Cause {
+fn cause_of_upstream_error(ended: &RequestEnded) -> Cause {
     let status = ended.status.unwrap_or(0);
     let upstream = ended.sent.as_ref().map_or("?", |sent| &sent.upstream);
-    let again = match ended.sends {
+    let retry_note = match ended.sends {
         0 | 1 => "it was not sent again".to_owned(),
         sends => format!("{sends} upstreams had it"),
     };
-    let said = format!("status {status} of {upstream} was passed on; {again}");
-    Cause::new(Fault::UpstreamFailed).with(said)
+    let evidence = format!("status {status} of {upstream} was passed on; {retry_note}");
+    Cause::new(Fault::UpstreamFailed).with_evidence(evidence)
 }
 
-fn of_refusal(
+fn cause_of_refusal(
     logs: &Logs,
     line: &Line,
     ended: &RequestEnded,
@@ -177,17 +184,17 @@
     };
     let mut cause = Cause::new(fault);
     if let Some((_, failed)) = last_failure {
-        cause = cause.with(format!("{}: {}", failed.sent.upstream, failed.why));
+        cause = cause.with_evidence(format!("{}: {}", failed.sent.upstream, failed.why));
     }
     if let Some(census) = ended.census {
-        cause = cause.with(format!(
+        cause = cause.with_evidence(format!(
             "upstreams of the service: {} open, {} leaving, gone or evacuated, {} cold, {} failing",
             census.open, census.closed, census.cold, census.failing
         ));
     }
     if let (Some(expected), Some(target_ms)) = (ended.expected, ended.target_ms) {
         if fault == Fault::Overload {
-            cause = cause.with(format!(
+            cause = cause.with_evidence(format!(
                 "the best of them was expected to answer after {} ms, {} of them waiting; the target is \
                  {target_ms} ms",
                 expected.answer_ms, expected.wait_ms
@@ -195,22 +202,22 @@
         }
     }
     if ended.census.is_some_and(|census| census.closed > 0) {
-        for domain in evacuated(logs, line) {
-            cause = cause.with(format!("{domain} was evacuated"));
+        for domain in evacuated_domains(logs, line) {
+            cause = cause.with_evidence(format!("{domain} was evacuated"));
         }
     }
     if fault == Fault::Quarantined {
-        cause = cause.with(crashes_of(logs, ended));
+        cause = cause.with_evidence(describe_crashes(logs, ended));
     }
     cause
 }
 
-/// Lists the upstreams that crashed while they ran any attempt of a request.
-fn crashes_of(logs: &Logs, ended: &RequestEnded) -> String {
+/// Lists the upstreams that crashed while they ran an attempt of the request, by its fingerprint.
+fn describe_crashes(logs: &Logs, ended: &RequestEnded) -> String {
     let crashed = logs
         .lines()
         .iter()
-        .filter_map(|placed| match &placed.line.event {
+        .filter_map(|located| match &located.line.event {
             Event::UpstreamCrashed {
                 fingerprint,
                 upstream,
@@ -228,134 +235,145 @@
     )
 }
 
-fn of_failure(
+fn cause_of_failure(
     logs: &Logs,
     line: &Line,
     ended: &RequestEnded,
     last_failure: Option<(&Line, &SendFailed)>,
 ) -> Cause {
     let Some(sent) = &ended.sent else {
-        return Cause::new(Fault::UpstreamBrokeOff).with("it was sent, and has no answer");
+        return Cause::new(Fault::UpstreamBrokeOff).with_evidence("it was sent, and has no answer");
     };
     let cause = if ended.outcome == Outcome::TimedOut {
-        of_silence(logs, &sent.upstream, line, ended)
+        cause_of_no_response(logs, &sent.upstream, line, ended)
     } else {
         let at_ms = last_failure.map_or(line.time_ms, |(line, _)| line.time_ms);
-        of_broken(logs, &sent.upstream, at_ms)
+        cause_of_broken_send(logs, &sent.upstream, at_ms)
     };
     match last_failure {
-        Some((_, failed)) => cause.with(format!("{}: {}", failed.sent.upstream, failed.why)),
+        Some((_, failed)) => {
+            cause.with_evidence(format!("{}: {}", failed.sent.upstream, failed.why))
+        }
         None => cause,
     }
 }
 
-/// A send to an upstream broke.
-fn of_broken(logs: &Logs, upstream: &UpstreamId, at_ms: u64) -> Cause {
-    match removed_after(logs, upstream, at_ms) {
-        Some(after_ms) => Cause::new(Fault::UpstreamEnded).with(format!(
+/// Determines the cause of a send that broke off.
+fn cause_of_broken_send(logs: &Logs, upstream: &UpstreamId, at_ms: u64) -> Cause {
+    match removal_delay_ms(logs, upstream, at_ms) {
+        Some(after_ms) => Cause::new(Fault::UpstreamEnded).with_evidence(format!(
             "the store dropped {upstream} {after_ms} ms later: it had ended without leaving"
         )),
         None => Cause::new(Fault::UpstreamBrokeOff),
     }
 }
 
-/// There was no answer in time.
-fn of_silence(logs: &Logs, upstream: &UpstreamId, line: &Line, ended: &RequestEnded) -> Cause {
+/// Determines the cause of a send without a response in time.
+fn cause_of_no_response(
+    logs: &Logs,
+    upstream: &UpstreamId,
+    line: &Line,
+    ended: &RequestEnded,
+) -> Cause {
     let sent_ms = line.time_ms.saturating_sub(ended.took_ms);
-    // An upstream that died while it had the request may have answered others just before.
-    let later_half_ms = line.time_ms - ended.took_ms / 2;
-    let answered = answers_of(logs, upstream, later_half_ms, line.time_ms);
-    if let Some(after_ms) = removed_after(logs, upstream, sent_ms) {
-        if answered.is_empty() {
-            return Cause::new(Fault::UpstreamEnded).with(format!(
+    // An upstream that died while it had the request may have responded to others shortly before, so only
+    // responses in the second half of the wait count.
+    let second_half_ms = line.time_ms - ended.took_ms / 2;
+    let other_times_ms = response_times(logs, upstream, second_half_ms, line.time_ms);
+    if let Some(after_ms) = removal_delay_ms(logs, upstream, sent_ms) {
+        if other_times_ms.is_empty() {
+            return Cause::new(Fault::UpstreamEnded).with_evidence(format!(
                 "{upstream} answered nobody any more, and the store dropped it {after_ms} ms after the send"
             ));
         }
     }
-    if answered.is_empty() {
-        let said = format!("{upstream} answered nobody any more, in these logs");
-        return Cause::new(Fault::UpstreamSilent).with(said);
+    if other_times_ms.is_empty() {
+        let evidence = format!("{upstream} answered nobody any more, in these logs");
+        return Cause::new(Fault::UpstreamSilent).with_evidence(evidence);
     }
-    let longest = answered.iter().max().copied().unwrap_or(0);
-    let said = format!(
-        "{upstream} answered {} other requests about then, the slowest after {longest} ms",
-        answered.len()
+    let slowest_ms = other_times_ms.iter().max().copied().unwrap_or(0);
+    let evidence = format!(
+        "{upstream} answered {} other requests about then, the slowest after {slowest_ms} ms",
+        other_times_ms.len()
     );
     let expected_ms = ended
         .sent
         .as_ref()
         .map_or(0, |sent| sent.expected.answer_ms);
-    let fault = if longest > expected_ms.saturating_mul(SLOW) {
+    let fault = if slowest_ms > expected_ms.saturating_mul(SLOW_FACTOR) {
         Fault::UpstreamSlow
     } else {
         Fault::UpstreamBrokeOff
     };
-    Cause::new(fault).with(said)
+    Cause::new(fault).with_evidence(evidence)
 }
 
-fn of_cancelled(logs: &Logs, line: &Line, ended: &RequestEnded) -> Cause {
+fn cause_of_cancelled(logs: &Logs, line: &Line, ended: &RequestEnded) -> Cause {
     let deadline_ms = ended.deadline_ms.unwrap_or(u64::MAX);
-    let said = format!("after {} of {deadline_ms} ms", ended.took_ms);
-    if (ended.took_ms as f64) < deadline_ms as f64 * TIME_SPENT {
-        return Cause::new(Fault::CallerLeft).with(said);
+    let evidence = format!("after {} of {deadline_ms} ms", ended.took_ms);
+    if (ended.took_ms as f64) < deadline_ms as f64 * DEADLINE_SPENT_RATIO {
+        return Cause::new(Fault::CallerLeft).with_evidence(evidence);
     }
     match &ended.sent {
-        Some(sent) => of_silence(logs, &sent.upstream, line, ended).with(said),
-        None => Cause::new(Fault::Overload).with(said),
+        Some(sent) => {
+            cause_of_no_response(logs, &sent.upstream, line, ended).with_evidence(evidence)
+        }
+        None => Cause::new(Fault::Overload).with_evidence(evidence),
     }
 }
 
-fn of_no_routes(logs: &Logs, line: &Line) -> Cause {
-    let cause = Cause::new(Fault::NoRoutes).with(format!("{} ms after its start", line.up_ms));
-    let mut before = logs.of_instance(&line.instance);
-    let lost = before.any(|other| {
+fn cause_of_no_routes(logs: &Logs, line: &Line) -> Cause {
+    let cause =
+        Cause::new(Fault::NoRoutes).with_evidence(format!("{} ms after its start", line.up_ms));
+    let mut instance_lines = logs.instance_lines(&line.instance);
+    let store_lost = instance_lines.any(|other| {
         other.time_ms <= line.time_ms && matches!(other.event, Event::StoreLost { .. })
     });
-    if lost {
-        cause.with("its calls to the store failed")
+    if store_lost {
+        cause.with_evidence("its calls to the store failed")
     } else {
         cause
     }
 }
 
-/// How long after a moment the store dropped an upstream that had not said that it leaves.
-fn removed_after(logs: &Logs, upstream: &UpstreamId, at_ms: u64) -> Option<u64> {
-    let mut said_leaving = false;
+/// Time from a moment to the removal of an upstream from the store, unless the upstream had announced its leaving.
+fn removal_delay_ms(logs: &Logs, upstream: &UpstreamId, at_ms: u64) -> Option<u64> {
+    let mut announced_leaving = false;
     let mut removed: Option<u64> = None;
-    for line in logs.of_upstream(upstream) {
+    for line in logs.upstream_lines(upstream) {
         let time_ms = line.time_ms;
         match &line.event {
             Event::UpstreamListed { leaving: true, .. } => {
-                said_leaving |= time_ms <= at_ms;
+                announced_leaving |= time_ms <= at_ms;
             }
             Event::UpstreamRemoved { .. } if time_ms >= at_ms => {
-                let first = removed.is_none_or(|known| time_ms < known);
-                removed = if first { Some(time_ms) } else { removed };
+                let is_earliest = removed.is_none_or(|known| time_ms < known);
+                removed = if is_earliest { Some(time_ms) } else { removed };
             }
             _ => {}
         }
     }
     let after_ms = removed? - at_ms;
-    (!said_leaving && after_ms <= REMOVED_WITHIN_MS).then_some(after_ms)
+    (!announced_leaving && after_ms <= REMOVAL_WINDOW_MS).then_some(after_ms)
 }
 
-/// Times of the answers that an upstream gave to anybody between two moments and a little after.
-fn answers_of(logs: &Logs, upstream: &UpstreamId, from_ms: u64, to_ms: u64) -> Vec<u64> {
-    let within = from_ms..=to_ms + AROUND_MS;
-    let answers = logs.of_upstream(upstream).filter_map(|line| {
+/// Durations of the requests that an upstream answered from one moment until [`LATE_RESPONSES_MS`] after another.
+fn response_times(logs: &Logs, upstream: &UpstreamId, from_ms: u64, to_ms: u64) -> Vec<u64> {
+    let window_ms = from_ms..=to_ms + LATE_RESPONSES_MS;
+    let times_ms = logs.upstream_lines(upstream).filter_map(|line| {
         let Event::Request(other) = &line.event else {
             return None;
         };
-        within.contains(&line.time_ms).then_some(other.took_ms)
+        window_ms.contains(&line.time_ms).then_some(other.took_ms)
     });
-    answers.collect()
+    times_ms.collect()
 }
 
-/// Failure domains that an instance held for evacuated when it wrote a line.
-fn evacuated(logs: &Logs, at: &Line) -> Vec<String> {
+/// Failure domains that were evacuated in an instance's view when it wrote a line.
+fn evacuated_domains(logs: &Logs, reference_line: &Line) -> Vec<String> {
     let mut domains: Vec<String> = Vec::new();
-    for line in logs.of_instance(&at.instance) {
-        if line.time_ms > at.time_ms {
+    for line in logs.instance_lines(&reference_line.instance) {
+        if line.time_ms > reference_line.time_ms {
             continue;
         }
         if let Event::Evacuation {
--- a/crates/explain/src/fault.rs
+++ b/crates/explain/src/fault.rs
@@ -1,58 +1,58 @@
-//! What can go wrong with a request.
+//! Kinds of failure of a request.
 
 use serde::Serialize;
 use std::fmt;
 
-/// What went wrong, in kinds that ask for different action.
+/// Kind of failure of a request. Each kind calls for a different action of the operator.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing: it was answered whole and in time.
+    /// No failure: the request was answered completely and in time.
     None,
-    /// More work than slots.
+    /// More work than the upstreams have slots for.
     Overload,
-    /// All upstreams were closed, cold, failing, or tried already.
+    /// All upstreams were closed, cold, failing or tried already.
     NoUpstreamOpen,
     /// The service had no upstream in the list.
     NoUpstreamListed,
     /// The request is quarantined because it crashed upstreams.
     Quarantined,
-    /// Upstreams said that they were full or not the right one.
+    /// Upstreams refused the request because they were full or not the intended ones.
     UpstreamRefused,
-    /// No connection to the upstream came about.
+    /// No connection to the upstream could be established.
     UpstreamUnreachable,
-    /// The upstream ended with the request.
+    /// The upstream's process ended while it had the request.
     UpstreamEnded,
-    /// The upstream broke off or spoilt its answer, and goes on.
+    /// The upstream broke off its response or sent a malformed one, and kept running.
     UpstreamBrokeOff,
-    /// The upstream gave nothing more to anybody.
+    /// The upstream sent no further response to any request.
     UpstreamSilent,
-    /// The upstream took much longer than was expected.
+    /// The upstream took much longer than expected.
     UpstreamSlow,
-    /// The upstream answered with a failure of its own.
+    /// The upstream responded with an error status.
     UpstreamFailed,
-    /// It was late because it waited for a slot.
+    /// The response was late because the request waited for a slot.
     Queued,
-    /// It was late because no upstream near had its key.
+    /// The response was late because no nearby upstream had the request's key.
     ColdCache,
-    /// It was late because the work was done in another region.
+    /// The response was late because the upstream was in another region.
     FarAway,
-    /// It was late, and nothing above explains it.
+    /// The response was late for none of the reasons above.
     Late,
-    /// Its end is not in the logs: they end before it, or its process did.
+    /// The request's end is not in the logs: they stop before it, its process ended, or the line was left out.
     Unfinished,
-    /// The caller left before its time was over.
+    /// The caller left before its deadline.
     CallerLeft,
     /// The entry was in a planned stop.
     PlannedStop,
     /// The entry knew no routes yet.
     NoRoutes,
-    /// The caller asked for what no route has, or without an id.
+    /// No route matched the request, or it had no id.
     BadRequest,
 }
 
 impl Fault {
-    /// Whether a caller would call it a failure.
+    /// Whether it counts as a failure from the caller's point of view.
     pub fn is_failure(self) -> bool {
         self != Self::None
     }
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,38 +1,38 @@
-//! From a request's id to its story and its likely cause, by logs alone.
+//! Explains the course of a request and the likely cause of its failure from logs alone.
 //!
-//! Start with [`Logs`], which holds the lines of any number of processes, and [`Logs::story`]: the lines
-//! about one request in order, what its entry believed meanwhile, and a [`Cause`]. [`Logs::failures`]
-//! does the same for all requests that failed, and counts them by cause.
+//! Start with [`Logs`], which holds the lines of any number of processes. [`Logs::story`] returns the lines
+//! about one request in order, the changes of its entry's view around that time, and a [`Cause`].
+//! [`Logs::failures`] finds the causes of all failed requests and counts the requests by cause.
 //!
-//! - `logs` reads lines, and remembers which could not be read.
-//! - `story` puts the lines of one request together, with their surroundings.
-//! - `summary` counts all requests by what they have in common.
-//! - `text` says each event in a line; `fault` lists what can go wrong.
-//! - `cause` names what went wrong; it reads events only, so each rule is a few lines with a test.
+//! - `logs` parses and indexes lines, and records which could not be parsed.
+//! - `trace` collects the lines of one request and the events around it.
+//! - `summary` counts all requests by route, failure domain, boundary, cause and second.
+//! - `text` describes each event in one line; `fault` lists the kinds of failure.
+//! - `cause` determines the cause. It reads events only, so that each rule is short and has a test.
 //!
-//! Invariant: nothing is guessed from what is missing. A request of which no line is there is unknown,
-//! with what speaks for a lost line and for a request that never came.
+//! Invariant: nothing is concluded from missing lines. A request without a line is reported as unknown,
+//! with the signs of a lost line and of a request that never arrived.
 
 mod cause;
 mod fault;
 mod logs;
-mod story;
 mod summary;
 mod text;
+mod trace;
 
 pub use cause::Cause;
 pub use fault::Fault;
 pub use logs::{
+    LocatedLine,
     Logs,
-    Placed,
-    Unreadable, //
-};
-pub use story::{
-    Step,
-    Story,
-    Unknown, //
+    UnreadableLine, //
 };
 pub use summary::{
-    Ends,
+    OutcomeCounts,
     Summary, //
 };
+pub use trace::{
+    RequestTrace,
+    Step,
+    UnknownRequest, //
+};
--- a/crates/explain/src/logs.rs
+++ b/crates/explain/src/logs.rs
@@ -1,13 +1,13 @@
-//! The lines of any number of processes.
+//! Parsed log lines of any number of processes, indexed by upstream and instance.
 
 use crate::{
     cause::find_cause,
     fault::Fault,
-    story::{
-        Story,
-        Unknown, //
-    },
     summary::Summary,
+    trace::{
+        RequestTrace,
+        UnknownRequest, //
+    },
 };
 use base::{
     DomainId,
@@ -27,73 +27,73 @@
     fmt, //
 };
 
-/// Unreadable lines that are kept with their place; further ones are counted.
-const UNREADABLE_KEPT: usize = 20;
+/// Number of unreadable lines that are kept with their position; further ones are only counted.
+const MAX_UNREADABLE_KEPT: usize = 20;
 
-/// A line and where it stands.
+/// A line and its position in the logs.
 #[derive(Clone, Debug)]
-pub struct Placed {
-    /// Number of its file, in the order in which they were added.
+pub struct LocatedLine {
+    /// Index of its file, in the order in which files were added.
     pub file: usize,
-    /// Number of the line in it, from one.
+    /// Number of the line in its file, from one.
     pub number: usize,
-    /// The line.
+    /// The parsed line.
     pub line: Line,
 }
 
-/// A line that holds no event.
+/// A line that could not be parsed.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Unreadable {
+pub struct UnreadableLine {
     /// File and line.
     pub place: String,
-    /// Why.
+    /// Reason why it could not be parsed.
     pub error: String,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for UnreadableLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.place, self.error)
     }
 }
 
-/// Lines of any number of processes.
+/// Lines of any number of processes, with indexes for finding causes.
 #[derive(Clone, Debug, Default)]
 pub struct Logs {
     files: Vec<String>,
-    lines: Vec<Placed>,
-    /// Places of the lines that bear on an upstream's life: its answers, its leaving and its removal.
-    of_upstream: FastMap<UpstreamId, Vec<usize>>,
-    /// Places of the lines in which an instance tells of itself, the store and evacuations.
-    of_instance: FastMap<String, Vec<usize>>,
-    unreadable: Vec<Unreadable>,
+    lines: Vec<LocatedLine>,
+    /// Indexes of the lines about an upstream's state: its responses, its listing and its removal.
+    upstream_lines: FastMap<UpstreamId, Vec<usize>>,
+    /// Indexes of the lines about an instance's start, its losses of the store and evacuations.
+    instance_lines: FastMap<String, Vec<usize>>,
+    unreadable: Vec<UnreadableLine>,
     unreadable_count: usize,
 }
 
 impl Logs {
     /// Adds the text of one file; several processes may have written to it.
     pub fn add(&mut self, file: &str, text: &str) {
-        let place = self.files.len();
+        let file_index = self.files.len();
         self.files.push(file.to_owned());
-        for (before, text) in text.lines().enumerate() {
-            let number = before + 1;
+        for (index, text) in text.lines().enumerate() {
+            let number = index + 1;
             match Line::parse(text) {
                 None => {}
                 Some(Ok(line)) => {
-                    self.index(&line);
-                    self.lines.push(Placed {
-                        file: place,
+                    self.index_line(&line);
+                    self.lines.push(LocatedLine {
+                        file: file_index,
                         number,
                         line,
                     });
                 }
-                Some(Err(error)) => self.note_unreadable(file, number, error.to_string()),
+                Some(Err(error)) => self.record_unreadable(file, number, error.to_string()),
             }
         }
     }
 
-    /// Notes where a line will stand, for those that causes are looked for in again and again.
-    fn index(&mut self, line: &Line) {
-        let place = self.lines.len();
+    /// Adds the next line to the indexes, if the search for causes reads lines of its kind often.
+    fn index_line(&mut self, line: &Line) {
+        let position = self.lines.len();
         let upstream = match &line.event {
             Event::Request(ended) if ended.outcome == Outcome::Answered => {
                 ended.sent.as_ref().map(|sent| &sent.upstream)
@@ -104,73 +104,76 @@
             _ => None,
         };
         if let Some(upstream) = upstream {
-            let places = self.of_upstream.entry(upstream.clone()).or_default();
-            places.push(place);
+            let positions = self.upstream_lines.entry(upstream.clone()).or_default();
+            positions.push(position);
         }
         if matches!(
             line.event,
             Event::Started { .. } | Event::Evacuation { .. } | Event::StoreLost { .. }
         ) {
-            let places = self.of_instance.entry(line.instance.clone()).or_default();
-            places.push(place);
+            let positions = self
+                .instance_lines
+                .entry(line.instance.clone())
+                .or_default();
+            positions.push(position);
         }
     }
 
-    /// Lines that bear on an upstream's life.
-    pub(crate) fn of_upstream(&self, upstream: &str) -> impl Iterator<Item = &Line> {
-        self.at(self.of_upstream.get(upstream))
+    /// Lines about an upstream's state: its responses, its listing and its removal.
+    pub(crate) fn upstream_lines(&self, upstream: &str) -> impl Iterator<Item = &Line> {
+        self.lines_at(self.upstream_lines.get(upstream))
     }
 
-    /// Lines in which an instance tells of itself, the store and evacuations.
-    pub(crate) fn of_instance(&self, instance: &str) -> impl Iterator<Item = &Line> {
-        self.at(self.of_instance.get(instance))
+    /// Lines about an instance's start, its losses of the store and evacuations.
+    pub(crate) fn instance_lines(&self, instance: &str) -> impl Iterator<Item = &Line> {
+        self.lines_at(self.instance_lines.get(instance))
     }
 
-    fn at<'a>(&'a self, places: Option<&'a Vec<usize>>) -> impl Iterator<Item = &'a Line> {
-        let places = places.into_iter().flatten();
-        places.map(|place| &self.lines[*place].line)
+    fn lines_at<'a>(&'a self, positions: Option<&'a Vec<usize>>) -> impl Iterator<Item = &'a Line> {
+        let positions = positions.into_iter().flatten();
+        positions.map(|position| &self.lines[*position].line)
     }
 
-    fn note_unreadable(&mut self, file: &str, number: usize, error: String) {
+    fn record_unreadable(&mut self, file: &str, number: usize, error: String) {
         self.unreadable_count += 1;
-        if self.unreadable.len() < UNREADABLE_KEPT {
+        if self.unreadable.len() < MAX_UNREADABLE_KEPT {
             let place = format!("{file}:{number}");
-            self.unreadable.push(Unreadable { place, error });
+            self.unreadable.push(UnreadableLine { place, error });
         }
     }
 
-    /// Lines that could be read.
-    pub fn lines(&self) -> &[Placed] {
+    /// Lines that could be parsed.
+    pub fn lines(&self) -> &[LocatedLine] {
         &self.lines
     }
 
-    /// Name of a file.
-    pub fn file(&self, place: usize) -> &str {
-        self.files.get(place).map_or("?", String::as_str)
+    /// Name of a file by its index.
+    pub fn file_name(&self, file_index: usize) -> &str {
+        self.files.get(file_index).map_or("?", String::as_str)
     }
 
-    /// The first lines that could not be read, and how many there are.
-    pub fn unreadable(&self) -> (&[Unreadable], usize) {
+    /// The first lines that could not be parsed, and the number of all such lines.
+    pub fn unreadable(&self) -> (&[UnreadableLine], usize) {
         (&self.unreadable, self.unreadable_count)
     }
 
-    /// Lines about requests that were never written.
+    /// Number of lines about requests that the processes did not write.
     pub fn missing_lines(&self) -> u64 {
-        let missing = self.lines.iter().map(|placed| match placed.line.event {
+        let line_counts = self.lines.iter().map(|located| match located.line.event {
             Event::LinesLeftOut { lines } | Event::LinesDropped { lines, .. } => lines,
             _ => 0,
         });
-        missing.sum()
+        line_counts.sum()
     }
 
-    /// Region of an instance, as it said at its start.
+    /// Region of an instance, from the line of its start.
     pub(crate) fn region(&self, instance: &str) -> Option<&RegionId> {
         self.location(instance).map(|(region, _)| region)
     }
 
-    /// Region and failure domain of an instance, as it said at its start.
+    /// Region and failure domain of an instance, from the line of its start.
     pub(crate) fn location(&self, instance: &str) -> Option<(&RegionId, &DomainId)> {
-        self.of_instance(instance)
+        self.instance_lines(instance)
             .find_map(|line| match &line.event {
                 Event::Started {
                     region,
@@ -181,67 +184,75 @@
             })
     }
 
-    /// The story of one request.
+    /// Returns the trace of one request.
     ///
     /// # Errors
     ///
-    /// No line has its id; with what is known of lines that are missing.
-    pub fn story(&self, id: &str) -> Result<Story, Unknown> {
-        let own = |placed: &&Placed| placed.line.event.request_id() == Some(id);
-        let lines: Vec<&Placed> = self.lines.iter().filter(own).collect();
+    /// No line has this id. The error lists what is known of missing lines.
+    pub fn story(&self, id: &str) -> Result<RequestTrace, UnknownRequest> {
+        let has_id = |located: &&LocatedLine| located.line.event.request_id() == Some(id);
+        let lines: Vec<&LocatedLine> = self.lines.iter().filter(has_id).collect();
         if lines.is_empty() {
-            return Err(Unknown::new(self, id));
+            return Err(UnknownRequest::new(self, id));
         }
-        Ok(Story::new(self, id, &lines))
+        Ok(RequestTrace::new(self, id, &lines))
     }
 
-    /// Requests that failed, by fault: how many, and the id of the first.
+    /// Requests that failed, by fault: their number, and the id of the first.
     pub fn failures(&self) -> BTreeMap<Fault, (usize, String)> {
         let mut failures = BTreeMap::new();
-        for (_, ended, fault) in self.ends().filter(|(_, _, fault)| fault.is_failure()) {
+        for (_, ended, fault) in self
+            .ended_requests()
+            .filter(|(_, _, fault)| fault.is_failure())
+        {
             let first = || (0, ended.id.clone());
             failures.entry(fault).or_insert_with(first).0 += 1;
         }
         failures
     }
 
-    /// How requests ended, counted by what they have in common.
+    /// Counts the outcomes of all requests by several groupings.
     pub fn summary(&self) -> Summary {
         Summary::new(self)
     }
 
-    /// The end of each request and what went wrong with it.
-    pub(crate) fn ends(&self) -> impl Iterator<Item = (&Line, &RequestEnded, Fault)> {
-        let mut sends: FastMap<&str, Vec<&Placed>> = FastMap::default();
-        for placed in &self.lines {
-            if let (Some(id), false) = (placed.line.event.request_id(), is_end(&placed.line.event))
-            {
-                sends.entry(id).or_default().push(placed);
+    /// Returns the end of each request with its fault.
+    pub(crate) fn ended_requests(&self) -> impl Iterator<Item = (&Line, &RequestEnded, Fault)> {
+        let mut preceding: FastMap<&str, Vec<&LocatedLine>> = FastMap::default();
+        for located in &self.lines {
+            if let (Some(id), false) = (
+                located.line.event.request_id(),
+                is_request_end(&located.line.event),
+            ) {
+                preceding.entry(id).or_default().push(located);
             }
         }
-        self.lines.iter().filter_map(move |placed| {
-            let Event::Request(ended) = &placed.line.event else {
+        self.lines.iter().filter_map(move |located| {
+            let Event::Request(ended) = &located.line.event else {
                 return None;
             };
-            let mut lines = sends.get(ended.id.as_str()).cloned().unwrap_or_default();
-            lines.push(placed);
+            let mut lines = preceding
+                .get(ended.id.as_str())
+                .cloned()
+                .unwrap_or_default();
+            lines.push(located);
             let fault = find_cause(self, &lines).fault;
-            Some((&placed.line, ended.as_ref(), fault))
+            Some((&located.line, ended.as_ref(), fault))
         })
     }
 }
 
-fn is_end(event: &Event) -> bool {
+fn is_request_end(event: &Event) -> bool {
     matches!(event, Event::Request(_))
 }
 
-/// The end of a request among its lines.
-pub(crate) fn end_of<'a>(lines: &[&'a Placed]) -> Option<(&'a Line, &'a RequestEnded)> {
+/// Finds the end of a request among its lines.
+pub(crate) fn request_end<'a>(lines: &[&'a LocatedLine]) -> Option<(&'a Line, &'a RequestEnded)> {
     lines
         .iter()
         .rev()
-        .find_map(|placed| match &placed.line.event {
-            Event::Request(ended) => Some((&placed.line, ended.as_ref())),
+        .find_map(|located| match &located.line.event {
+            Event::Request(ended) => Some((&located.line, ended.as_ref())),
             _ => None,
         })
 }
--- a/crates/explain/src/summary.rs
+++ b/crates/explain/src/summary.rs
@@ -1,8 +1,9 @@
-//! How requests ended, counted by what they have in common.
+//! Counts of request outcomes by several groupings.
 //!
-//! Where one story tells of one request, a summary tells where many lost their time: by route, by the failure
-//! domain of their entry, by the boundary that they crossed to their upstream and whether that was known to be
-//! warm, by cause, and by second. Each row counts all requests of its kind, so that parts can be read off.
+//! Where a trace covers one request, a summary shows which groups of requests failed or were late: by route,
+//! by the failure domain of the entry, by the boundary crossed to the upstream and whether the upstream was
+//! known to be warm, by cause, and by second. Each row counts all requests of its group, so that shares can
+//! be read off directly.
 
 use crate::{
     logs::Logs,
@@ -24,25 +25,25 @@
     fmt, //
 };
 
-/// How the requests of one kind ended.
+/// Outcomes of the requests of one group.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Answered within the route's target.
     pub in_target: u64,
-    /// Answered later.
+    /// Answered after the route's target.
     pub late: u64,
-    /// Told to come back.
+    /// Refused; the caller may retry later.
     pub refused: u64,
-    /// Ended without an upstream's good answer though they may have run.
+    /// Ended without a successful response of an upstream; they may have run.
     pub failed: u64,
-    /// Whose caller left, or that no route has.
+    /// Cancelled by the caller, or without a route, a service or an id.
     pub other: u64,
 }
 
-impl Ends {
+impl OutcomeCounts {
     fn count(&mut self, ended: &RequestEnded) {
         let late = ended.target_ms.is_some_and(|target| ended.took_ms > target);
-        let side = match ended.outcome {
+        let counter = match ended.outcome {
             Outcome::Answered if late => &mut self.late,
             Outcome::Answered => &mut self.in_target,
             Outcome::Refused | Outcome::Closing | Outcome::NoRoutes => &mut self.refused,
@@ -52,47 +53,47 @@
             | Outcome::NoRequestId
             | Outcome::NoService => &mut self.other,
         };
-        *side += 1;
+        *counter += 1;
     }
 
-    /// All of them.
-    pub fn all(&self) -> u64 {
+    /// Number of requests.
+    pub fn total(&self) -> u64 {
         self.in_target + self.late + self.refused + self.failed + self.other
     }
 }
 
-/// All requests of some logs, by what they have in common.
+/// Counts of all requests in the logs, by each grouping.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Summary {
-    /// By route; an empty name stands for none.
-    pub by_route: BTreeMap<String, Ends>,
-    /// By failure domain of the entry, as far as its start is in the logs.
-    pub by_domain: BTreeMap<String, Ends>,
-    /// By the boundary on the way to the upstream, and what was known of its warmth.
-    pub by_way: BTreeMap<String, Ends>,
+    /// By route; the empty name stands for requests without a route.
+    pub by_route: BTreeMap<String, OutcomeCounts>,
+    /// By failure domain of the entry; `unknown` if the entry's start is not in the logs.
+    pub by_domain: BTreeMap<String, OutcomeCounts>,
+    /// By the boundary between the entry and the upstream, and whether the upstream was known to be warm.
+    pub by_way: BTreeMap<String, OutcomeCounts>,
     /// By cause.
-    pub by_cause: BTreeMap<Fault, Ends>,
-    /// By the second in which the request came, counted from the first one.
-    pub by_second: BTreeMap<u64, Ends>,
+    pub by_cause: BTreeMap<Fault, OutcomeCounts>,
+    /// By the second of the request's arrival, counted from the first arrival.
+    pub by_second: BTreeMap<u64, OutcomeCounts>,
 }
 
 impl Summary {
-    /// Counts all requests that ended.
+    /// Counts all requests whose end is in the logs.
     pub(crate) fn new(logs: &Logs) -> Self {
         let mut summary = Self::default();
-        let came_ms =
+        let arrival_ms =
             |line: &Line, ended: &RequestEnded| line.time_ms.saturating_sub(ended.took_ms);
         let first_ms = logs
-            .ends()
-            .map(|(line, ended, _)| came_ms(line, ended))
+            .ended_requests()
+            .map(|(line, ended, _)| arrival_ms(line, ended))
             .min();
         let first_ms = first_ms.unwrap_or_default();
-        for (line, ended, fault) in logs.ends() {
+        for (line, ended, fault) in logs.ended_requests() {
             let route = ended.route.as_ref().map(ToString::to_string);
-            let location = logs.location(&line.instance);
-            let domain = location.map_or("unknown", |(_, domain)| domain);
-            let second = (came_ms(line, ended) - first_ms) / 1000;
-            let count = |ends: &mut Ends| ends.count(ended);
+            let entry_location = logs.location(&line.instance);
+            let domain = entry_location.map_or("unknown", |(_, domain)| domain);
+            let second = (arrival_ms(line, ended) - first_ms) / 1000;
+            let count = |counts: &mut OutcomeCounts| counts.count(ended);
             count(
                 summary
                     .by_route
@@ -100,8 +101,8 @@
                     .or_default(),
             );
             count(summary.by_domain.entry(domain.to_owned()).or_default());
-            let way = way(location, ended.sent.as_ref());
-            count(summary.by_way.entry(way).or_default());
+            let boundary = boundary(entry_location, ended.sent.as_ref());
+            count(summary.by_way.entry(boundary).or_default());
             count(summary.by_cause.entry(fault).or_default());
             count(summary.by_second.entry(second).or_default());
         }
@@ -109,51 +110,51 @@
     }
 }
 
-/// Boundary between an entry and its upstream, and what was known of the upstream's warmth.
-fn way(location: Option<(&RegionId, &DomainId)>, sent: Option<&SendTarget>) -> String {
+/// Names the boundary between an entry and its upstream, and whether the upstream was known to be warm.
+fn boundary(entry_location: Option<(&RegionId, &DomainId)>, sent: Option<&SendTarget>) -> String {
     let Some(sent) = sent else {
         return "not sent".to_owned();
     };
-    let crossed = match location {
+    let boundary = match entry_location {
         None => "from an unknown region",
         Some((region, _)) if *region != sent.region => "to another region",
         Some((_, domain)) if *domain != sent.failure_domain => "within the region",
         Some(_) => "within the failure domain",
     };
     let warm = if sent.warm { "warm" } else { "not known warm" };
-    format!("{crossed}, {warm}")
+    format!("{boundary}, {warm}")
 }
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        table(f, "route", &self.by_route)?;
-        table(f, "failure domain", &self.by_domain)?;
-        table(f, "way", &self.by_way)?;
-        table(f, "cause", &self.by_cause)?;
-        table(f, "second", &self.by_second)
+        write_table(f, "route", &self.by_route)?;
+        write_table(f, "failure domain", &self.by_domain)?;
+        write_table(f, "way", &self.by_way)?;
+        write_table(f, "cause", &self.by_cause)?;
+        write_table(f, "second", &self.by_second)
     }
 }
 
-fn table<K: fmt::Display>(
+fn write_table<K: fmt::Display>(
     f: &mut fmt::Formatter<'_>,
     name: &str,
-    rows: &BTreeMap<K, Ends>,
+    rows: &BTreeMap<K, OutcomeCounts>,
 ) -> fmt::Result {
     writeln!(
         f,
         "{:>8} {:>9} {:>6} {:>8} {:>7} {:>6}  by {name}",
         "requests", "in target", "late", "refused", "failed", "other"
     )?;
-    for (key, ends) in rows {
+    for (key, counts) in rows {
         writeln!(
             f,
             "{:>8} {:>9} {:>6} {:>8} {:>7} {:>6}  {key}",
-            ends.all(),
-            ends.in_target,
-            ends.late,
-            ends.refused,
-            ends.failed,
-            ends.other
+            counts.total(),
+            counts.in_target,
+            counts.late,
+            counts.refused,
+            counts.failed,
+            counts.other
         )?;
     }
     Ok(())
--- a/crates/explain/src/text.rs
+++ b/crates/explain/src/text.rs
@@ -1,4 +1,4 @@
-//! Events as people read them.
+//! Describes events in readable form.
 
 use event::{
     Event,
@@ -7,11 +7,11 @@
     SendTarget, //
 };
 
-/// An event as people read it.
-pub(crate) fn text_of(event: &Event) -> String {
+/// Describes an event in one line.
+pub(crate) fn describe(event: &Event) -> String {
     match event {
-        Event::Request(ended) => text_of_end(ended),
-        Event::SendFailed(failed) => text_of_send(failed),
+        Event::Request(ended) => describe_request(ended),
+        Event::SendFailed(failed) => describe_failed_send(failed),
         Event::AnswerCut {
             upstream,
             why,
@@ -66,12 +66,12 @@
         Event::Stopped { under_way, .. } => format!("ends, {under_way} requests under way"),
         Event::LinesLeftOut { lines } => format!("{lines} lines about requests left out"),
         Event::LinesDropped { lines, .. } => format!("{lines} lines lost, the queue was full"),
-        // The others have few fields, and their own form tells all.
+        // The other events have few fields, so their debug form is clear enough.
         other => format!("{other:?}"),
     }
 }
 
-fn text_of_end(ended: &RequestEnded) -> String {
+fn describe_request(ended: &RequestEnded) -> String {
     let status = ended
         .status
         .map_or_else(String::new, |status| format!(" {status}"));
@@ -83,7 +83,7 @@
         text += &format!("; route {route}, service {service}");
     }
     if let Some(sent) = &ended.sent {
-        text += &format!("; {}", text_of_sent(sent));
+        text += &format!("; {}", describe_target(sent));
     }
     if let Some(census) = ended.census {
         text += &format!(
@@ -101,20 +101,20 @@
     )
 }
 
-fn text_of_send(failed: &SendFailed) -> String {
-    let ran = if failed.not_run {
+fn describe_failed_send(failed: &SendFailed) -> String {
+    let execution = if failed.not_run {
         "not run"
     } else {
         "may have run"
     };
-    let sent = text_of_sent(&failed.sent);
+    let sent = describe_target(&failed.sent);
     format!(
-        "send failed after {} ms, {ran}: {}; {sent}",
+        "send failed after {} ms, {execution}: {}; {sent}",
         failed.after_ms, failed.why
     )
 }
 
-fn text_of_sent(sent: &SendTarget) -> String {
+fn describe_target(sent: &SendTarget) -> String {
     let report = match sent.report_age_ms {
         Some(age_ms) => format!("reported {age_ms} ms before"),
         None => "never reported".to_owned(),
--- a/crates/explain/src/story.rs
+++ b/crates/explain/src/trace.rs
@@ -1,4 +1,4 @@
-//! The lines about one request, with their surroundings.
+//! Traces of single requests: their lines in order, and the events around them.
 
 use crate::{
     cause::{
@@ -6,11 +6,11 @@
         Cause, //
     },
     logs::{
-        end_of,
+        request_end,
+        LocatedLine, //
         Logs,
-        Placed, //
     },
-    text::text_of,
+    text::describe,
 };
 use base::UpstreamId;
 use event::{
@@ -20,68 +20,72 @@
 use serde::Serialize;
 use std::fmt;
 
-/// How long before its end a request's surroundings begin.
-const BEFORE_MS: u64 = 10_000;
-/// How long after its end they go on: the store notices a lost upstream some seconds later.
-const AFTER_MS: u64 = 6_000;
-/// Surroundings that are told; of more, the nearest to the end.
-const SURROUNDINGS: usize = 12;
+/// Time before a request's end at which its surroundings begin.
+const BEFORE_END_MS: u64 = 10_000;
+/// Time after a request's end at which its surroundings end. The store notices a lost upstream only after
+/// some seconds.
+const AFTER_END_MS: u64 = 6_000;
+/// Maximum number of surrounding events; if there are more, those closest to the end are kept.
+const MAX_SURROUNDINGS: usize = 12;
 
-/// One line as people read it.
+/// One event of a trace in readable form.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// File and line.
+    /// File and line number.
     pub place: String,
     /// Time of day, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The instance that wrote it.
+    /// Instance that wrote the line.
     pub instance: String,
-    /// What happened.
+    /// Description of the event.
     pub text: String,
 }
 
-/// The story of one request.
+/// Trace of one request, with the likely cause of its failure.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Story {
-    /// Its id.
+pub struct RequestTrace {
+    /// Id of the request.
     pub id: String,
-    /// Its own lines, in order.
+    /// Lines about the request, in order.
     pub steps: Vec<Step>,
-    /// What its entries believed meanwhile, and what changed that.
+    /// Changes of its entries' view around the request.
     pub surroundings: Vec<Step>,
     /// The likely cause.
     pub cause: Cause,
-    /// Lines about requests that were never written.
+    /// Number of lines about requests that the processes did not write.
     pub missing_lines: u64,
 }
 
-impl Story {
-    pub(crate) fn new(logs: &Logs, id: &str, lines: &[&Placed]) -> Self {
-        let mut own = lines.to_vec();
-        own.sort_by_key(|placed| (placed.line.time_ms, placed.file, placed.number));
-        let cause = find_cause(logs, &own);
+impl RequestTrace {
+    pub(crate) fn new(logs: &Logs, id: &str, lines: &[&LocatedLine]) -> Self {
+        let mut request_lines = lines.to_vec();
+        request_lines.sort_by_key(|located| (located.line.time_ms, located.file, located.number));
+        let cause = find_cause(logs, &request_lines);
         Self {
             id: id.to_owned(),
-            steps: own.iter().map(|placed| step(logs, placed)).collect(),
-            surroundings: surroundings(logs, &own),
+            steps: request_lines
+                .iter()
+                .map(|located| to_step(logs, located))
+                .collect(),
+            surroundings: surroundings(logs, &request_lines),
             cause,
             missing_lines: logs.missing_lines(),
         }
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.id)?;
-        let begin = self.steps.first().map_or(0, |step| step.time_ms);
+        let start_ms = self.steps.first().map_or(0, |step| step.time_ms);
         for step in &self.steps {
-            write_step(f, step, begin)?;
+            write_step(f, step, start_ms)?;
         }
         if !self.surroundings.is_empty() {
             writeln!(f, "meanwhile")?;
         }
         for step in &self.surroundings {
-            write_step(f, step, begin)?;
+            write_step(f, step, start_ms)?;
         }
         write!(f, "likely cause: {}", self.cause.fault)?;
         for evidence in &self.cause.evidence {
@@ -98,8 +102,8 @@
     }
 }
 
-fn write_step(f: &mut fmt::Formatter<'_>, step: &Step, begin_ms: u64) -> fmt::Result {
-    let since_ms = step.time_ms as i64 - begin_ms as i64;
+fn write_step(f: &mut fmt::Formatter<'_>, step: &Step, start_ms: u64) -> fmt::Result {
+    let since_ms = step.time_ms as i64 - start_ms as i64;
     writeln!(
         f,
         "  {since_ms:>+7} ms  {}  {}  ({})",
@@ -107,30 +111,30 @@
     )
 }
 
-/// No line has the id that was asked for.
+/// Error: no line has the requested id.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Unknown {
-    /// The id.
+pub struct UnknownRequest {
+    /// The requested id.
     pub id: String,
-    /// Instances whose lines were read.
+    /// Instances with lines in the logs.
     pub instances: Vec<String>,
-    /// Instances that started anew without a planned stop: requests that they had then have no line.
+    /// Instances that restarted without a planned stop. Requests in flight at that time may have no line.
     pub ended_unplanned: Vec<String>,
-    /// Lines about requests that were never written.
+    /// Number of lines about requests that the processes did not write.
     pub missing_lines: u64,
 }
 
-impl Unknown {
+impl UnknownRequest {
     pub(crate) fn new(logs: &Logs, id: &str) -> Self {
         let mut instances: Vec<String> = Vec::new();
         let mut running: Vec<&str> = Vec::new();
         let mut ended_unplanned: Vec<String> = Vec::new();
-        for placed in logs.lines() {
-            let instance = placed.line.instance.as_str();
+        for located in logs.lines() {
+            let instance = located.line.instance.as_str();
             if !instances.iter().any(|known| known == instance) {
                 instances.push(instance.to_owned());
             }
-            match placed.line.event {
+            match located.line.event {
                 Event::Started { .. } if running.contains(&instance) => {
                     ended_unplanned.push(instance.to_owned());
                 }
@@ -151,7 +155,7 @@
     }
 }
 
-impl fmt::Display for Unknown {
+impl fmt::Display for UnknownRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "no line has the id {}", self.id)?;
         if self.instances.is_empty() {
@@ -176,37 +180,40 @@
     }
 }
 
-/// Changes of belief around a request that may have to do with it.
-fn surroundings(logs: &Logs, own: &[&Placed]) -> Vec<Step> {
-    let Some(last) = own.last() else {
+/// Collects changes of the entries' view around a request that may be related to it.
+fn surroundings(logs: &Logs, request_lines: &[&LocatedLine]) -> Vec<Step> {
+    let Some(last) = request_lines.last() else {
         return Vec::new();
     };
     let end_ms = last.line.time_ms;
-    let range = end_ms.saturating_sub(BEFORE_MS)..=end_ms + AFTER_MS;
-    let upstreams: Vec<&UpstreamId> = own
+    let range = end_ms.saturating_sub(BEFORE_END_MS)..=end_ms + AFTER_END_MS;
+    let upstreams: Vec<&UpstreamId> = request_lines
         .iter()
-        .filter_map(|p| upstream_of(&p.line.event))
+        .filter_map(|located| target_upstream(&located.line.event))
         .collect();
-    let service = end_of(own).and_then(|(_, ended)| ended.service.as_deref());
-    let mut near: Vec<&Placed> = logs
+    let service = request_end(request_lines).and_then(|(_, ended)| ended.service.as_deref());
+    let mut nearby: Vec<&LocatedLine> = logs
         .lines()
         .iter()
-        .filter(|placed| range.contains(&placed.line.time_ms))
-        .filter(|placed| {
-            let entry = own
+        .filter(|located| range.contains(&located.line.time_ms))
+        .filter(|located| {
+            let same_entry = request_lines
                 .iter()
-                .any(|own| own.line.instance == placed.line.instance);
-            entry && concerns(&placed.line.event, &upstreams, service)
+                .any(|request_line| request_line.line.instance == located.line.instance);
+            same_entry && is_relevant(&located.line.event, &upstreams, service)
         })
         .collect();
-    near.sort_by_key(|placed| placed.line.time_ms.abs_diff(end_ms));
-    near.truncate(SURROUNDINGS);
-    near.sort_by_key(|placed| (placed.line.time_ms, placed.file, placed.number));
-    near.into_iter().map(|placed| step(logs, placed)).collect()
+    nearby.sort_by_key(|located| located.line.time_ms.abs_diff(end_ms));
+    nearby.truncate(MAX_SURROUNDINGS);
+    nearby.sort_by_key(|located| (located.line.time_ms, located.file, located.number));
+    nearby
+        .into_iter()
+        .map(|located| to_step(logs, located))
+        .collect()
 }
 
-/// Whether an event changes what an entry believes of these upstreams, or of everything.
-fn concerns(event: &Event, upstreams: &[&UpstreamId], service: Option<&str>) -> bool {
+/// Whether an event changes an entry's view of these upstreams or this service, or concerns the whole entry.
+fn is_relevant(event: &Event, upstreams: &[&UpstreamId], service: Option<&str>) -> bool {
     match event {
         Event::UpstreamListed {
             upstream,
@@ -220,8 +227,8 @@
         | Event::UpstreamClosed { upstream, .. } => upstreams.contains(&upstream),
         Event::ColdLeases {
             upstreams: claimed, ..
-        } => claimed.iter().any(|one| upstreams.contains(&one)),
-        Event::RetriesSpent { service: of } => service == Some(&**of),
+        } => claimed.iter().any(|upstream| upstreams.contains(&upstream)),
+        Event::RetriesSpent { service: spent } => service == Some(&**spent),
         Event::Request(_)
         | Event::SendFailed(_)
         | Event::AnswerCut { .. }
@@ -234,7 +241,7 @@
     }
 }
 
-fn upstream_of(event: &Event) -> Option<&UpstreamId> {
+fn target_upstream(event: &Event) -> Option<&UpstreamId> {
     match event {
         Event::Request(ended) => ended.sent.as_ref().map(|sent| &sent.upstream),
         Event::SendFailed(failed) => Some(&failed.sent.upstream),
@@ -243,17 +250,17 @@
     }
 }
 
-fn step(logs: &Logs, placed: &Placed) -> Step {
+fn to_step(logs: &Logs, located: &LocatedLine) -> Step {
     let Line {
         time_ms,
         instance,
         event,
         ..
-    } = &placed.line;
+    } = &located.line;
     Step {
-        place: format!("{}:{}", logs.file(placed.file), placed.number),
+        place: format!("{}:{}", logs.file_name(located.file), located.number),
         time_ms: *time_ms,
         instance: instance.clone(),
-        text: text_of(event),
+        text: describe(event),
     }
 }
--- a/crates/explain/tests/causes.rs
+++ b/crates/explain/tests/causes.rs
@@ -1,4 +1,4 @@
-//! Which cause is named for which lines; each case is a log of a few lines.
+//! Causes that are determined from logs of a few lines each.
 
 use event::{
     Event,
@@ -9,9 +9,9 @@
     ResponseEstimate,
     SendFailed,
     SendTarget,
-    Severity, //
+    Severity,
     SnapshotInfo,
-    UpstreamCounts,
+    UpstreamCounts, //
 };
 use explain::{
     Fault,
@@ -21,7 +21,7 @@
 /// Time of the request's end in each log.
 const END_MS: u64 = 100_000;
 
-fn sent() -> SendTarget {
+fn send_target() -> SendTarget {
     SendTarget {
         upstream: "u-1".into(),
         region: "moshi".into(),
@@ -49,7 +49,7 @@
         sends: 1,
         may_have_run: true,
         fingerprint: None,
-        sent: Some(sent()),
+        sent: Some(send_target()),
         census: None,
         expected: None,
         retry_after_ms: None,
@@ -78,19 +78,19 @@
     }
 }
 
-fn failed(why: &str, not_run: bool) -> Event {
+fn send_failed(why: &str, not_run: bool) -> Event {
     Event::SendFailed(Box::new(SendFailed {
         id: "4f".into(),
         fingerprint: None,
         service: "menu".into(),
-        sent: sent(),
+        sent: send_target(),
         not_run,
         why: why.to_owned(),
         after_ms: 60,
     }))
 }
 
-/// A crash of an upstream during another attempt of the request.
+/// Crash of an upstream during another attempt of the request.
 fn crashed(upstream: &'static str, fingerprint: &str) -> Event {
     Event::UpstreamCrashed {
         id: "other".into(),
@@ -131,7 +131,7 @@
     }
 }
 
-/// A log of one instance: its start, and these events at times relative to the request's end.
+/// Builds the log of one instance: its start, and the given events at times relative to the request's end.
 fn logs(events: &[(i64, Event)]) -> Logs {
     let started = Event::Started {
         region: "moshi".into(),
@@ -155,17 +155,17 @@
     logs
 }
 
-/// Names a case: what the log holds, the fault, and what the evidence says.
+/// Defines a test per case: the events in the log, the expected fault, and a part of the expected evidence.
 macro_rules! cases {
     ($($name:ident: [$($event:expr),* $(,)?] => $fault:ident, $evidence:literal;)*) => {
         $(
             #[test]
             fn $name() {
                 let logs = logs(&[$($event),*]);
-                let story = logs.story("4f").expect("its lines are there");
-                assert_eq!(story.cause.fault, Fault::$fault, "{story}");
-                let evidence = story.cause.evidence.join("\n");
-                assert!(evidence.contains($evidence), "{story}");
+                let trace = logs.story("4f").expect("the log has the request's lines");
+                assert_eq!(trace.cause.fault, Fault::$fault, "{trace}");
+                let evidence = trace.cause.evidence.join("\n");
+                assert!(evidence.contains($evidence), "{trace}");
             }
         )*
     };
@@ -173,18 +173,18 @@
 
 cases! {
     answered_in_time: [(0, request(ended(Outcome::Answered)))] => None, "";
-    late_behind_others: [(0, request(RequestEnded {
+    late_in_the_queue: [(0, request(RequestEnded {
         took_ms: 600,
-        sent: Some(SendTarget { expected: ResponseEstimate { wait_ms: 300, answer_ms: 450 }, ..sent() }),
+        sent: Some(SendTarget { expected: ResponseEstimate { wait_ms: 300, answer_ms: 450 }, ..send_target() }),
         ..ended(Outcome::Answered)
     }))] => Queued, "450 ms, 300 of them waiting";
-    late_by_a_slow_upstream: [(0, request(RequestEnded {
+    late_from_a_slow_upstream: [(0, request(RequestEnded {
         took_ms: 900,
         ..ended(Outcome::Answered)
     }))] => UpstreamSlow, "900 ms for a target of 400 ms";
-    late_without_its_key: [(0, request(RequestEnded {
+    late_on_a_cold_upstream: [(0, request(RequestEnded {
         took_ms: 480,
-        sent: Some(SendTarget { warm: false, ..sent() }),
+        sent: Some(SendTarget { warm: false, ..send_target() }),
         ..ended(Outcome::Answered)
     }))] => ColdCache, "";
     late_from_another_region: [(0, request(RequestEnded {
@@ -192,11 +192,11 @@
         sent: Some(SendTarget {
             region: "dar".into(),
             expected: ResponseEstimate { wait_ms: 0, answer_ms: 380 },
-            ..sent()
+            ..send_target()
         }),
         ..ended(Outcome::Answered)
     }))] => FarAway, "u-1 in dar";
-    refused_for_want_of_slots: [
+    refused_without_free_slots: [
         (0, request(refused(Reason::NoSlotInTime, UpstreamCounts { open: 6, ..UpstreamCounts::default() }))),
     ] => Overload, "answer after 520 ms, 380 of them waiting";
     refused_during_an_evacuation: [
@@ -207,7 +207,7 @@
         }),
         (0, request(refused(Reason::NoSlotInTime, UpstreamCounts { open: 3, closed: 3, ..UpstreamCounts::default() }))),
     ] => Overload, "moshi-b was evacuated";
-    refused_after_an_evacuation_that_is_over: [
+    refused_after_the_end_of_an_evacuation: [
         (-3_000, Event::Evacuation {
             failure_domain: "moshi-b".into(),
             on: true,
@@ -230,30 +230,30 @@
         })),
     ] => Quarantined, "fingerprint 0a; crashed in these logs: u-1, u-2";
     refused_by_full_upstreams: [
-        (-10, failed("status 503", true)),
+        (-10, send_failed("status 503", true)),
         (0, request(refused(Reason::UpstreamRefused, UpstreamCounts::default()))),
     ] => UpstreamRefused, "u-1: status 503";
-    refused_as_none_could_be_reached: [
-        (-10, failed("not sent: Connection refused", true)),
+    refused_by_unreachable_upstreams: [
+        (-10, send_failed("not sent: Connection refused", true)),
         (0, request(refused(Reason::NoUpstreamOpen, UpstreamCounts::default()))),
     ] => UpstreamUnreachable, "Connection refused";
     broken_off_by_an_upstream_that_ended: [
-        (-5, failed("connection broke after the request was sent: reset", false)),
+        (-5, send_failed("connection broke after the request was sent: reset", false)),
         (0, request(RequestEnded { reason: Some(Reason::SendFailed), ..ended(Outcome::Failed) })),
         (4_500, removed()),
     ] => UpstreamEnded, "4505 ms later";
-    broken_off_by_an_upstream_that_goes_on: [
-        (-5, failed("malformed answer: invalid HTTP version", false)),
+    broken_off_by_an_upstream_that_keeps_running: [
+        (-5, send_failed("malformed answer: invalid HTTP version", false)),
         (0, request(RequestEnded { reason: Some(Reason::SendFailed), ..ended(Outcome::Failed) })),
     ] => UpstreamBrokeOff, "malformed answer";
     broken_off_by_an_upstream_that_left: [
         (-900, leaving()),
-        (-5, failed("connection broke after the request was sent: reset", false)),
+        (-5, send_failed("connection broke after the request was sent: reset", false)),
         (0, request(RequestEnded { reason: Some(Reason::SendFailed), ..ended(Outcome::Failed) })),
         (4_500, removed()),
     ] => UpstreamBrokeOff, "reset";
     timed_out_at_a_silent_upstream: [
-        (-1, failed("no answer before the deadline", false)),
+        (-1, send_failed("no answer before the deadline", false)),
         (0, request(RequestEnded { took_ms: 2_000, ..ended(Outcome::TimedOut) })),
     ] => UpstreamSilent, "answered nobody any more";
     timed_out_at_an_upstream_that_ended: [
@@ -264,35 +264,35 @@
         (-800, other_answered(1_400)),
         (0, request(RequestEnded { took_ms: 2_000, ..ended(Outcome::TimedOut) })),
     ] => UpstreamSlow, "the slowest after 1400 ms";
-    timed_out_at_an_upstream_that_died_meanwhile: [
+    timed_out_at_an_upstream_that_died: [
         (-1_900, other_answered(140)),
         (0, request(RequestEnded { took_ms: 2_000, ..ended(Outcome::TimedOut) })),
     ] => UpstreamSilent, "answered nobody any more";
-    timed_out_where_others_were_answered: [
+    timed_out_while_others_were_answered: [
         (-800, other_answered(140)),
         (0, request(RequestEnded { took_ms: 2_000, ..ended(Outcome::TimedOut) })),
     ] => UpstreamBrokeOff, "answered 1 other requests";
     caller_left_early: [
         (0, request(RequestEnded { took_ms: 300, ..ended(Outcome::Cancelled) })),
     ] => CallerLeft, "after 300 of 2000 ms";
-    callers_time_ran_out: [
+    cancelled_at_the_deadline: [
         (0, request(RequestEnded { took_ms: 1_980, ..ended(Outcome::Cancelled) })),
     ] => UpstreamSilent, "after 1980 of 2000 ms";
-    in_a_planned_stop: [
+    closed_in_a_planned_stop: [
         (0, request(RequestEnded { sent: None, ..ended(Outcome::Closing) })),
     ] => PlannedStop, "nothing ran";
-    before_any_routes: [
+    no_routes_known_yet: [
         (-500, Event::StoreLost { table: "operator".into(), error: "no answer".into() }),
         (0, request(RequestEnded { sent: None, ..ended(Outcome::NoRoutes) })),
     ] => NoRoutes, "its calls to the store failed";
-    of_an_unknown_route: [
+    unknown_route: [
         (0, request(RequestEnded { sent: None, ..ended(Outcome::NoSuchRoute) })),
     ] => BadRequest, "version 0 of the routes";
-    without_its_end: [(-5, failed("it was closed", false))] => Unfinished, "or its process ended";
-    an_upstreams_own_failure: [
+    end_missing_from_the_logs: [(-5, send_failed("it was closed", false))] => Unfinished, "or its process ended";
+    error_status_of_an_upstream: [
         (0, request(RequestEnded { status: Some(500), ..ended(Outcome::UpstreamError) })),
     ] => UpstreamFailed, "status 500 of u-1";
-    cut_by_its_upstream: [
+    cut_off_by_the_upstream: [
         (0, request(ended(Outcome::Answered))),
         (200, Event::AnswerCut {
             id: "4f".into(),
@@ -302,7 +302,7 @@
             took_ms: 300,
         }),
     ] => UpstreamBrokeOff, "after 300000 bytes";
-    cut_by_its_caller: [
+    cut_off_by_the_caller: [
         (0, request(ended(Outcome::Answered))),
         (200, Event::AnswerCut {
             id: "4f".into(),
@@ -337,9 +337,9 @@
     assert_eq!(logs.missing_lines(), 7);
 }
 
-/// An id without a line is unknown, with what may have become of its lines.
+/// An id without a line is reported as unknown, with the possible reasons why its lines are missing.
 #[test]
-fn unknown_ids_say_what_is_missing() {
+fn unknown_ids_report_missing_lines() {
     let started = Event::Started {
         region: "moshi".into(),
         failure_domain: "moshi-a".into(),
@@ -355,23 +355,23 @@
         ),
         (1, started),
     ]);
-    let unknown = logs.story("nowhere").expect_err("no line has it");
+    let unknown = logs.story("nowhere").expect_err("no line has the id");
     assert_eq!(unknown.ended_unplanned, ["moshi-1"]);
     assert_eq!(unknown.missing_lines, 3);
-    let said = unknown.to_string();
+    let message = unknown.to_string();
     assert!(
-        said.contains("moshi-1 ended without a planned stop"),
-        "{said}"
+        message.contains("moshi-1 ended without a planned stop"),
+        "{message}"
     );
-    let none = Logs::default()
+    let empty = Logs::default()
         .story("4f")
         .expect_err("no lines at all")
         .to_string();
-    assert!(none.contains("no lines of an entry"), "{none}");
+    assert!(empty.contains("no lines of an entry"), "{empty}");
 }
 
 #[test]
-fn lines_that_cant_be_read_are_named() {
+fn unreadable_lines_are_reported() {
     let mut logs = Logs::default();
     logs.add("a.log", "booting\n{\"time_ms\":1,\"level\":\"in\n");
     let (unreadable, count) = logs.unreadable();
--- a/crates/router/tests/explain.rs
+++ b/crates/router/tests/explain.rs
@@ -8,7 +8,7 @@
 use explain::{
     Fault,
     Logs,
-    Story, //
+    RequestTrace, //
 };
 use nix::{
     sys::signal::{
@@ -66,7 +66,7 @@
 }
 
 /// The story of an id, once the log's own thread has written its end; `--nocapture` shows it.
-fn story(system: &System, id: &str) -> Story {
+fn story(system: &System, id: &str) -> RequestTrace {
     let story = eventually("its lines", || {
         let text = fs::read_to_string(&system.log).ok()?;
         let mut logs = Logs::default();
