--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,16 +1,18 @@
 //! An entry that routes by host and path, on the product's own interfaces.
 //!
-//! The `entry` crate meets the outside behind traits; here is the product's own side of them, as
-//! `platform/` is that of the users' platform. Start with [`Settings`], the process's YAML file.
+//! The `entry` crate reaches the platform through traits. This crate implements them for the product's
+//! own platform, as `platform/` does for the users' platform. Start with [`Settings`], the process's
+//! YAML file.
 //!
-//! - [`Store`] follows the platform's table and list by looking at them, and gives each change the
-//!   version that orders it among those that other entries saw.
-//! - [`RoutesReader`] reads the rows: routes as YAML, evacuated failure domains, upstreams.
+//! - [`Store`] follows the platform's table and upstream list by polling them, and gives each change a
+//!   version that orders it in the same way at all entries.
+//! - [`RoutesReader`] decodes the rows: routes as YAML, evacuated failure domains, upstreams.
 //!
-//! `jasminectl` writes the rows: `routes accept`, `routes evacuate`. `row_keys` in `route` names
-//! them.
+//! `jasminectl` writes the rows with `routes accept` and `routes evacuate`; [`route::keys`] lists their
+//! keys.
 //!
-//! Invariant: nothing here decides where a request goes or what is in force; that is the entry's.
+//! Invariant: this crate makes no routing decision and doesn't choose which version is in force; the
+//! `entry` crate does both.
 
 mod reader;
 mod settings;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `jasmine-router`: checks its settings and runs an entry on the product's own interfaces.
+//! The program `jasmine-router`: checks its settings and runs an entry on the product's own interfaces.
 
 use clap::Parser;
 use entry::{
@@ -45,9 +45,9 @@
         return ExitCode::SUCCESS;
     }
     let path = &args.settings.unwrap_or_default();
-    let read = read(path).and_then(|text| parse(path, &text).map(|settings| (text, settings)));
-    let (text, settings) = match read {
-        Ok(read) => read,
+    let loaded = read(path).and_then(|text| parse(path, &text).map(|settings| (text, settings)));
+    let (text, settings) = match loaded {
+        Ok(loaded) => loaded,
         Err(findings) => {
             eprintln!("{findings}");
             return ExitCode::from(BAD_INPUT);
@@ -73,11 +73,11 @@
         entry,
         platform_url,
         platform_timeout,
-        look,
+        poll_interval,
     } = settings;
-    let of_file = path.clone();
+    let settings_path = path.clone();
     let parse_entry = move |text: &str| {
-        let parsed = parse(&of_file, text).map(|settings| settings.entry);
+        let parsed = parse(&settings_path, text).map(|settings| settings.entry);
         parsed.map_err(|findings| findings.lines().map(str::to_owned).collect())
     };
     entry::run(
@@ -87,7 +87,7 @@
         metrics,
         move || {
             let platform = HttpPlatform::new(platform_url, platform_timeout, platform_timeout);
-            Store::new(platform, look)
+            Store::new(platform, poll_interval)
         },
         follow_file(path, text, parse_entry),
         entry::stop_signal(),
--- a/crates/router/src/reader.rs
+++ b/crates/router/src/reader.rs
@@ -1,4 +1,4 @@
-//! What the rows of the product's own table and list mean.
+//! Decodes the rows of the product's own table and upstream list.
 
 use bytes::Bytes;
 use entry::{
@@ -12,10 +12,10 @@
 use route::keys;
 use std::sync::Arc;
 
-/// Table name under which [`crate::Store`] gives the list's upstreams.
+/// Table name under which [`crate::Store`] serves the upstream list.
 pub(crate) const UPSTREAMS: &str = "upstreams";
 
-/// Reads routes and evacuations as operators wrote them, and upstreams as the list gives them.
+/// Decodes operators' routes and evacuations, and the upstreams of the list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoutesReader;
 
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, from a YAML file that is checked whole before anything starts.
+//! Settings of one process, read from a YAML file that is checked completely before anything starts.
 
 use bytestring::ByteString;
 use conf::{
@@ -13,39 +13,39 @@
     time::Duration, //
 };
 
-/// Longest time that a field may give, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
-/// Fewest sockets that leave a process some for callers beside its ports, the store and other entries.
+/// Longest duration that a field accepts, in milliseconds.
+const MAX_DURATION_MS: u64 = 600_000;
+/// Fewest sockets that a field accepts. They cover the process's own ports, the store and other entries,
+/// and leave some for callers.
 const SOCKETS_MIN: usize = 600;
-/// Most sockets that a field may give.
+/// Most sockets that a field accepts.
 const SOCKETS_MAX: usize = 1 << 20;
-/// Thousandths of a core that a field may give.
+/// Fewest thousandths of a core that a field accepts.
 const CPU_MILLI_MIN: u32 = 1;
-/// Most of them.
+/// Most thousandths of a core that a field accepts.
 const CPU_MILLI_MAX: u32 = 1_000_000;
-/// Processor where none is stated: a whole core.
-const CPU_MILLI: u32 = 1000;
-/// Sockets of a process where none are stated: what common systems give a process, less some for files.
-const SOCKETS: usize = 1000;
-/// Deadline of calls to the platform where none is stated: that of `jasmined`.
-const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two looks at the platform where none is stated: what changes there is to be in force
-/// within a second.
-const LOOK: Duration = Duration::from_millis(500);
-/// Parts per million in one.
+/// Default processor share: a whole core.
+const DEFAULT_CPU_MILLI: u32 = 1000;
+/// Default number of sockets: the usual limit of file descriptors per process, less some for files.
+const DEFAULT_MAX_SOCKETS: usize = 1000;
+/// Default deadline of calls to the platform, the same as in `jasmined`.
+const DEFAULT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Default time between two polls of the platform. A change there is to be in force within a second.
+const DEFAULT_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The number one in parts per million.
 const ONE_PPM: u32 = 1_000_000;
 
 /// Settings of one `jasmine-router`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// What the entry itself is told.
+    /// Settings of the entry.
     pub entry: entry::Settings,
     /// Base URL of the platform.
     pub platform_url: ByteString,
-    /// Longest that one call of the platform may take.
+    /// Deadline of one call to the platform.
     pub platform_timeout: Duration,
-    /// Time between two looks at the platform's table and list.
-    pub look: Duration,
+    /// Time between two polls of the platform's table and list.
+    pub poll_interval: Duration,
 }
 
 impl Settings {
@@ -53,15 +53,15 @@
     ///
     /// # Errors
     ///
-    /// Every finding of the file, with its place.
+    /// All findings in the file, each with its position.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let document = Document::parse(file, text);
-        let settings = document.map().and_then(|mut map| read(&mut map));
+        let settings = document.map().and_then(|mut map| read_settings(&mut map));
         document.finish(settings)
     }
 }
 
-fn read(map: &mut Map<'_>) -> Option<Settings> {
+fn read_settings(map: &mut Map<'_>) -> Option<Settings> {
     let instance = map.required("instance").text();
     let region = map.required("region").text();
     let failure_domain = map.required("failure_domain").text();
@@ -71,8 +71,8 @@
     let peers_addr = addr(map.required("peers_addr"));
     let metrics_addr = addr(map.required("metrics_addr"));
     let platform_url = url(map.required("platform_url"));
-    let platform_timeout = time(map.optional("platform_timeout_ms"));
-    let look = time(map.optional("look_ms"));
+    let platform_timeout = duration(map.optional("platform_timeout_ms"));
+    let poll_interval = duration(map.optional("look_ms"));
     let sockets = map.optional("max_sockets");
     let sockets = sockets.integer(SOCKETS_MIN..=SOCKETS_MAX, "sockets");
     let cpu_milli = map.optional("cpu_milli");
@@ -84,7 +84,7 @@
             instance: instance?,
             region: region?,
             failure_domain: failure_domain?,
-            // The list says where each upstream is.
+            // The list gives each upstream's region.
             regions: base::FastMap::default(),
             callers_addr: callers_addr?,
             lookup_addr: lookup_addr?,
@@ -92,50 +92,50 @@
             peers_addr: peers_addr?,
             metrics_addr: metrics_addr?,
             bounds,
-            max_sockets: sockets.unwrap_or(SOCKETS),
-            cpu_milli: cpu_milli.unwrap_or(CPU_MILLI),
+            max_sockets: sockets.unwrap_or(DEFAULT_MAX_SOCKETS),
+            cpu_milli: cpu_milli.unwrap_or(DEFAULT_CPU_MILLI),
         },
         platform_url: platform_url?,
-        platform_timeout: platform_timeout.unwrap_or(PLATFORM_TIMEOUT),
-        look: look.unwrap_or(LOOK),
+        platform_timeout: platform_timeout.unwrap_or(DEFAULT_PLATFORM_TIMEOUT),
+        poll_interval: poll_interval.unwrap_or(DEFAULT_POLL_INTERVAL),
     })
 }
 
 fn read_bounds(map: &mut Map<'_>) -> Bounds {
-    let own = Bounds::default();
-    let grace = time(map.optional("grace_ms"));
-    let retry_ratio = part(map.optional("retry_pct"));
-    let retry_window = time(map.optional("retry_window_ms"));
+    let defaults = Bounds::default();
+    let grace = duration(map.optional("grace_ms"));
+    let retry_ratio = ratio(map.optional("retry_pct"));
+    let retry_window = duration(map.optional("retry_window_ms"));
     let retry_slack = count(map.optional("retry_slack"));
     let cold_factor = map.optional("cold_pct").percent_ppm(1..=100 * ONE_PPM);
     let cold_slack = count(map.optional("cold_slack"));
-    let shift_max = part(map.optional("shift_pct"));
-    let lookup_ttl_max = time(map.optional("lookup_ttl_ms"));
+    let shift_max = ratio(map.optional("shift_pct"));
+    let lookup_ttl_max = duration(map.optional("lookup_ttl_ms"));
     Bounds {
-        grace: grace.unwrap_or(own.grace),
-        retry_ratio: retry_ratio.unwrap_or(own.retry_ratio),
-        retry_window: retry_window.unwrap_or(own.retry_window),
-        retry_slack: retry_slack.unwrap_or(own.retry_slack),
-        cold_factor: cold_factor.map_or(own.cold_factor, ppm),
-        cold_slack: cold_slack.unwrap_or(own.cold_slack),
-        shift_max: shift_max.unwrap_or(own.shift_max),
-        lookup_ttl_max: lookup_ttl_max.unwrap_or(own.lookup_ttl_max),
+        grace: grace.unwrap_or(defaults.grace),
+        retry_ratio: retry_ratio.unwrap_or(defaults.retry_ratio),
+        retry_window: retry_window.unwrap_or(defaults.retry_window),
+        retry_slack: retry_slack.unwrap_or(defaults.retry_slack),
+        cold_factor: cold_factor.map_or(defaults.cold_factor, ppm_to_ratio),
+        cold_slack: cold_slack.unwrap_or(defaults.cold_slack),
+        shift_max: shift_max.unwrap_or(defaults.shift_max),
+        lookup_ttl_max: lookup_ttl_max.unwrap_or(defaults.lookup_ttl_max),
     }
 }
 
-fn time(field: Field<'_>) -> Option<Duration> {
-    field.duration_ms(1..=LONGEST_MS)
+fn duration(field: Field<'_>) -> Option<Duration> {
+    field.duration_ms(1..=MAX_DURATION_MS)
 }
 
-fn part(field: Field<'_>) -> Option<f64> {
-    field.percent_ppm(0..=ONE_PPM).map(ppm)
+fn ratio(field: Field<'_>) -> Option<f64> {
+    field.percent_ppm(0..=ONE_PPM).map(ppm_to_ratio)
 }
 
 fn count(field: Field<'_>) -> Option<f64> {
     field.integer(0..=1_000_000_u32, "requests").map(f64::from)
 }
 
-fn ppm(ppm: u32) -> f64 {
+fn ppm_to_ratio(ppm: u32) -> f64 {
     f64::from(ppm) / f64::from(ONE_PPM)
 }
 
@@ -145,10 +145,11 @@
 
 fn url(field: Field<'_>) -> Option<ByteString> {
     let text = field.text()?;
-    let host = text.strip_prefix("http://");
-    let plain = host.is_some_and(|host| host.trim_end_matches('/').parse::<SocketAddr>().is_ok());
-    if !plain {
+    let address = text.strip_prefix("http://");
+    let valid =
+        address.is_some_and(|address| address.trim_end_matches('/').parse::<SocketAddr>().is_ok());
+    if !valid {
         field.report("must be `http://` and an address such as 127.0.0.1:7000");
     }
-    plain.then(|| text.trim_end_matches('/').into())
+    valid.then(|| text.trim_end_matches('/').into())
 }
--- a/crates/router/src/store.rs
+++ b/crates/router/src/store.rs
@@ -1,12 +1,13 @@
-//! The product's own platform as tables that can be followed.
+//! Change feeds over the product's own platform.
 //!
-//! The platform has a table without a feed, and a list without versions. Both are looked at again and
-//! again, and what differs from the look before is a change:
+//! The platform has a table without a change feed, and an upstream list without versions. Both are
+//! polled, and each difference from the previous poll is a change:
 //!
-//! - a row of the table has the version of the commit that wrote it; operators' rows are never
-//!   removed, so a change always is a row of a higher version;
-//! - an upstream's row has the time of the list that first showed it so. That time is the platform's,
-//!   the same for all entries: an older list can't undo what a newer one said.
+//! - A row of the table has the version of the commit that wrote it. Operators' rows are never
+//!   removed, so each change is a row of a higher version.
+//! - An upstream's row has as its version the time of the list that first showed it in this state.
+//!   The platform sets that time, so all entries see the same one, and an older list can't undo a
+//!   newer one.
 
 use crate::reader::UPSTREAMS;
 use base::FastMap;
@@ -39,31 +40,32 @@
     },
 };
 
-/// Rows of one table as they were seen last, by key.
-type Seen = BTreeMap<ByteString, FeedRow>;
+/// Rows of one table by key.
+type TableRows = BTreeMap<ByteString, FeedRow>;
 
-/// The product's platform; for one thread.
+/// Follows the tables of the product's platform by polling; used from a single thread.
 #[derive(Debug)]
 pub struct Store {
     platform: HttpPlatform,
-    look: Duration,
-    seen: RefCell<FastMap<String, Seen>>,
+    poll_interval: Duration,
+    /// Rows of each table at its previous poll.
+    previous: RefCell<FastMap<String, TableRows>>,
 }
 
 impl Store {
-    /// Follows this platform by looking at it at these intervals; sends nothing yet.
-    pub fn new(platform: HttpPlatform, look: Duration) -> Self {
+    /// Returns a store that polls this platform at the given interval, without sending anything yet.
+    pub fn new(platform: HttpPlatform, poll_interval: Duration) -> Self {
         Self {
             platform,
-            look,
-            seen: RefCell::default(),
+            poll_interval,
+            previous: RefCell::default(),
         }
     }
 
-    /// All rows of a table now.
-    async fn rows(&self, table: &str) -> Result<Rows, ReadError> {
+    /// Reads all rows of a table.
+    async fn read_rows(&self, table: &str) -> Result<Rows, ReadError> {
         if table == UPSTREAMS {
-            return self.listed().await;
+            return self.read_upstreams().await;
         }
         let prefix = format!("{table}/");
         let rows = self.platform.scan(&prefix).await?;
@@ -75,8 +77,8 @@
         Ok(Rows { rows, position })
     }
 
-    /// The list's upstreams as rows.
-    async fn listed(&self) -> Result<Rows, ReadError> {
+    /// Reads the upstream list as rows.
+    async fn read_upstreams(&self) -> Result<Rows, ReadError> {
         let list = self.platform.list().await?;
         let rows = list.upstreams.iter().map(|listed| {
             let upstream = ListedUpstream {
@@ -91,7 +93,7 @@
                 slots: listed.slots,
                 leaving: listed.state == ListedState::Leaving,
                 cold_left: Duration::from_millis(listed.cold_left_ms),
-                // The product's list gives each start a name of its own.
+                // Each start of an upstream has its own id in the product's list.
                 started_ms: 0,
             };
             let value =
@@ -108,33 +110,33 @@
         })
     }
 
-    /// Takes a look over as the one that the next is compared with; gives what differs.
-    fn differences(&self, table: &str, now: &Rows) -> Vec<FeedRow> {
-        let mut seen = self.seen.borrow_mut();
-        let before = seen.entry(table.to_owned()).or_default();
-        let mut changed: Vec<FeedRow> = now
+    /// Returns the rows that differ from the previous poll, and keeps `current` for the next comparison.
+    fn record_changes(&self, table: &str, current: &Rows) -> Vec<FeedRow> {
+        let mut previous = self.previous.borrow_mut();
+        let known_rows = previous.entry(table.to_owned()).or_default();
+        let mut changed: Vec<FeedRow> = current
             .rows
             .iter()
             .filter(|row| {
-                before
+                known_rows
                     .get(&row.key)
-                    .is_none_or(|old| old.value != row.value)
+                    .is_none_or(|known| known.value != row.value)
             })
             .cloned()
             .collect();
-        let gone = before
+        let removed = known_rows
             .keys()
-            .filter(|key| !now.rows.iter().any(|row| row.key == **key));
-        changed.extend(gone.map(|key| FeedRow {
+            .filter(|key| !current.rows.iter().any(|row| row.key == **key));
+        changed.extend(removed.map(|key| FeedRow {
             key: key.clone(),
-            version: now.position,
+            version: current.position,
             value: None,
         }));
         for row in &changed {
             if row.value.is_some() {
-                before.insert(row.key.clone(), row.clone());
+                known_rows.insert(row.key.clone(), row.clone());
             } else {
-                before.remove(&row.key);
+                known_rows.remove(&row.key);
             }
         }
         changed
@@ -143,9 +145,9 @@
 
 impl Feed for Store {
     async fn read_all(&self, table: &str) -> Result<Rows, ReadError> {
-        let rows = self.rows(table).await?;
-        self.seen.borrow_mut().remove(table);
-        self.differences(table, &rows);
+        let rows = self.read_rows(table).await?;
+        self.previous.borrow_mut().remove(table);
+        self.record_changes(table, &rows);
         Ok(rows)
     }
 
@@ -155,19 +157,19 @@
         position: u64,
         wait: Duration,
     ) -> Result<Changes, ReadError> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
-            tokio::time::sleep(self.look).await;
-            let now = self.rows(table).await?;
-            // An older look, from a platform that lags: what it says has been said already.
-            let older = now.position < position;
-            let rows = if older {
+            tokio::time::sleep(self.poll_interval).await;
+            let current = self.read_rows(table).await?;
+            // A platform that lags answered with an older state, whose changes have been returned already.
+            let outdated = current.position < position;
+            let rows = if outdated {
                 Vec::new()
             } else {
-                self.differences(table, &now)
+                self.record_changes(table, &current)
             };
-            if !rows.is_empty() || Instant::now() >= until {
-                let position = now.position.max(position);
+            if !rows.is_empty() || Instant::now() >= deadline {
+                let position = current.position.max(position);
                 return Ok(Changes::Rows(Rows { rows, position }));
             }
         }
@@ -188,17 +190,17 @@
     }
 }
 
-/// A row of the operators' table; one that takes an evacuation back has no value.
+/// Converts a row of the operators' table; a row that ends an evacuation gets no value.
 fn operator_row(prefix: &str, row: Row) -> FeedRow {
     let key = row.key.strip_prefix(prefix).unwrap_or(&row.key);
-    let taken_back = keys::evacuated_domain(key).is_some() && *row.value != *keys::EVACUATED;
+    let withdrawn = keys::evacuated_domain(key).is_some() && *row.value != *keys::EVACUATED;
     FeedRow {
         key: key.into(),
         version: row.version,
-        value: (!taken_back).then(|| row.value.as_bytes().clone()),
+        value: (!withdrawn).then(|| row.value.as_bytes().clone()),
     }
 }
 
-fn malformed(why: String) -> ReadError {
-    ReadError(FailureReason::Malformed(why))
+fn malformed(error: String) -> ReadError {
+    ReadError(FailureReason::Malformed(error))
 }
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -1,7 +1,7 @@
-//! Outages of the platform of each kind, and processes that are paused or started meanwhile.
+//! Outages of the platform of each kind, and processes that are paused or started during one.
 //!
-//! Each row drives the real program: it serves with what it knows for as long as the outage lasts, and
-//! what changed meanwhile is in force soon after its end.
+//! Each test runs the real program. It must keep serving with the configuration that it knows for as long
+//! as the outage lasts, and apply later changes soon after the end.
 
 mod support;
 
@@ -34,16 +34,16 @@
     ROUTES, //
 };
 
-/// Upstreams that answer at once.
-const QUICK: &str = "slots=8,service_ms=5";
-/// How long an outage or a pause lasts: beyond the deadline of calls to the platform.
-const OUTAGE: Duration = Duration::from_millis(3_000);
-/// Time after an outage within which what changed meanwhile is in force: one failed call's deadline, the
-/// longest pause after it, and a look, with as much again for a busy machine.
-const IN_FORCE: Duration = Duration::from_secs(8);
+/// Specification of upstreams that respond at once.
+const FAST_UPSTREAMS: &str = "slots=8,service_ms=5";
+/// Duration of an outage or a pause; longer than the deadline of calls to the platform.
+const OUTAGE_DURATION: Duration = Duration::from_millis(3_000);
+/// Time after an outage within which changes must be in force: the deadline of one failed call, the longest
+/// pause after it and one poll, doubled for a busy machine.
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
-/// Makes all calls of the table and the list meet a fault.
-fn set_fault(platform: SocketAddr, kind: Kind) {
+/// Sets a fault for all calls to the table and the list.
+fn set_fault(platform_addr: SocketAddr, kind: Kind) {
     let fault = Some(Fault {
         kind,
         delay_ms: 900,
@@ -60,62 +60,67 @@
          content-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let answer = exchange(platform, &request);
-    assert_eq!(answer.as_deref().and_then(status), Some(200), "{answer:?}");
+    let response = exchange(platform_addr, &request);
+    assert_eq!(
+        response.as_deref().and_then(status),
+        Some(200),
+        "{response:?}"
+    );
 }
 
-/// Routes under another version and prefix.
+/// The routes with another version and prefix.
 fn next_routes(version: u64) -> String {
     ROUTES
         .replace("version: 1", &format!("version: {version}"))
         .replace("/menus/", &format!("/menus{version}/"))
 }
 
-fn ask(system: &System, path: &str) -> Option<u16> {
+/// Sends a request, and returns the status of its response.
+fn get_status(system: &System, path: &str) -> Option<u16> {
     let request = format!(
         "GET {path} HTTP/1.1\r\nhost: menus.example\r\njasmine-request: a1\r\n\
          connection: close\r\n\r\n"
     );
-    status(&exchange(system.callers, &request)?)
+    status(&exchange(system.callers_addr, &request)?)
 }
 
-fn wait_in_force(system: &System, path: &str) {
-    let begun = Instant::now();
-    eventually("the routes", || {
-        (ask(system, path) == Some(200)).then_some(())
+/// Waits until a path is served, within [`RECOVERY_TIME`].
+fn wait_until_served(system: &System, path: &str) {
+    let start = Instant::now();
+    eventually("routes in force", || {
+        (get_status(system, path) == Some(200)).then_some(())
     });
-    let took = begun.elapsed();
-    assert!(took < IN_FORCE, "{took:?}");
+    let elapsed = start.elapsed();
+    assert!(elapsed < RECOVERY_TIME, "{elapsed:?}");
 }
 
-/// Symptom: an outage of the platform is one of the system. Sequence: the outage begins, requests go on, it
-/// ends, and an operator's next routes are accepted. Cause guarded against: anything on a request's way that
-/// waits for the platform, and a feed that doesn't come back.
-fn serves_through(name: &str, kind: Kind) {
-    let system = System::start(name, QUICK);
-    system.put(keys::ROUTES_KEY, ROUTES);
+/// Guards against request handling that waits for the platform, and against a change feed that doesn't recover.
+/// Requests go on during an outage; after its end, an operator's next version of the routes is accepted.
+fn serves_during_outage(name: &str, kind: Kind) {
+    let system = System::start(name, FAST_UPSTREAMS);
+    system.write_row(keys::ROUTES_KEY, ROUTES);
     system.wait_served_by(&["m-a", "m-b"]);
-    set_fault(system.platform, kind);
-    let begun = Instant::now();
+    set_fault(system.platform_addr, kind);
+    let start = Instant::now();
     let mut served = 0;
-    while begun.elapsed() < OUTAGE {
-        assert_eq!(ask(&system, "/menus/x"), Some(200), "after {served}");
+    while start.elapsed() < OUTAGE_DURATION {
+        assert_eq!(get_status(&system, "/menus/x"), Some(200), "after {served}");
         served += 1;
         thread::sleep(Duration::from_millis(20));
     }
-    set_fault(system.platform, Kind::None);
-    system.put(keys::ROUTES_KEY, &next_routes(2));
-    wait_in_force(&system, "/menus2/x");
-    assert_eq!(ask(&system, "/menus/x"), Some(404));
+    set_fault(system.platform_addr, Kind::None);
+    system.write_row(keys::ROUTES_KEY, &next_routes(2));
+    wait_until_served(&system, "/menus2/x");
+    assert_eq!(get_status(&system, "/menus/x"), Some(404));
 }
 
-/// Names a row for each outage.
+/// Defines a test for each kind of outage.
 macro_rules! outages {
     ($($name:ident: $kind:ident;)*) => {
         $(
             #[test]
             fn $name() {
-                serves_through(stringify!($name), Kind::$kind);
+                serves_during_outage(stringify!($name), Kind::$kind);
             }
         )*
     };
@@ -129,53 +134,55 @@
     platform_gives_old_answers: Stale;
 }
 
-/// Symptom: after a loss of all processes, callers are told that their routes don't exist. Sequence: the
-/// processes start while the platform is away. Cause guarded against: knowing no routes taken for there
-/// being none.
+/// Guards against treating unknown routes as missing ones. After a loss of all processes, entries start while
+/// the platform is unavailable; callers must not get the response that their routes don't exist.
 #[test]
 fn started_while_the_platform_is_away() {
-    let system = System::start_with("started-away", QUICK, |platform| {
-        set_fault(platform, Kind::Down);
+    let system = System::start_with("started-away", FAST_UPSTREAMS, |platform_addr| {
+        set_fault(platform_addr, Kind::Down);
     });
-    let begun = Instant::now();
-    while begun.elapsed() < OUTAGE {
-        if let Some(status) = ask(&system, "/menus/x") {
+    let start = Instant::now();
+    while start.elapsed() < OUTAGE_DURATION {
+        if let Some(status) = get_status(&system, "/menus/x") {
             assert_eq!(status, 503);
         }
         thread::sleep(Duration::from_millis(50));
     }
-    let ready = "GET /v1/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    let ready = exchange(system.ready, ready);
-    assert_eq!(ready.as_deref().and_then(status), Some(503), "{ready:?}");
-    set_fault(system.platform, Kind::None);
-    system.put(keys::ROUTES_KEY, ROUTES);
-    wait_in_force(&system, "/menus/x");
+    let readiness = "GET /v1/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    let readiness = exchange(system.ready_addr, readiness);
+    assert_eq!(
+        readiness.as_deref().and_then(status),
+        Some(503),
+        "{readiness:?}"
+    );
+    set_fault(system.platform_addr, Kind::None);
+    system.write_row(keys::ROUTES_KEY, ROUTES);
+    wait_until_served(&system, "/menus/x");
 }
 
-/// Symptom: a process that was paused goes on by what it knew before. Sequence: it is stopped, routes and an
-/// evacuation change, it goes on. Cause guarded against: clocks and calls of before the pause taken for
-/// current.
+/// Guards against a paused process that goes on with outdated configuration, because it takes clocks and calls
+/// from before the pause for current. Routes and an evacuation change while the process is stopped.
 #[test]
 fn paused_while_routes_and_an_evacuation_change() {
-    let system = System::start("paused", QUICK);
-    system.put(keys::ROUTES_KEY, ROUTES);
+    let system = System::start("paused", FAST_UPSTREAMS);
+    system.write_row(keys::ROUTES_KEY, ROUTES);
     system.wait_served_by(&["m-a", "m-b"]);
-    let id = Pid::from_raw(system.process_id());
-    kill(id, Signal::SIGSTOP).expect("it runs");
-    system.put(&keys::evacuated_key("moshi-a"), keys::EVACUATED);
-    system.put(keys::ROUTES_KEY, &next_routes(2));
-    thread::sleep(OUTAGE);
-    kill(id, Signal::SIGCONT).expect("it is stopped");
-    wait_in_force(&system, "/menus2/x");
+    let pid = Pid::from_raw(system.process_id());
+    kill(pid, Signal::SIGSTOP).expect("the process runs");
+    system.write_row(&keys::evacuated_key("moshi-a"), keys::EVACUATED);
+    system.write_row(keys::ROUTES_KEY, &next_routes(2));
+    thread::sleep(OUTAGE_DURATION);
+    kill(pid, Signal::SIGCONT).expect("the process is stopped");
+    wait_until_served(&system, "/menus2/x");
     eventually("the evacuation", || {
-        let records = || {
+        let request_count = || {
             let upstream = &system.upstreams[0];
             upstream.record().entries.len()
         };
-        let before = records();
+        let before = request_count();
         for _ in 0..20 {
-            assert_eq!(ask(&system, "/menus2/x"), Some(200));
+            assert_eq!(get_status(&system, "/menus2/x"), Some(200));
         }
-        (records() == before).then_some(())
+        (request_count() == before).then_some(())
     });
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,8 +1,9 @@
-//! Settings of `jasmine-router`: what is read, and every finding at once.
+//! Settings of `jasmine-router`: the fields with their defaults, and the findings.
 
 use router::Settings;
 use std::time::Duration;
 
+/// Settings with the required fields only.
 const MINIMAL: &str = "\
 instance: moshi-1
 region: moshi
@@ -16,11 +17,11 @@
 ";
 
 #[test]
-fn what_is_left_out_has_its_stated_value() {
+fn omitted_fields_have_their_defaults() {
     let settings = Settings::parse("s.yaml", MINIMAL).expect("good settings");
     assert_eq!(&*settings.entry.instance, "moshi-1");
     assert_eq!(settings.platform_timeout, Duration::from_secs(2));
-    assert_eq!(settings.look, Duration::from_millis(500));
+    assert_eq!(settings.poll_interval, Duration::from_millis(500));
     assert_eq!(settings.entry.max_sockets, 1000);
     assert_eq!(settings.entry.bounds, entry::Bounds::default());
 }
@@ -43,10 +44,10 @@
     assert_eq!(bounds.lookup_ttl_max, Duration::from_millis(1500));
 }
 
-/// Symptom: a file with several faults is mended one at a time. Sequence: a field is missing, one is no
-/// address, one is unknown, one is out of range. Cause guarded against: an end at the first finding.
+/// Guards against a check that stops at the first finding. The file lacks a field, and has a bad address, a bad
+/// URL, an unknown field and a value out of range; all of them are reported at once.
 #[test]
-fn all_findings_come_at_once_with_their_places() {
+fn all_findings_are_reported_with_their_positions() {
     let text = MINIMAL
         .replace("region: moshi\n", "")
         .replace("127.0.0.1:7002", "here")
--- a/crates/router/tests/store.rs
+++ b/crates/router/tests/store.rs
@@ -1,4 +1,4 @@
-//! The platform's table and list as tables that can be followed.
+//! Change feeds over the platform's table and upstream list.
 
 mod support;
 
@@ -26,31 +26,33 @@
     time::Duration, //
 };
 
-/// Deadline of calls, however busy the machine.
-const AMPLE: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(10);
-/// Wait in which nothing is to come.
-const QUIET: Duration = Duration::from_millis(60);
+/// Deadline of calls and bound on waits, long enough for a busy machine.
+const LONG_WAIT: Duration = Duration::from_secs(20);
+/// Time between two polls of the platform.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Wait in which no change is expected.
+const NO_CHANGE_WAIT: Duration = Duration::from_millis(60);
 
-struct World {
+/// A stand-in platform, a client of it and the store under test.
+struct Fixture {
     addr: SocketAddr,
     platform: HttpPlatform,
     store: Store,
 }
 
-impl World {
+impl Fixture {
     fn new() -> Self {
-        let addr = support::platform();
-        let platform = || HttpPlatform::new(format!("http://{addr}"), AMPLE, AMPLE);
+        let addr = support::start_platform();
+        let platform = || HttpPlatform::new(format!("http://{addr}"), LONG_WAIT, LONG_WAIT);
         Self {
             addr,
             platform: platform(),
-            store: Store::new(platform(), LOOK),
+            store: Store::new(platform(), POLL_INTERVAL),
         }
     }
 
-    async fn put(&self, key: &str, value: &'static str) {
+    /// Writes a row of the operators' table.
+    async fn write_row(&self, key: &str, value: &'static str) {
         let write = Write::Put {
             key: format!("{}/{key}", keys::OPERATOR_TABLE).into(),
             value: value.into(),
@@ -62,7 +64,7 @@
         assert!(matches!(self.platform.commit(txn).await, Outcome::Done(_)));
     }
 
-    /// Sends a request of the stand-in's own control.
+    /// Sends a request to the stand-in's control interface.
     async fn control(&self, method: &str, path: &str, body: &str) {
         let request = format!(
             "{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
@@ -70,22 +72,25 @@
             body.len()
         );
         let addr = self.addr;
-        let answer = actix_rt::task::spawn_blocking(move || {
+        let response = actix_rt::task::spawn_blocking(move || {
             use std::io::{
                 Read as _,
                 Write as _, //
             };
             let mut stream = std::net::TcpStream::connect(addr).expect("the stand-in");
-            stream.write_all(request.as_bytes()).expect("it reads");
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).expect("an answer");
-            answer
+            stream
+                .write_all(request.as_bytes())
+                .expect("the stand-in reads");
+            let mut response = String::new();
+            stream.read_to_string(&mut response).expect("an answer");
+            response
         });
-        let answer = answer.await.expect("no panic");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = response.await.expect("no panic");
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 
-    async fn list(&self, id: &'static str, state: ListedState) {
+    /// Puts an upstream into the platform's list.
+    async fn list_upstream(&self, id: &'static str, state: ListedState) {
         let listed = ListedUpstream {
             id: id.into(),
             service: "menu".into(),
@@ -106,12 +111,12 @@
         self.control("POST", "/fault", &body).await;
     }
 
-    /// The next changes after `position`, and the position that they reach.
+    /// Waits for the next changes after `position`; returns them and the position after them.
     async fn changes(&self, table: &str, position: u64, wait: Duration) -> (Vec<FeedRow>, u64) {
         let changes = self.store.changes(table, position, wait).await;
         match changes.expect("the platform answers") {
             Changes::Rows(rows) => (rows.rows, rows.position),
-            Changes::HistoryGone => panic!("there is no history to lose"),
+            Changes::HistoryGone => panic!("the store keeps no history"),
         }
     }
 }
@@ -119,78 +124,83 @@
 const OPERATOR: &str = keys::OPERATOR_TABLE;
 
 #[actix_rt::test]
-async fn an_operators_rows_are_followed() {
-    let world = World::new();
-    world.put(keys::ROUTES_KEY, "first").await;
-    let whole = world.store.read_all(OPERATOR).await.expect("a table");
-    assert_eq!(whole.rows.len(), 1);
-    let (rows, position) = world.changes(OPERATOR, whole.position, QUIET).await;
-    assert_eq!((rows.len(), position), (0, whole.position));
-
-    world.put(keys::ROUTES_KEY, "second").await;
-    let (rows, position) = world.changes(OPERATOR, position, AMPLE).await;
+async fn operator_row_changes_are_followed() {
+    let fixture = Fixture::new();
+    fixture.write_row(keys::ROUTES_KEY, "first").await;
+    let initial = fixture.store.read_all(OPERATOR).await.expect("a table");
+    assert_eq!(initial.rows.len(), 1);
+    let (rows, position) = fixture
+        .changes(OPERATOR, initial.position, NO_CHANGE_WAIT)
+        .await;
+    assert_eq!((rows.len(), position), (0, initial.position));
+
+    fixture.write_row(keys::ROUTES_KEY, "second").await;
+    let (rows, position) = fixture.changes(OPERATOR, position, LONG_WAIT).await;
     assert_eq!(rows[0].value.as_deref(), Some(&b"second"[..]));
-    assert!(rows[0].version > whole.rows[0].version);
+    assert!(rows[0].version > initial.rows[0].version);
 
     let key = keys::evacuated_key("moshi-a");
-    world.put(&key, keys::EVACUATED).await;
-    let (rows, position) = world.changes(OPERATOR, position, AMPLE).await;
+    fixture.write_row(&key, keys::EVACUATED).await;
+    let (rows, position) = fixture.changes(OPERATOR, position, LONG_WAIT).await;
     assert!(rows.len() == 1 && rows[0].value.is_some(), "{rows:?}");
-    world.put(&key, keys::NOT_EVACUATED).await;
-    let (rows, _) = world.changes(OPERATOR, position, AMPLE).await;
+    fixture.write_row(&key, keys::NOT_EVACUATED).await;
+    let (rows, _) = fixture.changes(OPERATOR, position, LONG_WAIT).await;
     assert!(rows.len() == 1 && rows[0].value.is_none(), "{rows:?}");
 }
 
 #[actix_rt::test]
-async fn upstreams_come_change_and_go() {
-    let world = World::new();
-    world.list("m-1", ListedState::Live).await;
-    let whole = world.store.read_all("upstreams").await.expect("a list");
+async fn upstream_changes_are_followed() {
+    let fixture = Fixture::new();
+    fixture.list_upstream("m-1", ListedState::Live).await;
+    let initial = fixture.store.read_all("upstreams").await.expect("a list");
     let text =
-        String::from_utf8_lossy(whole.rows[0].value.as_deref().expect("a value")).into_owned();
+        String::from_utf8_lossy(initial.rows[0].value.as_deref().expect("a value")).into_owned();
     let upstream: picture::ListedUpstream = serde_json::from_str(&text).expect("an upstream");
     assert_eq!(upstream.cold_left, Duration::from_millis(1500));
     assert!(!upstream.leaving);
 
-    world.list("m-1", ListedState::Leaving).await;
-    let (rows, position) = world.changes("upstreams", whole.position, AMPLE).await;
+    fixture.list_upstream("m-1", ListedState::Leaving).await;
+    let (rows, position) = fixture
+        .changes("upstreams", initial.position, LONG_WAIT)
+        .await;
     assert!(String::from_utf8_lossy(rows[0].value.as_deref().expect("a value")).contains("true"));
-    assert!(rows[0].version > whole.rows[0].version, "{rows:?}");
+    assert!(rows[0].version > initial.rows[0].version, "{rows:?}");
 
-    world.control("DELETE", "/list/upstreams/m-1", "").await;
-    let (rows, _) = world.changes("upstreams", position, AMPLE).await;
+    fixture.control("DELETE", "/list/upstreams/m-1", "").await;
+    let (rows, _) = fixture.changes("upstreams", position, LONG_WAIT).await;
     assert!(rows.len() == 1 && rows[0].value.is_none(), "{rows:?}");
 }
 
-/// Symptom: an upstream that leaves gets work again. Sequence: it is listed as leaving; then the platform
-/// answers with the list of a moment before. Cause guarded against: taking a list by when it came.
+/// Guards against ordering lists by their arrival. A platform that lags may return an older list; if that
+/// replaced a newer one, an upstream that is leaving would get requests again.
 #[actix_rt::test]
 async fn an_older_list_changes_nothing() {
-    let world = World::new();
-    world.list("m-1", ListedState::Live).await;
-    let whole = world.store.read_all("upstreams").await.expect("a list");
-    world.list("m-1", ListedState::Leaving).await;
-    let (rows, position) = world.changes("upstreams", whole.position, AMPLE).await;
+    let fixture = Fixture::new();
+    fixture.list_upstream("m-1", ListedState::Live).await;
+    let initial = fixture.store.read_all("upstreams").await.expect("a list");
+    fixture.list_upstream("m-1", ListedState::Leaving).await;
+    let (rows, position) = fixture
+        .changes("upstreams", initial.position, LONG_WAIT)
+        .await;
     assert_eq!(rows.len(), 1);
-    world.list("m-1", ListedState::Live).await;
-    let older = position + 1_000_000;
-    let (rows, reached) = world.changes("upstreams", older, QUIET).await;
+    fixture.list_upstream("m-1", ListedState::Live).await;
+    let later = position + 1_000_000;
+    let (rows, end_position) = fixture.changes("upstreams", later, NO_CHANGE_WAIT).await;
     assert!(rows.is_empty(), "{rows:?}");
-    assert_eq!(reached, older);
+    assert_eq!(end_position, later);
 }
 
-/// Each outage is an error of the read, never an empty table: that would end all evacuations and close
-/// all upstreams.
+/// An outage must be an error of the read. An empty table would end all evacuations and close all upstreams.
 #[actix_rt::test]
-async fn an_outage_is_no_empty_table() {
-    let world = World::new();
-    world.put(keys::ROUTES_KEY, "first").await;
-    world.list("m-1", ListedState::Live).await;
+async fn an_outage_is_not_an_empty_table() {
+    let fixture = Fixture::new();
+    fixture.write_row(keys::ROUTES_KEY, "first").await;
+    fixture.list_upstream("m-1", ListedState::Live).await;
     let down = Some(Fault {
         kind: Kind::Down,
         ..Fault::default()
     });
-    world
+    fixture
         .set_faults(Faults {
             table: down,
             list: down,
@@ -198,7 +208,11 @@
         })
         .await;
     for table in [OPERATOR, "upstreams"] {
-        assert!(world.store.read_all(table).await.is_err());
-        assert!(world.store.changes(table, 0, QUIET).await.is_err());
+        assert!(fixture.store.read_all(table).await.is_err());
+        assert!(fixture
+            .store
+            .changes(table, 0, NO_CHANGE_WAIT)
+            .await
+            .is_err());
     }
 }
--- a/crates/router/tests/system.rs
+++ b/crates/router/tests/system.rs
@@ -1,4 +1,4 @@
-//! The whole path with the real program: a stand-in platform, two upstreams, one `jasmine-router`.
+//! The real `jasmine-router` with a stand-in platform and two upstreams.
 
 mod support;
 
@@ -13,90 +13,93 @@
     exchange,
     status,
     System,
-    LOOK,
+    POLL_INTERVAL,
     ROUTES, //
 };
 
-/// Upstreams that answer at once.
-const QUICK: &str = "slots=4,service_ms=5";
+/// Specification of upstreams that respond at once.
+const FAST_UPSTREAMS: &str = "slots=4,service_ms=5";
 
 #[test]
 fn routes_and_evacuations_of_the_table_are_in_force() {
-    let system = System::start("whole-path", QUICK);
-    let not_ready = "GET /v1/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    eventually("it runs without routes", || {
-        let answer = exchange(system.ready, not_ready)?;
-        (status(&answer) == Some(503)).then_some(())
+    let system = System::start("whole-path", FAST_UPSTREAMS);
+    let readiness = "GET /v1/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    eventually("the entry runs without routes", || {
+        let response = exchange(system.ready_addr, readiness)?;
+        (status(&response) == Some(503)).then_some(())
     });
-    // Without routes nothing is known to be missing.
-    assert_eq!(system.ask("1").map(|(status, _)| status), Some(503));
+    // Without routes, the entry can't know that a route is missing, so the status is not 404.
+    assert_eq!(
+        system.send_request("1").map(|(status, _)| status),
+        Some(503)
+    );
 
-    system.put(keys::ROUTES_KEY, ROUTES);
+    system.write_row(keys::ROUTES_KEY, ROUTES);
     system.wait_served_by(&["m-a", "m-b"]);
 
     let evacuated = keys::evacuated_key("moshi-a");
-    system.put(&evacuated, keys::EVACUATED);
+    system.write_row(&evacuated, keys::EVACUATED);
     system.wait_served_by(&["m-b"]);
-    system.put(&evacuated, keys::NOT_EVACUATED);
+    system.write_row(&evacuated, keys::NOT_EVACUATED);
     system.wait_served_by(&["m-a", "m-b"]);
 
-    // A version with findings leaves the one before in force.
-    system.put(keys::ROUTES_KEY, "version: 2\n");
-    thread::sleep(LOOK * 10);
+    // A version with findings is not applied; the previous one stays in force.
+    system.write_row(keys::ROUTES_KEY, "version: 2\n");
+    thread::sleep(POLL_INTERVAL * 10);
     system.wait_served_by(&["m-a", "m-b"]);
     assert!(system
         .upstreams
         .iter()
-        .all(|u| !u.record().entries.is_empty()));
+        .all(|upstream| !upstream.record().entries.is_empty()));
 }
 
 #[test]
-fn checked_settings_are_said_to_be_good() {
-    let system = System::start("check", QUICK);
-    let checked = Command::new(env!("CARGO_BIN_EXE_jasmine-router"))
+fn settings_are_checked() {
+    let system = System::start("check", FAST_UPSTREAMS);
+    let output = Command::new(env!("CARGO_BIN_EXE_jasmine-router"))
         .arg(&system.settings)
         .arg("--check-settings")
         .output()
-        .expect("it runs");
-    assert!(checked.status.success(), "{checked:?}");
+        .expect("the program runs");
+    assert!(output.status.success(), "{output:?}");
     fs::write(&system.settings, "instance: [\n").expect("writable");
-    let checked = Command::new(env!("CARGO_BIN_EXE_jasmine-router"))
+    let output = Command::new(env!("CARGO_BIN_EXE_jasmine-router"))
         .arg(&system.settings)
         .output()
-        .expect("it runs");
-    assert_eq!(checked.status.code(), Some(2), "{checked:?}");
+        .expect("the program runs");
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
     assert!(
-        String::from_utf8_lossy(&checked.stderr).contains(".yaml:"),
-        "{checked:?}"
+        String::from_utf8_lossy(&output.stderr).contains(".yaml:"),
+        "{output:?}"
     );
 }
 
-/// Every metric that is served is in the table that the page is made from, and says what it is.
+/// Each served metric is in the table from which the metrics page is made, and has its help text.
 #[test]
 fn served_metrics_are_declared() {
-    let system = System::start("metrics", QUICK);
-    system.put(keys::ROUTES_KEY, ROUTES);
+    let system = System::start("metrics", FAST_UPSTREAMS);
+    system.write_row(keys::ROUTES_KEY, ROUTES);
     system.wait_served_by(&["m-a", "m-b"]);
-    let ask = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-    let page = exchange(system.metrics, ask).expect("a page");
+    let request = "GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+    let page = exchange(system.metrics_addr, request).expect("a page");
     let (_, page) = page.split_once("\r\n\r\n").expect("a body");
-    let served = page
+    let samples = page
         .lines()
         .filter(|line| !line.is_empty() && !line.starts_with('#'));
-    let mut seen = 0;
-    for line in served {
+    let mut metric_count = 0;
+    for line in samples {
         let name = line.split(['{', ' ']).next().expect("a name");
-        let ends = ["_bucket", "_sum", "_count"];
-        let base = ends.iter().find_map(|end| name.strip_suffix(end));
+        let suffixes = ["_bucket", "_sum", "_count"];
+        let base_name = suffixes.iter().find_map(|suffix| name.strip_suffix(suffix));
         let declared = entry::METRICS
             .iter()
-            .find(|metric| metric.name == name || Some(metric.name) == base);
-        let declared = declared.unwrap_or_else(|| panic!("{name} is in no table"));
+            .find(|metric| metric.name == name || Some(metric.name) == base_name);
+        let declared = declared.unwrap_or_else(|| panic!("{name} is not declared"));
         let help = format!("# HELP {} {}", declared.name, declared.help);
         assert!(page.contains(&help), "{help} in {page}");
-        seen += 1;
+        metric_count += 1;
     }
-    assert!(seen > 10, "{page}");
+    assert!(metric_count > 10, "{page}");
     let bucket = "jasmine_entry_request_seconds_bucket{outcome=\"answered\",le=\"0.5\"}";
     assert!(page.contains(bucket), "{page}");
 }
