--- a/crates/ctl/examples/spread.rs
+++ b/crates/ctl/examples/spread.rs
@@ -1,8 +1,8 @@
 //! Measures how long an accepted version takes to be in force at every daemon.
 //!
-//! `cargo run -p ctl --example spread -- [ENTRIES_PER_REGION [SLOW_MS]]`, after `cargo build -p
-//! daemon -p standin`: three regions on loopback with 5 ms between them, the terms at their
-//! defaults, each call of the platform `SLOW_MS` slower than else.
+//! Run `cargo run -p ctl --example spread -- [ENTRIES_PER_REGION [SLOW_MS]]` after `cargo build -p
+//! daemon -p standin`. The rig has three regions on loopback with 5 ms between them and the default
+//! terms; each platform call is delayed by `SLOW_MS`.
 
 use rig::{
     Layout,
@@ -18,10 +18,10 @@
     },
 };
 
-/// Accepts that are measured.
+/// Number of accepts that are measured.
 const ROUNDS: u64 = 10;
-/// Longest wait for a version to be in force.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout for a version to be in force at every daemon.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn main() {
     let arg = |index: usize, default: u64| {
@@ -52,18 +52,18 @@
             "accept_id": format!("round-{round}"), "author": "spread",
             "base_version": round + 1, "text": text,
         });
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let reply = rig.operator("arusha-0", "/op/v1/accept", Some(&body));
         assert_eq!(reply.status, 200, "{}", reply.body);
-        let accepted = Instant::now();
+        let accepted_at = Instant::now();
         while !rig.daemons.keys().all(|id| version(&rig, id) == round + 2) {
-            assert!(accepted.elapsed() < LIMIT, "not in force everywhere");
+            assert!(accepted_at.elapsed() < TIMEOUT, "not in force everywhere");
             thread::sleep(Duration::from_millis(5));
         }
         println!(
             "{round:>5}  {:>9}  {:>28}",
-            (accepted - sent).as_millis(),
-            accepted.elapsed().as_millis()
+            (accepted_at - sent_at).as_millis(),
+            accepted_at.elapsed().as_millis()
         );
         thread::sleep(Duration::from_millis(500));
     }
--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use base::{
     ClassId,
@@ -27,10 +27,10 @@
     pub(crate) command: Command,
 }
 
-/// Options of every command.
+/// Options that every command accepts.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct Global {
-    /// Operators' address of a daemon, HOST:PORT; of several, the first that answers is used.
+    /// Operator address of a daemon, HOST:PORT; of several, the first that responds is used.
     #[arg(
         long,
         global = true,
@@ -39,39 +39,39 @@
         value_parser = op::read_addr
     )]
     pub(crate) daemon: Vec<String>,
-    /// File that holds the operators' key; without it, the variable JASMINE_KEY does.
+    /// File with the operators' key; by default, the key is read from the variable JASMINE_KEY.
     #[arg(long, global = true, env = "JASMINE_KEY_FILE")]
     pub(crate) key_file: Option<PathBuf>,
-    /// Form of the results.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     pub(crate) output: Format,
-    /// Operator who is named as author; without it, the variable USER.
+    /// Author recorded with a change; defaults to the variable USER.
     #[arg(long, global = true, env = "JASMINE_AUTHOR")]
     pub(crate) author: Option<String>,
-    /// Longest wait for one daemon's answer, in seconds.
+    /// Timeout of a request to one daemon, in seconds.
     #[arg(long, global = true, default_value_t = 30)]
     pub(crate) request_timeout_s: u64,
 }
 
-/// Form of the results.
+/// Output format.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Options of every command that changes something.
+/// Options of the commands that change the configuration.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct ChangeArgs {
-    /// Name of the accept, to repeat one whose outcome is unknown.
+    /// Id of the accept; repeat a command whose outcome is unknown with the same id.
     #[arg(long, value_name = "ID")]
     pub(crate) accept_id: Option<String>,
     /// Wait until every live instance has the version in force.
     #[arg(long)]
     pub(crate) wait: bool,
-    /// Longest wait for that, in seconds.
+    /// Timeout of --wait, in seconds.
     #[arg(long, default_value_t = 60, value_name = "SECONDS")]
     pub(crate) timeout_s: u64,
 }
@@ -86,24 +86,24 @@
         #[arg(long)]
         blocks: Option<PathBuf>,
     },
-    /// Check routes by host and path prefix, without a daemon.
+    /// Check host and path-prefix routes, without a daemon.
     CheckRoutes {
         /// Routes in YAML.
         file: PathBuf,
     },
-    /// Routes by host and path prefix in the platform's table, without a daemon.
+    /// Manage host and path-prefix routes in the platform's table, without a daemon.
     #[command(subcommand)]
     Routes(RoutesCommand),
-    /// Tell from logs alone what became of a request that was routed by host and path, and why.
+    /// Explain from logs alone how a request routed by host and path ended, and why.
     Explain(ExplainArgs),
-    /// Make a configuration the one in force.
+    /// Put a configuration in force.
     Accept(AcceptArgs),
-    /// Show a daemon's picture of the system.
+    /// Show a daemon's view of the system.
     Status {
-        /// Show it again and again.
+        /// Refresh the status until interrupted.
         #[arg(long)]
         watch: bool,
-        /// Time between two looks, in seconds.
+        /// Refresh interval, in seconds.
         #[arg(long, default_value_t = 1, value_name = "SECONDS")]
         interval_s: u64,
     },
@@ -111,28 +111,28 @@
     History {
         /// Version to show.
         version: Option<Version>,
-        /// Most versions to list.
+        /// Maximum number of versions to list.
         #[arg(long, default_value_t = 20)]
         limit: u64,
     },
-    /// Show what differs between two configurations, each a file or the number of a version.
+    /// Show the differences between two configurations, each a file or a version number.
     Diff {
-        /// Earlier side.
+        /// Earlier configuration.
         before: String,
-        /// Later side; without it, BEFORE is the later one and the version in force the earlier.
+        /// Later configuration; without it, the version in force is compared with BEFORE.
         after: Option<String>,
     },
-    /// Start, stop or watch drains.
+    /// Start, stop or show drains.
     #[command(subcommand)]
     Drain(DrainCommand),
-    /// Show or revise the targets of classes.
+    /// Show or change the targets of classes.
     #[command(subcommand)]
     Target(TargetCommand),
     /// Show a daemon's capacity shares.
     Shares,
     /// List the instances that a daemon knows.
     Instances,
-    /// Print completions for a shell.
+    /// Print a shell completion script.
     Completions {
         /// Shell.
         shell: Shell,
@@ -141,9 +141,9 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum RoutesCommand {
-    /// Make routes the ones in force.
+    /// Put routes in force.
     Accept {
-        /// Routes in YAML, of a higher version than those in force.
+        /// Routes in YAML, with a higher version than the routes in force.
         file: PathBuf,
         #[command(flatten)]
         platform: PlatformArgs,
@@ -153,14 +153,14 @@
         #[command(flatten)]
         platform: PlatformArgs,
     },
-    /// Let no new request go to the upstreams of a failure domain.
+    /// Stop sending new requests to the upstreams of a failure domain.
     Evacuate {
         /// Failure domain.
         domain: String,
         #[command(flatten)]
         platform: PlatformArgs,
     },
-    /// Let requests go to the upstreams of a failure domain again.
+    /// Resume sending requests to the upstreams of a failure domain.
     Restore {
         /// Failure domain.
         domain: String,
@@ -171,18 +171,18 @@
 
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct ExplainArgs {
-    /// Id of the request; without it, all failures are counted by cause.
+    /// Id of the request; without it, counts all failures by cause.
     #[arg(long)]
     pub(crate) id: Option<String>,
-    /// Count all requests by route, failure domain, way to the upstream, cause and second.
+    /// Count all requests by route, failure domain, network path to the upstream, cause and second.
     #[arg(long, conflicts_with = "id")]
     pub(crate) summary: bool,
-    /// Logs of any number of processes; `-` is standard input.
+    /// Log files of any number of processes; `-` is standard input.
     #[arg(required = true)]
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// The platform, for commands that need no daemon.
+/// Options of the commands that access the platform directly.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct PlatformArgs {
     /// Base URL of the platform's table, http://IP:PORT.
@@ -194,10 +194,10 @@
 pub(crate) struct AcceptArgs {
     /// Configuration in YAML.
     pub(crate) file: PathBuf,
-    /// Block table, or a difference to the one in force; without it, the table stays.
+    /// Block table, or a difference to the one in force; by default, the table is unchanged.
     #[arg(long)]
     pub(crate) blocks: Option<PathBuf>,
-    /// Version that FILE was made from; without it, the one in force now.
+    /// Version that FILE is based on; defaults to the version in force.
     #[arg(long, value_name = "VERSION")]
     pub(crate) base: Option<Version>,
     #[command(flatten)]
@@ -206,11 +206,11 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum DrainCommand {
-    /// Let no new work go to a target.
+    /// Stop sending new work to a target.
     Start(DrainArgs),
-    /// Let new work go to a target again.
+    /// Resume sending new work to a target.
     Stop(DrainArgs),
-    /// Show the drains in force, with what is in flight there at all instances.
+    /// Show the drains in force, with the requests in flight at their targets over all instances.
     Status,
 }
 
@@ -229,50 +229,52 @@
         /// Class; without it, all.
         class: Option<String>,
     },
-    /// Revise targets of a class; what is not named stays.
+    /// Change targets of a class; targets that are not given stay unchanged.
     Set(TargetArgs),
 }
 
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct TargetArgs {
     /// Class.
-    #[arg(value_parser = class)]
+    #[arg(value_parser = parse_class)]
     pub(crate) class: ClassId,
-    /// Latency that all but few requests should stay below, in milliseconds.
+    /// Latency that nearly all requests should stay below, in milliseconds.
     #[arg(long)]
     pub(crate) latency_ms: Option<u64>,
-    /// Part of a region's slots that the class leaves free, in percent.
+    /// Percentage of a region's slots that the class leaves free.
     #[arg(long)]
     pub(crate) headroom_pct: Option<u8>,
-    /// Time after which a caller is answered for good, in milliseconds.
+    /// Time within which a caller gets a final response, in milliseconds.
     #[arg(long)]
     pub(crate) deadline_ms: Option<u64>,
-    /// Rank when work must be refused; 0 is refused last.
+    /// Priority under overload; 0 is refused last.
     #[arg(long)]
     pub(crate) priority: Option<u8>,
-    /// Requests that should be answered whole and in time, in percent.
-    #[arg(long, value_parser = percent)]
+    /// Percentage of requests that should get a complete response in time.
+    #[arg(long, value_parser = parse_percentage)]
     pub(crate) success_pct: Option<Ppm>,
     #[command(flatten)]
     pub(crate) change: ChangeArgs,
 }
 
-/// Parts per million.
+/// Ratio in parts per million.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Ppm(pub(crate) u32);
 
-fn class(text: &str) -> Result<ClassId, std::convert::Infallible> {
+fn parse_class(text: &str) -> Result<ClassId, std::convert::Infallible> {
     Ok(text.into())
 }
 
 /// Reads a percentage such as 99.95 as parts per million.
-fn percent(text: &str) -> Result<Ppm, String> {
-    let wrong = || "not a percentage of at most four decimals, such as 99.95".to_owned();
+fn parse_percentage(text: &str) -> Result<Ppm, String> {
+    let invalid = || "not a percentage of at most four decimals, such as 99.95".to_owned();
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     if !digits(whole) || !digits(part) || part.len() > 4 {
-        return Err(wrong());
+        return Err(invalid());
     }
-    let ppm = format!("{whole}{part:0<4}").parse().map_err(|_| wrong())?;
+    let ppm = format!("{whole}{part:0<4}")
+        .parse()
+        .map_err(|_| invalid())?;
     Ok(Ppm(ppm))
 }
--- a/crates/ctl/src/command/accept.rs
+++ b/crates/ctl/src/command/accept.rs
@@ -1,10 +1,10 @@
-//! `accept`: makes a file the configuration in force.
+//! `accept`: puts a configuration file in force.
 
 use crate::{
     args::AcceptArgs,
     command::change::{
-        quoted,
-        Pending, //
+        shell_quote,
+        PendingChange, //
     },
     context::{
         read_blocks,
@@ -24,7 +24,7 @@
 };
 use std::path::Path;
 
-/// Checks the files, then asks for them to be accepted on their base.
+/// Checks the files, then requests their accept on the base version.
 pub(super) async fn run(context: &Context, args: &AcceptArgs) -> Result<Output, Failure> {
     let (text, _) = read_config(&args.file)?;
     let blocks = args.blocks.as_deref().map(read_blocks).transpose()?;
@@ -33,7 +33,7 @@
         None => version_in_force(context).await?,
     };
     let command = command_line(args, base);
-    let pending = Pending::new(context, &args.change, command);
+    let pending = PendingChange::new(context, &args.change, command);
     let request = AcceptRequest {
         accept_id: pending.accept_id.clone(),
         author: context.author(),
@@ -41,11 +41,11 @@
         text,
         blocks,
     };
-    let what = format!("{} on version {base}", args.file.display());
-    pending.run(&request, &what).await
+    let subject = format!("{} on version {base}", args.file.display());
+    pending.run(&request, &subject).await
 }
 
-/// Version in force; zero before the first.
+/// Version in force; zero if none was accepted yet.
 async fn version_in_force(context: &Context) -> Result<Version, Failure> {
     match context.client.get::<ConfigAnswer>("/op/v1/config").await {
         Ok(answer) => Ok(answer.head.version),
@@ -57,13 +57,13 @@
     }
 }
 
-/// Command that repeats this one on the same base: a repeat on a newer one could undo a
-/// colleague's change that came in between.
+/// Command that repeats this one on the same base: a repeat on a newer version could undo another
+/// operator's change that was accepted in between.
 fn command_line(args: &AcceptArgs, base: Version) -> String {
-    let word = |path: &Path| quoted(&path.display().to_string());
-    let mut line = format!("accept {} --base {base}", word(&args.file));
+    let quoted_path = |path: &Path| shell_quote(&path.display().to_string());
+    let mut line = format!("accept {} --base {base}", quoted_path(&args.file));
     if let Some(blocks) = &args.blocks {
-        line += &format!(" --blocks {}", word(blocks));
+        line += &format!(" --blocks {}", quoted_path(blocks));
     }
     line
 }
--- a/crates/ctl/src/command/change.rs
+++ b/crates/ctl/src/command/change.rs
@@ -1,10 +1,10 @@
-//! What commands that change something share: the accept id, the outcome, the wait.
+//! Requests for changes: the accept id, the outcome and the wait for confirmations.
 
 use crate::{
     args::ChangeArgs,
     context::Context,
     outcome::{
-        tell,
+        print_stderr,
         Failure,
         Output, //
     },
@@ -26,19 +26,19 @@
     Instant, //
 };
 
-/// Time between two questions for confirmations.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval between two queries for confirmations.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change on its way: how it is named, and how to repeat it.
-pub(super) struct Pending<'a> {
+/// Change to be requested: its accept id, and the command line that repeats it.
+pub(super) struct PendingChange<'a> {
     context: &'a Context,
     args: &'a ChangeArgs,
     pub(super) accept_id: String,
-    /// Command line that repeats it, but for the accept id and the options of all changes.
+    /// Command line that repeats the change, without global options and those of [`ChangeArgs`].
     command: String,
 }
 
-/// What a change came to.
+/// Outcome of a change, as JSON output.
 #[derive(Serialize)]
 struct Report<'a> {
     accept_id: &'a str,
@@ -48,32 +48,32 @@
     confirmation: Option<&'a Confirmation>,
 }
 
-impl<'a> Pending<'a> {
-    /// Change that `command` would ask for again.
+impl<'a> PendingChange<'a> {
+    /// Change that `command` would request again; draws an accept id unless one is given.
     pub(super) fn new(context: &'a Context, args: &'a ChangeArgs, command: String) -> Self {
-        let random = || format!("{:032x}", rand::random::<u128>());
+        let random_id = || format!("{:032x}", rand::random::<u128>());
         Self {
             context,
             args,
-            accept_id: args.accept_id.clone().unwrap_or_else(random),
+            accept_id: args.accept_id.clone().unwrap_or_else(random_id),
             command,
         }
     }
 
-    /// Asks for the change, waits if it is to, and tells what came of it.
-    pub(super) async fn run(&self, change: &impl Change, what: &str) -> Result<Output, Failure> {
-        tell(&format!("{what}, accept id {}", self.accept_id));
+    /// Requests the change, waits for confirmations if `--wait` is given, and reports the outcome.
+    pub(super) async fn run(&self, change: &impl Change, subject: &str) -> Result<Output, Failure> {
+        print_stderr(&format!("{subject}, accept id {}", self.accept_id));
         let accepted = match self.context.client.change(change).await {
             Ok(accepted) => accepted,
             Err(failure @ op::Failure::Unknown { .. }) => {
                 return Err(Failure::Unknown {
                     message: failure.to_string(),
-                    next: self.again(),
+                    next: self.repeat_command(),
                 });
             }
             Err(failure) => return Err(failure.into()),
         };
-        let mut text = describe(&accepted, what);
+        let mut text = describe(&accepted, subject);
         let confirmation = if self.args.wait {
             Some(self.wait(accepted.version, &text).await?)
         } else {
@@ -83,8 +83,8 @@
             let count = confirmation.confirmed.len();
             text += &format!("\nin force at all {count} live instances");
             if !confirmation.lapsed.is_empty() {
-                let gone = names(&confirmation.lapsed);
-                text += &format!("; not waited for, their lease has lapsed: {gone}");
+                let lapsed = join_ids(&confirmation.lapsed);
+                text += &format!("; not waited for, their lease has lapsed: {lapsed}");
             }
         }
         let report = Report {
@@ -95,49 +95,55 @@
         Ok(Output::new(text, &report))
     }
 
-    /// Waits until every live instance has the version in force.
+    /// Waits until every live instance has confirmed the version.
     async fn wait(&self, version: Version, accepted: &str) -> Result<Confirmation, Failure> {
-        let end = Instant::now() + Duration::from_secs(self.args.timeout_s);
+        let deadline = Instant::now() + Duration::from_secs(self.args.timeout_s);
         let path = format!("/op/v1/confirmed?version={version}");
-        let mut shown = String::new();
+        let mut last_progress = String::new();
         loop {
-            let asked = self.context.client.get::<Confirmation>(&path).await;
-            let progress = match &asked {
+            let response = self.context.client.get::<Confirmation>(&path).await;
+            let progress = match &response {
                 Ok(confirmation) if confirmation.missing.is_empty() => {
-                    return asked.map_err(Failure::from)
+                    return response.map_err(Failure::from)
                 }
-                Ok(confirmation) => progress(confirmation),
+                Ok(confirmation) => describe_progress(confirmation),
                 Err(failure) => failure.to_string(),
             };
-            if progress != shown {
-                tell(&progress);
-                shown = progress;
+            if progress != last_progress {
+                print_stderr(&progress);
+                last_progress = progress;
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(Failure::Unknown {
-                    message: format!("{accepted}\nnot in force everywhere in time: {shown}"),
-                    next: self.again(),
+                    message: format!(
+                        "{accepted}\nnot in force everywhere in time: {last_progress}"
+                    ),
+                    next: self.repeat_command(),
                 });
             }
-            actix_rt::time::sleep(POLL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Command line that repeats the change safely.
-    fn again(&self) -> String {
+    /// Command line that repeats the change under the same accept id.
+    fn repeat_command(&self) -> String {
         let global = &self.context.global;
         let mut line = String::from("jasminectl");
         for daemon in &global.daemon {
-            line += &format!(" --daemon {}", quoted(daemon));
+            line += &format!(" --daemon {}", shell_quote(daemon));
         }
         if let Some(file) = &global.key_file {
-            line += &format!(" --key-file {}", quoted(&file.display().to_string()));
+            line += &format!(" --key-file {}", shell_quote(&file.display().to_string()));
         }
-        // A repeat may be the one that is accepted, and then its author is the one that is kept.
+        // If the repeat is the request that is accepted, its author is recorded.
         if let Some(author) = &global.author {
-            line += &format!(" --author {}", quoted(author));
+            line += &format!(" --author {}", shell_quote(author));
         }
-        line += &format!(" {} --accept-id {}", self.command, quoted(&self.accept_id));
+        line += &format!(
+            " {} --accept-id {}",
+            self.command,
+            shell_quote(&self.accept_id)
+        );
         if self.args.wait {
             line += &format!(" --wait --timeout-s {}", self.args.timeout_s);
         }
@@ -145,15 +151,15 @@
     }
 }
 
-fn describe(accepted: &Accepted, what: &str) -> String {
+fn describe(accepted: &Accepted, subject: &str) -> String {
     let version = accepted.version;
     let mut text = match accepted.how {
-        AcceptedHow::New => format!("{what}: accepted as version {version}"),
+        AcceptedHow::New => format!("{subject}: accepted as version {version}"),
         AcceptedHow::Repeated => {
-            format!("{what}: was accepted already by an earlier request, as version {version}")
+            format!("{subject}: was accepted already by an earlier request, as version {version}")
         }
         AcceptedHow::Unchanged => {
-            format!("{what}: nothing to change, it is so in version {version}")
+            format!("{subject}: nothing to change, it is so in version {version}")
         }
     };
     for step in &accepted.difference {
@@ -162,23 +168,27 @@
     text
 }
 
-fn progress(confirmation: &Confirmation) -> String {
+fn describe_progress(confirmation: &Confirmation) -> String {
     let confirmed = confirmation.confirmed.len();
-    let all = confirmed + confirmation.missing.len();
-    let missing: Vec<String> = confirmation.missing.iter().map(name_missing).collect();
+    let total = confirmed + confirmation.missing.len();
+    let missing: Vec<String> = confirmation
+        .missing
+        .iter()
+        .map(describe_unconfirmed)
+        .collect();
     format!(
-        "version {} confirmed by {confirmed} of {all}, missing: {}",
+        "version {} confirmed by {confirmed} of {total}, missing: {}",
         confirmation.version,
         missing.join(", ")
     )
 }
 
-fn name_missing(missing: &Unconfirmed) -> String {
+fn describe_unconfirmed(missing: &Unconfirmed) -> String {
     let Unconfirmed {
         instance, version, ..
     } = missing;
     match missing.age_ms {
-        // Shown in whole seconds, so that the line changes only when something does.
+        // Whole seconds: a changed line is printed, and milliseconds would change at every poll.
         Some(age_ms) if age_ms >= 1000 => {
             format!(
                 "{instance} (version {version}, heard {} s ago)",
@@ -190,13 +200,13 @@
     }
 }
 
-fn names(instances: &[InstanceId]) -> String {
+fn join_ids(instances: &[InstanceId]) -> String {
     let names: Vec<&str> = instances.iter().map(|id| &**id).collect();
     names.join(", ")
 }
 
-/// A word as a shell reads it.
-pub(super) fn quoted(word: &str) -> String {
+/// Quotes a word for a shell if it contains special characters.
+pub(super) fn shell_quote(word: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_./:=@,".contains(c);
     if !word.is_empty() && word.chars().all(is_plain) {
         return word.to_owned();
--- a/crates/ctl/src/command/check.rs
+++ b/crates/ctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check` and `check-routes`: read a configuration or routes as a daemon would, without one.
+//! `check` and `check-routes`: check a configuration or routes as a daemon would, without a daemon.
 
 use crate::{
     context::{
@@ -14,7 +14,7 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Checks both files, and gives the findings of both at once.
+/// Checks the configuration and the blocks, and reports the findings of both together.
 pub(super) fn run(file: &Path, blocks: Option<&Path>) -> Result<Output, Failure> {
     let config = read_config(file);
     let blocks = blocks.map(read_blocks).transpose();
@@ -44,7 +44,7 @@
     ))
 }
 
-/// Checks routes.
+/// Checks a routes file.
 pub(super) fn run_routes(file: &Path) -> Result<Output, Failure> {
     let (routes, _) = read_routes(file)?;
     let count: usize = routes.hosts.iter().map(|host| host.routes.len()).sum();
--- a/crates/ctl/src/command/diff.rs
+++ b/crates/ctl/src/command/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: what differs between two configurations.
+//! `diff`: shows the differences between two configurations.
 
 use crate::{
     args::Global,
@@ -19,11 +19,11 @@
 };
 use std::path::Path;
 
-/// One of the two.
+/// One of the two configurations.
 struct Side {
     name: String,
     config: Config,
-    /// Block object; a file says nothing of blocks.
+    /// Digest of a version's block table, if it has one; the outer `None` marks a file.
     blocks: Option<Option<Digest>>,
 }
 
@@ -34,27 +34,33 @@
     after: Option<&str>,
 ) -> Result<Output, Failure> {
     let (before, after) = match after {
-        Some(after) => (side(&global, before).await?, side(&global, after).await?),
-        None => (in_force(&global).await?, side(&global, before).await?),
+        Some(after) => (
+            load_side(&global, before).await?,
+            load_side(&global, after).await?,
+        ),
+        None => (
+            fetch_in_force(&global).await?,
+            load_side(&global, before).await?,
+        ),
     };
     let changes = spec::diff(&before.config, &after.config);
-    let mut steps: Vec<String> = changes.iter().map(ToString::to_string).collect();
+    let mut differences: Vec<String> = changes.iter().map(ToString::to_string).collect();
     let blocks = before.blocks.zip(after.blocks);
     if blocks.is_some_and(|(before, after)| before != after) {
-        steps.push("~ block table".to_owned());
+        differences.push("~ block table".to_owned());
     }
     let (from, to) = (&before.name, &after.name);
-    let text = if steps.is_empty() {
+    let text = if differences.is_empty() {
         format!("{from} and {to} do not differ")
     } else {
-        format!("{from} -> {to}\n  {}", steps.join("\n  "))
+        format!("{from} -> {to}\n  {}", differences.join("\n  "))
     };
-    let json = json!({"before": from, "after": to, "difference": steps});
+    let json = json!({"before": from, "after": to, "difference": differences});
     Ok(Output::new(text, &json))
 }
 
-/// Side by its name on the command line: a number is a version, all else a file.
-async fn side(global: &Global, name: &str) -> Result<Side, Failure> {
+/// Loads a side by its command-line argument: a number is a version, anything else a file.
+async fn load_side(global: &Global, name: &str) -> Result<Side, Failure> {
     let is_version = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_digit());
     if !is_version {
         let (_, config) = read_config(Path::new(name))?;
@@ -67,19 +73,19 @@
     fetch(global, &format!("/op/v1/config/{name}")).await
 }
 
-async fn in_force(global: &Global) -> Result<Side, Failure> {
+async fn fetch_in_force(global: &Global) -> Result<Side, Failure> {
     fetch(global, "/op/v1/config").await
 }
 
 async fn fetch(global: &Global, path: &str) -> Result<Side, Failure> {
     let context = Context::new(global.clone())?;
-    let answer: ConfigAnswer = context.client.get(path).await?;
-    let name = format!("version {}", answer.head.version);
-    let config = spec::parse(&name, &answer.text);
+    let response: ConfigAnswer = context.client.get(path).await?;
+    let name = format!("version {}", response.head.version);
+    let config = spec::parse(&name, &response.text);
     Ok(Side {
-        // The daemon's text is canonical; only another release's could be unreadable here.
+        // The daemon's text is canonical; only that of another release may fail to parse.
         config: config.map_err(|findings| Failure::Refused(findings.to_string()))?,
         name,
-        blocks: Some(answer.blocks),
+        blocks: Some(response.blocks),
     })
 }
--- a/crates/ctl/src/command/drain.rs
+++ b/crates/ctl/src/command/drain.rs
@@ -3,8 +3,8 @@
 use crate::{
     args::DrainArgs,
     command::change::{
-        quoted,
-        Pending, //
+        shell_quote,
+        PendingChange, //
     },
     context::Context,
     outcome::{
@@ -38,26 +38,26 @@
         DrainAction::Stop => "stop",
     };
     let target = args.target.to_string();
-    let command = format!("drain {verb} {}", quoted(&target));
-    let pending = Pending::new(context, &args.change, command);
+    let command = format!("drain {verb} {}", shell_quote(&target));
+    let pending = PendingChange::new(context, &args.change, command);
     let request = DrainRequest {
         accept_id: pending.accept_id.clone(),
         author: context.author(),
         action,
         target: args.target.clone(),
     };
-    let what = format!("{verb} of the drain of {target}");
-    pending.run(&request, &what).await
+    let subject = format!("{verb} of the drain of {target}");
+    pending.run(&request, &subject).await
 }
 
-/// A drain as all instances together see it.
+/// Work left under a drain, added up over all instances.
 #[derive(Default, Serialize)]
-struct Total {
+struct DrainTotal {
     /// Requests in flight by upstream.
     upstreams: BTreeMap<UpstreamId, u32>,
     /// Unfinished requests by drained instance.
     instances: BTreeMap<InstanceId, u64>,
-    /// Instances that don't have the drain in force.
+    /// Instances that do not have the drain in force.
     not_in_force_at: Vec<InstanceId>,
 }
 
@@ -65,40 +65,43 @@
 struct Row {
     target: DrainTarget,
     #[serde(flatten)]
-    total: Total,
+    total: DrainTotal,
 }
 
 #[derive(Serialize)]
 struct Report {
     drains: Vec<Row>,
-    /// Daemons that did not answer: what is in flight from them is not known.
+    /// Daemons that did not answer; their requests in flight are unknown.
     not_answered: Vec<String>,
 }
 
-/// Shows each drain with what is in flight there, added up over all instances.
+/// Shows each drain with the requests in flight at its target, added up over all instances.
 pub(super) async fn status(context: &Context) -> Result<Output, Failure> {
-    let everyone = context.client.known_daemons().await?;
-    let answers = context
+    let daemons = context.client.known_daemons().await?;
+    let responses = context
         .client
-        .get_from_each::<Drains>(&everyone, "/op/v1/drain")
+        .get_from_each::<Drains>(&daemons, "/op/v1/drain")
         .await;
-    let mut totals: BTreeMap<DrainTarget, Total> = BTreeMap::new();
-    let mut seen: BTreeMap<InstanceId, Drains> = BTreeMap::new();
+    let mut totals: BTreeMap<DrainTarget, DrainTotal> = BTreeMap::new();
+    let mut drains_by_instance: BTreeMap<InstanceId, Drains> = BTreeMap::new();
     let mut not_answered = Vec::new();
-    for (daemon, answer) in everyone.iter().zip(answers) {
-        match answer {
-            // A daemon may be known by two addresses; its requests count once.
+    for (daemon, response) in daemons.iter().zip(responses) {
+        match response {
+            // A daemon may be known by two addresses; its requests are counted once.
             Ok(drains) => {
-                let _ = seen.insert(drains.instance.clone(), drains);
+                let _ = drains_by_instance.insert(drains.instance.clone(), drains);
             }
             Err(_) => not_answered.push(daemon.to_string()),
         }
     }
-    for drain in seen.values().flat_map(|drains| &drains.drains) {
+    for drain in drains_by_instance
+        .values()
+        .flat_map(|drains| &drains.drains)
+    {
         totals.entry(drain.target.clone()).or_default();
     }
     for (target, total) in &mut totals {
-        for drains in seen.values() {
+        for drains in drains_by_instance.values() {
             let drain = drains.drains.iter().find(|drain| drain.target == *target);
             match drain {
                 Some(drain) => total.add(&drains.instance, drain),
@@ -114,7 +117,7 @@
     Ok(Output::new(describe(&report), &report))
 }
 
-impl Total {
+impl DrainTotal {
     fn add(&mut self, instance: &InstanceId, drain: &DrainStatus) {
         for in_flight in &drain.in_flight {
             let upstream = in_flight.upstream.clone();
@@ -130,14 +133,17 @@
     let mut table = Table::new(&["target", "where", "in flight"]);
     let mut notes = String::new();
     for Row { target, total } in &report.drains {
-        let upstreams = total.upstreams.iter().map(|(id, n)| (id, u64::from(*n)));
-        let instances = total.instances.iter().map(|(id, n)| (id, *n));
-        let busy: Vec<(&InstanceId, u64)> = upstreams.chain(instances).collect();
-        if busy.iter().all(|(_, requests)| *requests == 0) {
-            table.row(vec![target.to_string(), "all".into(), "0".into()]);
+        let upstreams = total
+            .upstreams
+            .iter()
+            .map(|(id, requests)| (id, u64::from(*requests)));
+        let instances = total.instances.iter().map(|(id, requests)| (id, *requests));
+        let in_flight: Vec<(&InstanceId, u64)> = upstreams.chain(instances).collect();
+        if in_flight.iter().all(|(_, requests)| *requests == 0) {
+            table.add_row(vec![target.to_string(), "all".into(), "0".into()]);
         }
-        for (id, requests) in busy.into_iter().filter(|(_, requests)| *requests > 0) {
-            table.row(vec![
+        for (id, requests) in in_flight.into_iter().filter(|(_, requests)| *requests > 0) {
+            table.add_row(vec![
                 target.to_string(),
                 id.to_string(),
                 requests.to_string(),
@@ -150,7 +156,7 @@
     }
     if !report.not_answered.is_empty() {
         let names = report.not_answered.join(", ");
-        notes += &format!("did not answer, what they have in flight is not counted: {names}\n");
+        notes += &format!("did not answer, their requests in flight are not counted: {names}\n");
     }
     format!("{}{notes}", table.render())
 }
--- a/crates/ctl/src/command/explain.rs
+++ b/crates/ctl/src/command/explain.rs
@@ -1,10 +1,10 @@
-//! `explain`: from a request's id to its story and its likely cause, by logs alone.
+//! `explain`: explains the outcome of requests and its likely cause from logs alone.
 
 use crate::{
     args::ExplainArgs,
     context::read_file,
     outcome::{
-        tell,
+        print_stderr,
         Failure,
         Output, //
     },
@@ -16,45 +16,47 @@
     path::Path, //
 };
 
-/// File name that stands for standard input.
+/// File name that denotes standard input.
 const STDIN: &str = "-";
 
-/// Reads the logs and tells the story of one request, or counts all failures.
+/// Reads the logs and explains one request, sums up all, or counts the failures.
 pub(super) fn run(args: &ExplainArgs) -> Result<Output, Failure> {
     let mut logs = Logs::default();
     for file in &args.files {
-        logs.add(&file.display().to_string(), &read(file)?);
+        logs.add(&file.display().to_string(), &read_log(file)?);
     }
     let (unreadable, count) = logs.unreadable();
     if count > 0 {
-        tell(&format!("{count} lines can't be read, the first of them:"));
-        unreadable.iter().for_each(|line| tell(&line.to_string()));
+        print_stderr(&format!("{count} lines can't be read, the first of them:"));
+        unreadable
+            .iter()
+            .for_each(|line| print_stderr(&line.to_string()));
     }
     match &args.id {
         Some(id) => match logs.story(id) {
-            Ok(story) => Ok(Output::new(story.to_string(), &story)),
-            Err(unknown) => Err(Failure::Refused(unknown.to_string())),
+            Ok(explanation) => Ok(Output::new(explanation.to_string(), &explanation)),
+            Err(unknown_id) => Err(Failure::Refused(unknown_id.to_string())),
         },
         None if args.summary => {
             let summary = logs.summary();
             Ok(Output::new(summary.to_string(), &summary))
         }
-        None => Ok(failures(&logs)),
+        None => Ok(count_failures(&logs)),
     }
 }
 
-fn read(file: &Path) -> Result<String, Failure> {
+fn read_log(file: &Path) -> Result<String, Failure> {
     if file.as_os_str() != STDIN {
         return read_file(file);
     }
     let mut text = String::new();
-    let read = std::io::stdin().read_to_string(&mut text);
-    read.map_err(|error| Failure::BadInput(format!("standard input: {error}")))?;
+    let result = std::io::stdin().read_to_string(&mut text);
+    result.map_err(|error| Failure::BadInput(format!("standard input: {error}")))?;
     Ok(text)
 }
 
-/// All failures by fault, the most frequent first.
-fn failures(logs: &Logs) -> Output {
+/// Counts the failures by fault, the most frequent fault first.
+fn count_failures(logs: &Logs) -> Output {
     let mut failures: Vec<_> = logs.failures().into_iter().collect();
     failures.sort_by_key(|(_, (count, _))| std::cmp::Reverse(*count));
     let lines = failures
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the accepted versions.
+//! `history`: lists and shows accepted versions.
 
 use crate::{
     context::Context,
@@ -16,7 +16,7 @@
     UNIX_EPOCH, //
 };
 
-/// Lists the newest versions, or shows one.
+/// Lists the newest versions, or shows one version.
 pub(super) async fn run(
     context: &Context,
     version: Option<Version>,
@@ -24,14 +24,14 @@
 ) -> Result<Output, Failure> {
     if let Some(version) = version {
         let path = format!("/op/v1/config/{version}");
-        let answer: ConfigAnswer = context.client.get(&path).await?;
-        return Ok(Output::new(show(&answer), &answer));
+        let response: ConfigAnswer = context.client.get(&path).await?;
+        return Ok(Output::new(format_file(&response), &response));
     }
     let path = format!("/op/v1/history?limit={limit}");
     let heads: Vec<Head> = context.client.get(&path).await?;
     let mut table = Table::new(&["version", "accepted at", "author", "accept id"]);
     for head in &heads {
-        table.row(vec![
+        table.add_row(vec![
             head.version.to_string(),
             wall_time(head.accepted_at_ms),
             head.author.to_string(),
@@ -41,20 +41,20 @@
     Ok(Output::new(table.render(), &heads))
 }
 
-/// The version as a file that `accept` takes, its origin in a comment.
-fn show(answer: &ConfigAnswer) -> String {
-    let ConfigAnswer { head, text, .. } = answer;
-    let at = wall_time(head.accepted_at_ms);
+/// Formats a version as a file that `accept` reads, with its author and time in a comment.
+fn format_file(response: &ConfigAnswer) -> String {
+    let ConfigAnswer { head, text, .. } = response;
+    let accepted_at = wall_time(head.accepted_at_ms);
     format!(
-        "# Version {} by {}, {at}.\n{text}",
+        "# Version {} by {}, {accepted_at}.\n{text}",
         head.version, head.author
     )
 }
 
-fn wall_time(at_ms: u64) -> String {
-    let at = UNIX_EPOCH.checked_add(Duration::from_millis(at_ms));
-    at.map_or_else(
+fn wall_time(unix_ms: u64) -> String {
+    let time = UNIX_EPOCH.checked_add(Duration::from_millis(unix_ms));
+    time.map_or_else(
         || "-".to_owned(),
-        |at| humantime::format_rfc3339_seconds(at).to_string(),
+        |time| humantime::format_rfc3339_seconds(time).to_string(),
     )
 }
--- a/crates/ctl/src/command/mod.rs
+++ b/crates/ctl/src/command/mod.rs
@@ -29,11 +29,11 @@
 use op::DrainAction;
 use std::time::Duration;
 
-/// Runs the command that was given.
+/// Runs the parsed command.
 ///
 /// # Errors
 ///
-/// Why it was not done, or is not known to be.
+/// The reason why it was not done, or that its outcome is unknown.
 pub(crate) async fn run(args: Args) -> Result<Output, Failure> {
     let Args { global, command } = args;
     match command {
@@ -46,11 +46,11 @@
         }
         Command::Explain(args) => explain::run(&args),
         Command::Diff { before, after } => diff::run(global, &before, after.as_deref()).await,
-        command => with_daemon(&Context::new(global)?, command).await,
+        command => run_with_daemon(&Context::new(global)?, command).await,
     }
 }
 
-async fn with_daemon(context: &Context, command: Command) -> Result<Output, Failure> {
+async fn run_with_daemon(context: &Context, command: Command) -> Result<Output, Failure> {
     match command {
         Command::Accept(args) => accept::run(context, &args).await,
         Command::Status { watch, interval_s } => status::run(context, watch, interval_s).await,
@@ -72,7 +72,7 @@
         | Command::Routes(_)
         | Command::Explain(_)
         | Command::Diff { .. } => {
-            unreachable!("these need no daemon and are done")
+            unreachable!("commands without a daemon are handled by `run`")
         }
     }
 }
--- a/crates/ctl/src/command/shares.rs
+++ b/crates/ctl/src/command/shares.rs
@@ -1,4 +1,4 @@
-//! `shares`: who may use which slot and how much of a link's cap.
+//! `shares`: how the slots and the link caps of each pool are shared among instances.
 
 use crate::{
     context::Context,
@@ -10,7 +10,7 @@
 };
 use op::Shares;
 
-/// Shows a daemon's part of each pool.
+/// Shows a daemon's share of each pool.
 pub(super) async fn run(context: &Context) -> Result<Output, Failure> {
     let shares: Shares = context.client.get("/op/v1/shares").await?;
     let mut table = Table::new(&[
@@ -19,7 +19,7 @@
     ]);
     for pool in &shares.pools {
         for resource in &pool.resources {
-            table.row(vec![
+            table.add_row(vec![
                 pool.pool.to_string(),
                 pool.epoch.to_string(),
                 pool.members.len().to_string(),
--- a/crates/ctl/src/command/status.rs
+++ b/crates/ctl/src/command/status.rs
@@ -1,10 +1,10 @@
-//! `status` and `instances`: a daemon's picture of the system.
+//! `status` and `instances`: a daemon's view of the system.
 
 use crate::{
     args::Format,
     context::Context,
     outcome::{
-        tell,
+        print_stderr,
         Failure,
         Output, //
     },
@@ -25,41 +25,41 @@
     time::Duration, //
 };
 
-/// Moves a terminal's cursor home and clears what is there.
+/// Moves a terminal's cursor home and clears the screen.
 const CLEAR: &str = "\x1b[H\x1b[2J";
 
-/// Shows the status, once or again and again.
+/// Shows the status once, or repeatedly every `interval_s`.
 pub(super) async fn run(
     context: &Context,
     watch: bool,
     interval_s: u64,
 ) -> Result<Output, Failure> {
     if !watch {
-        return look(context).await;
+        return fetch_status(context).await;
     }
     let format = context.global.output;
-    // A wrong address or key would not get better by looking again.
-    let mut looked = Ok(look(context).await?);
+    // The first failure ends the command: a wrong address or key would fail again.
+    let mut result = Ok(fetch_status(context).await?);
     loop {
         if format == Format::Text && stdout().is_terminal() {
-            // The next line fails if this one does.
+            // Ignored: the print below would fail as well.
             let _ = write!(stdout(), "{CLEAR}");
         }
-        match looked {
+        match result {
             Ok(output) => {
                 if output.print(format).is_err() {
                     return Ok(output);
                 }
             }
-            // A daemon that stops is what one may be watching for.
-            Err(failure) => tell(&Failure::to_string(&failure)),
+            // Later failures do not end the watch, which may be meant to observe a daemon's stop.
+            Err(failure) => print_stderr(&Failure::to_string(&failure)),
         }
         actix_rt::time::sleep(Duration::from_secs(interval_s.max(1))).await;
-        looked = look(context).await;
+        result = fetch_status(context).await;
     }
 }
 
-async fn look(context: &Context) -> Result<Output, Failure> {
+async fn fetch_status(context: &Context) -> Result<Output, Failure> {
     let status: Status = context.client.get("/op/v1/status").await?;
     let Status {
         instance,
@@ -75,7 +75,7 @@
         "{instance}#{incarnation} in {region}/{failure_domain}: {stage}, version {version}"
     );
     if highest_version > version {
-        text += &format!(" (has heard of {highest_version})");
+        text += &format!(" (highest known {highest_version})");
     }
     text += &format!(
         "\nup {} s, lease {} ms, {} requests active, {} peers\n\n{}\n{}",
@@ -83,24 +83,24 @@
         status.lease_left_ms,
         status.active,
         status.peers,
-        pools(&status.pools),
-        table_of(&status.instances, *version),
+        render_pools(&status.pools),
+        render_instances(&status.instances, *version),
     );
     Ok(Output::new(text, &status))
 }
 
 /// Lists the instances that a daemon knows.
 pub(super) async fn instances(context: &Context) -> Result<Output, Failure> {
-    let known: Instances = context.client.get("/op/v1/instances").await?;
-    let highest = known.instances.iter().map(|i| i.version).max();
-    let text = table_of(&known.instances, highest.unwrap_or(0));
-    Ok(Output::new(text, &known))
+    let response: Instances = context.client.get("/op/v1/instances").await?;
+    let highest = response.instances.iter().map(|i| i.version).max();
+    let text = render_instances(&response.instances, highest.unwrap_or(0));
+    Ok(Output::new(text, &response))
 }
 
-fn pools(pools: &[PoolStatus]) -> String {
+fn render_pools(pools: &[PoolStatus]) -> String {
     let mut table = Table::new(&["service", "upstreams", "open", "slots", "used", "waiting"]);
     for pool in pools {
-        table.row(vec![
+        table.add_row(vec![
             pool.service.to_string(),
             pool.upstreams.to_string(),
             pool.open.to_string(),
@@ -112,7 +112,7 @@
     table.render()
 }
 
-fn table_of(instances: &[InstanceStatus], expected: u64) -> String {
+fn render_instances(instances: &[InstanceStatus], expected_version: u64) -> String {
     let mut table = Table::new(&[
         "instance",
         "region",
@@ -125,9 +125,13 @@
         "operators",
     ]);
     for instance in instances {
-        let lag = if instance.version < expected { "*" } else { "" };
+        let lag = if instance.version < expected_version {
+            "*"
+        } else {
+            ""
+        };
         let age = instance.age_ms.map(|age_ms| format!("{age_ms} ms"));
-        table.row(vec![
+        table.add_row(vec![
             instance.instance.to_string(),
             instance.region.to_string(),
             instance.failure_domain.to_string(),
--- a/crates/ctl/src/command/target.rs
+++ b/crates/ctl/src/command/target.rs
@@ -1,10 +1,10 @@
-//! `target`: shows and revises the targets of classes.
+//! `target`: shows and changes the targets of classes.
 
 use crate::{
     args::TargetArgs,
     command::change::{
-        quoted,
-        Pending, //
+        shell_quote,
+        PendingChange, //
     },
     context::Context,
     outcome::{
@@ -25,12 +25,13 @@
 
 /// Shows the targets in force.
 pub(super) async fn show(context: &Context, class: Option<String>) -> Result<Output, Failure> {
-    let answer: ConfigAnswer = context.client.get("/op/v1/config").await?;
-    let version = answer.head.version;
-    let config = spec::parse(&format!("version {version}"), &answer.text);
+    let response: ConfigAnswer = context.client.get("/op/v1/config").await?;
+    let version = response.head.version;
+    let config = spec::parse(&format!("version {version}"), &response.text);
     let config = config.map_err(|findings| Failure::Refused(findings.to_string()))?;
-    let wanted = |known: &&Class| class.as_ref().is_none_or(|id| known.id == id.as_str());
-    let classes: Vec<&Class> = config.classes.iter().filter(wanted).collect();
+    let is_selected =
+        |candidate: &&Class| class.as_ref().is_none_or(|id| candidate.id == id.as_str());
+    let classes: Vec<&Class> = config.classes.iter().filter(is_selected).collect();
     if let (Some(class), true) = (&class, classes.is_empty()) {
         let known: Vec<&str> = config.classes.iter().map(|class| &*class.id).collect();
         return Err(Failure::BadInput(format!(
@@ -42,13 +43,13 @@
         "class", "latency", "headroom", "deadline", "priority", "success",
     ]);
     for class in &classes {
-        table.row(vec![
+        table.add_row(vec![
             class.id.to_string(),
             format!("{} ms", class.latency_target.as_millis()),
             format!("{}%", class.headroom_pct),
             format!("{} ms", class.deadline.as_millis()),
             class.priority.to_string(),
-            format!("{}%", percent(class.success_target_ppm)),
+            format!("{}%", format_percentage(class.success_target_ppm)),
         ]);
     }
     let text = format!("version {version}\n{}", table.render());
@@ -70,16 +71,16 @@
     })
 }
 
-/// Revises targets of a class.
+/// Changes targets of a class.
 pub(super) async fn set(context: &Context, args: &TargetArgs) -> Result<Output, Failure> {
-    let options = options(args);
+    let options = format_options(args);
     if options.is_empty() {
         return Err(Failure::BadInput(
             "nothing to set: name at least one target, see --help".to_owned(),
         ));
     }
-    let command = format!("target set {}{options}", quoted(&args.class));
-    let pending = Pending::new(context, &args.change, command);
+    let command = format!("target set {}{options}", shell_quote(&args.class));
+    let pending = PendingChange::new(context, &args.change, command);
     let request = TargetRequest {
         accept_id: pending.accept_id.clone(),
         author: context.author(),
@@ -90,27 +91,27 @@
         priority: args.priority,
         success_target_ppm: args.success_pct.map(|ppm| ppm.0),
     };
-    let what = format!("targets of {}", args.class);
-    pending.run(&request, &what).await
+    let subject = format!("targets of {}", args.class);
+    pending.run(&request, &subject).await
 }
 
-/// The options that were given, as on the command line.
-fn options(args: &TargetArgs) -> String {
-    let percent = args.success_pct.map(|ppm| percent(ppm.0));
+/// Target options in their command-line form, without those that were not given.
+fn format_options(args: &TargetArgs) -> String {
+    let success = args.success_pct.map(|ppm| format_percentage(ppm.0));
     [
         ("latency-ms", args.latency_ms.map(|v| v.to_string())),
         ("headroom-pct", args.headroom_pct.map(|v| v.to_string())),
         ("deadline-ms", args.deadline_ms.map(|v| v.to_string())),
         ("priority", args.priority.map(|v| v.to_string())),
-        ("success-pct", percent),
+        ("success-pct", success),
     ]
     .into_iter()
     .filter_map(|(name, value)| value.map(|value| format!(" --{name} {value}")))
     .collect()
 }
 
-/// Parts per million as a percentage without needless digits.
-fn percent(ppm: u32) -> String {
+/// Formats parts per million as a percentage without trailing zeros.
+fn format_percentage(ppm: u32) -> String {
     let text = format!("{}.{:04}", ppm / 10_000, ppm % 10_000);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
--- a/crates/ctl/src/context.rs
+++ b/crates/ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command needs: the client, the author, the key, files.
+//! State of the commands that talk to daemons, and readers of input files.
 
 use crate::{
     args::Global,
@@ -18,18 +18,18 @@
     time::Duration, //
 };
 
-/// What every command needs.
+/// Global options and the client of a command that talks to daemons.
 pub(crate) struct Context {
     pub(crate) global: Global,
     pub(crate) client: Client,
 }
 
 impl Context {
-    /// Context of a command that talks to daemons.
+    /// Creates the client from the global options.
     ///
     /// # Errors
     ///
-    /// When no daemon is named, or the key can't be read.
+    /// If no daemon is given, or the key can't be read.
     pub(crate) fn new(global: Global) -> Result<Self, Failure> {
         if global.daemon.is_empty() {
             return Err(Failure::BadInput(
@@ -43,7 +43,7 @@
         Ok(Self { global, client })
     }
 
-    /// Operator who is named as author.
+    /// Author recorded with a change.
     pub(crate) fn author(&self) -> ByteString {
         let user = || env::var("USER").ok();
         let author = self.global.author.clone().or_else(user);
@@ -57,7 +57,7 @@
     text.map_err(|error| Failure::BadInput(format!("{}: {error}", path.display())))
 }
 
-/// Reads and checks a configuration; gives its text too.
+/// Reads and checks a configuration; returns its text as well.
 pub(crate) fn read_config(path: &Path) -> Result<(String, Config), Failure> {
     let text = read_file(path)?;
     let config = spec::parse(&path.display().to_string(), &text);
@@ -65,7 +65,7 @@
     Ok((text, config))
 }
 
-/// Reads and checks routes.
+/// Reads and checks routes; returns their text as well.
 pub(crate) fn read_routes(path: &Path) -> Result<(Routes, String), Failure> {
     let text = read_file(path)?;
     match route::parse(&path.display().to_string(), &text) {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads and checks a block file; gives its text.
+/// Reads and checks a block file; returns its text.
 pub(crate) fn read_blocks(path: &Path) -> Result<String, Failure> {
     let text = read_file(path)?;
     let blocks = spec::parse_blocks(&path.display().to_string(), &text);
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,12 +1,13 @@
-//! `jasminectl`: the operators' client.
+//! `jasminectl`: the command-line client for operators.
 //!
-//! It talks to the operators' port of any daemon; of several that are named, to the first that
-//! answers. Exit codes: 0 done, 1 refused and nothing changed, 2 bad input and nothing sent or
-//! taken, 3 outcome unknown, and then it says what to run next.
+//! It sends requests to the operator address of a daemon; if several daemons are given, to the
+//! first that responds. Exit codes: 0 done, 1 refused and nothing changed, 2 bad input and nothing
+//! sent or changed, 3 outcome unknown, and then the message names the command to run next.
 //!
 //! Results go to standard output, as text or JSON; progress and errors go to standard error, so
-//! that a pipe gets results only. `args` has the command line, `command` one module a command,
-//! `context` what all of them need, `outcome` how they end, `table` the text's tables.
+//! that a pipe gets results only. `args` defines the command line, `command` has one module per
+//! command, `context` the state and the file readers that they share, `outcome` results, failures
+//! and exit codes, `table` the layout of text tables.
 
 mod args;
 mod command;
@@ -17,7 +18,7 @@
 use crate::{
     args::Args,
     outcome::{
-        tell,
+        print_stderr,
         Output, //
     },
 };
@@ -31,14 +32,14 @@
     match command::run(args).await {
         Ok(output) => match output.print(format) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(error) => outcome::unwritten(&output, &error),
+            Err(error) => outcome::report_write_error(&output, &error),
         },
         Err(failure) => {
             if let Some(output) = failure.output(format) {
-                // Its message is told anyway.
+                // A write error is ignored: the message goes to standard error as well.
                 let _ = Output::print(&output, format);
             }
-            tell(&failure.to_string());
+            print_stderr(&failure.to_string());
             failure.code()
         }
     }
--- a/crates/ctl/src/outcome.rs
+++ b/crates/ctl/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a command ends.
+//! Results and failures of commands, their output and exit codes.
 
 use crate::args::Format;
 use op::Refusal;
@@ -18,14 +18,14 @@
     process::ExitCode, //
 };
 
-/// Exit code when the system refused; nothing was changed.
-const REFUSED: u8 = 1;
+/// Exit code if the system refused; nothing was changed.
+const EXIT_REFUSED: u8 = 1;
 /// Exit code for bad input; nothing was changed.
-const BAD_INPUT: u8 = 2;
-/// Exit code when it is not known whether it was done, or its result is lost.
-const UNKNOWN: u8 = 3;
+const EXIT_BAD_INPUT: u8 = 2;
+/// Exit code if it is unknown whether the command was done, or its result is lost.
+const EXIT_UNKNOWN: u8 = 3;
 
-/// Result of a command in both forms.
+/// Result of a command in both output formats.
 #[derive(Clone, Debug)]
 pub(crate) struct Output {
     text: String,
@@ -33,7 +33,7 @@
 }
 
 impl Output {
-    /// Result with its text for people.
+    /// Result from its text and the data for JSON.
     pub(crate) fn new(text: impl Into<String>, json: &impl Serialize) -> Self {
         let json = serde_json::to_value(json).expect("results are plain data");
         Self {
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Prints the form that was asked for.
+    /// Prints the result in the requested format.
     ///
     /// # Errors
     ///
-    /// When standard output does not take it.
+    /// If the write to standard output fails.
     pub(crate) fn print(&self, format: Format) -> io::Result<()> {
         let mut out = stdout().lock();
         match format {
@@ -57,37 +57,37 @@
     }
 }
 
-/// Tells people of progress or of a failure.
+/// Prints progress or a failure to standard error; ignores write errors.
 ///
-/// Nobody may listen any more, as after `2>&1 | head`. That must not end the command: it may be in
-/// the middle of a change, whose outcome its exit code still has to tell.
-pub(crate) fn tell(line: &str) {
+/// The reader may have closed the pipe, as in `2>&1 | head`. That must not end the command: it may
+/// be in the middle of a change, whose outcome its exit code has to report.
+pub(crate) fn print_stderr(line: &str) {
     let _ = writeln!(stderr(), "{line}");
 }
 
-/// Ends a command that is done and whose result standard output does not take.
-pub(crate) fn unwritten(output: &Output, error: &io::Error) -> ExitCode {
+/// Exit code of a command that is done but whose result can't be written to standard output.
+pub(crate) fn report_write_error(output: &Output, error: &io::Error) -> ExitCode {
     if error.kind() == io::ErrorKind::BrokenPipe {
-        // Whoever reads has seen enough.
+        // The reader closed the pipe on purpose, as `head` does.
         return ExitCode::SUCCESS;
     }
-    tell(&format!(
+    print_stderr(&format!(
         "done, but the result can't be written: {error}\n{}",
         output.text.trim_end()
     ));
-    ExitCode::from(UNKNOWN)
+    ExitCode::from(EXIT_UNKNOWN)
 }
 
-/// Why a command was not done, or is not known to be.
+/// Reason why a command was not done, or its outcome is unknown.
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
     /// The system refused; nothing was changed.
     Refused(String),
     /// The input is wrong; nothing was changed.
     BadInput(String),
-    /// It may have been done.
+    /// The outcome is unknown; the command may have been done.
     Unknown {
-        /// What is known.
+        /// Description of the failure.
         message: String,
         /// Command to run next.
         next: String,
@@ -98,13 +98,13 @@
     /// Exit code.
     pub(crate) fn code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::Refused(_) => REFUSED,
-            Self::BadInput(_) => BAD_INPUT,
-            Self::Unknown { .. } => UNKNOWN,
+            Self::Refused(_) => EXIT_REFUSED,
+            Self::BadInput(_) => EXIT_BAD_INPUT,
+            Self::Unknown { .. } => EXIT_UNKNOWN,
         })
     }
 
-    /// The failure as a result, for programs.
+    /// The failure as JSON output; `None` for text.
     pub(crate) fn output(&self, format: Format) -> Option<Output> {
         let json = match self {
             Self::Refused(message) => json!({"failure": "refused", "message": message}),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Failure of something that changes nothing.
+/// Failure of a request that changes nothing.
 impl From<op::Failure> for Failure {
     fn from(failure: op::Failure) -> Self {
         let message = failure.to_string();
--- a/crates/ctl/src/table.rs
+++ b/crates/ctl/src/table.rs
@@ -1,41 +1,41 @@
-//! Tables with aligned columns.
+//! Text tables with aligned columns.
 
-/// Space between columns.
-const GAP: &str = "  ";
+/// Separator between columns.
+const COLUMN_GAP: &str = "  ";
 
-/// Table of text; columns that hold numbers only are aligned to the right.
+/// Text table; columns that contain only numbers are aligned to the right.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
-    head: Vec<String>,
+    header: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Table with a head and no rows.
-    pub(crate) fn new(head: &[&str]) -> Self {
+    /// Table with a header and no rows.
+    pub(crate) fn new(header: &[&str]) -> Self {
         Self {
-            head: head.iter().map(|&cell| cell.to_owned()).collect(),
+            header: header.iter().map(|&cell| cell.to_owned()).collect(),
             rows: Vec::new(),
         }
     }
 
-    /// Adds a row, which has as many cells as the head.
-    pub(crate) fn row(&mut self, cells: Vec<String>) {
-        debug_assert_eq!(cells.len(), self.head.len());
+    /// Adds a row, which must have as many cells as the header.
+    pub(crate) fn add_row(&mut self, cells: Vec<String>) {
+        debug_assert_eq!(cells.len(), self.header.len());
         self.rows.push(cells);
     }
 
-    /// The lines; a table without rows says so.
+    /// Renders the lines; a table without rows is `none`.
     pub(crate) fn render(&self) -> String {
         if self.rows.is_empty() {
             return "none\n".to_owned();
         }
-        let columns: Vec<Column> = (0..self.head.len()).map(|i| self.column(i)).collect();
+        let columns: Vec<Column> = (0..self.header.len()).map(|i| self.column(i)).collect();
         let mut text = String::new();
-        for row in std::iter::once(&self.head).chain(&self.rows) {
+        for row in std::iter::once(&self.header).chain(&self.rows) {
             let cells = row.iter().zip(&columns);
             let line: Vec<String> = cells.map(|(cell, column)| column.pad(cell)).collect();
-            text.push_str(line.join(GAP).trim_end());
+            text.push_str(line.join(COLUMN_GAP).trim_end());
             text.push('\n');
         }
         text
@@ -43,7 +43,7 @@
 
     fn column(&self, index: usize) -> Column {
         let cells = || self.rows.iter().map(|row| &row[index]);
-        let longest = cells().chain([&self.head[index]]);
+        let longest = cells().chain([&self.header[index]]);
         Column {
             width: longest.map(|cell| cell.chars().count()).max().unwrap_or(0),
             is_numeric: cells().all(|cell| is_number(cell)),
@@ -51,7 +51,7 @@
     }
 }
 
-/// How a column is set.
+/// Width and alignment of a column.
 struct Column {
     width: usize,
     is_numeric: bool,
@@ -69,6 +69,6 @@
 }
 
 fn is_number(cell: &str) -> bool {
-    let plain = cell.trim_end_matches(" ms").trim_end_matches('%');
-    plain == "-" || plain.parse::<f64>().is_ok()
+    let number = cell.trim_end_matches(" ms").trim_end_matches('%');
+    number == "-" || number.parse::<f64>().is_ok()
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `jasminectl explain`: what is read, what is said, and the exit codes.
+//! Tests of `jasminectl explain`: its input, its output and its exit codes.
 
 #[path = "support/mod.rs"]
 #[expect(dead_code, reason = "shared with the tests that need daemons")]
@@ -11,7 +11,7 @@
 use support::{
     command,
     ctl,
-    Ran,
+    RunResult,
     TempFile, //
 };
 
@@ -35,16 +35,16 @@
 }
 
 #[test]
-fn a_request_is_explained() {
+fn explains_a_request() {
     let log = log("explained.log");
-    let ran = ctl(&["explain", "--id", "4f", log.path()]).expect(0, "likely cause: overload");
-    for said in [
+    let result = ctl(&["explain", "--id", "4f", log.path()]).expect(0, "likely cause: overload");
+    for text in [
         "3 open, 1 closed",
         "come back in 300 ms",
         "picture 9 of 12 ms ago",
         "5 lines about requests are missing",
     ] {
-        assert!(ran.stdout.contains(said), "{said} in {}", ran.stdout);
+        assert!(result.stdout.contains(text), "{text} in {}", result.stdout);
     }
     let json = ctl(&["explain", "--id", "4f", log.path(), "--output", "json"]).json();
     assert_eq!(json["cause"]["fault"], "overload");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn failures_are_counted() {
+fn counts_failures() {
     let log = log("counted.log");
     ctl(&["explain", log.path()]).expect(0, "1  overload");
     let json = ctl(&["explain", log.path(), "--output", "json"]).json();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_unknown_id_says_what_is_missing() {
+fn an_unknown_id_reports_missing_lines() {
     let log = log("unknown.log");
     ctl(&["explain", "--id", "50", log.path()])
         .expect(1, "no line has the id 50; lines were read of moshi-1");
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn bad_input_is_named() {
+fn bad_input_is_reported() {
     ctl(&["explain", "--id", "4f"]).expect(2, "FILES");
     ctl(&["explain", "--id", "4f", "/nowhere.log"]).expect(2, "/nowhere.log");
-    let cut = TempFile::new("cut.log", &LOG.as_bytes()[..LOG.len() - 20]);
-    ctl(&["explain", "--id", "4f", cut.path()]).expect(0, "1 lines can't be read");
+    let truncated = TempFile::new("cut.log", &LOG.as_bytes()[..LOG.len() - 20]);
+    ctl(&["explain", "--id", "4f", truncated.path()]).expect(0, "1 lines can't be read");
 }
 
 #[test]
-fn standard_input_is_read() {
+fn reads_standard_input() {
     let mut child = command(&["explain", "--id", "4f", "-"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -90,5 +90,5 @@
         .unwrap()
         .write_all(LOG.as_bytes())
         .unwrap();
-    Ran::from(child.wait_with_output().unwrap()).expect(0, "likely cause: overload");
+    RunResult::from(child.wait_with_output().unwrap()).expect(0, "likely cause: overload");
 }
--- a/crates/ctl/tests/input.rs
+++ b/crates/ctl/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear message, the right exit code, and nothing is sent.
+//! Tests that bad input and unreachable daemons give a clear message and the right exit code.
 
 #[path = "support/mod.rs"]
 #[expect(dead_code, reason = "shared with the tests that need daemons")]
@@ -20,20 +20,20 @@
 use support::{
     command,
     ctl,
-    end_of,
-    Ran,
+    wait_for_exit,
+    RunResult,
     TempFile, //
 };
 
-/// An address on loopback that refuses connections: port 9 is no test's.
-const NOBODY: &str = "127.0.0.1:9";
+/// Loopback address that refuses connections: no test listens on port 9.
+const NO_DAEMON: &str = "127.0.0.1:9";
 
 const CONFIG: &[u8] = b"name: small\nregions:\n  - {id: arusha, failure_domains: [a]}\n\
 services: [menu]\nclasses:\n  - {id: menu, service: menu, idempotent: true, priority: 0, \
 latency_ms: 200, headroom_pct: 20, deadline_ms: 5000, success_pct: 99.9}\n";
 
-/// Names a command line, its exit code, and what its message says.
-macro_rules! cases {
+/// Tests given as a command line, its exit code and a part of its message.
+macro_rules! command_tests {
     ($($name:ident: $args:expr => $code:literal, $message:literal;)*) => {
         $(
             #[test]
@@ -51,66 +51,68 @@
     };
 }
 
-cases! {
+command_tests! {
     check_without_a_file: ["check", "/nowhere.yaml"] => 2, "/nowhere.yaml: No such file";
     check_routes_without_a_file: ["check-routes", "/nowhere.yaml"] => 2, "No such file";
-    check_routes_of_another_kind: ["check-routes", "CONFIG"] => 2, "missing field `version`";
-    accept_without_a_file: ["--daemon", NOBODY, "accept", "/nowhere.yaml"] => 2, "No such file";
-    accept_without_its_blocks: ["--daemon", NOBODY, "accept", "CONFIG", "--blocks", "/nowhere"]
+    check_routes_of_a_configuration: ["check-routes", "CONFIG"] => 2, "missing field `version`";
+    accept_without_a_file: ["--daemon", NO_DAEMON, "accept", "/nowhere.yaml"] => 2, "No such file";
+    accept_without_its_blocks: ["--daemon", NO_DAEMON, "accept", "CONFIG", "--blocks", "/nowhere"]
         => 2, "/nowhere: No such file";
     diff_without_a_file: ["diff", "CONFIG", "/nowhere.yaml"] => 2, "No such file";
-    key_without_a_file: ["--daemon", NOBODY, "--key-file", "/nowhere", "status"]
+    key_without_a_file: ["--daemon", NO_DAEMON, "--key-file", "/nowhere", "status"]
         => 2, "/nowhere: No such file";
-    no_daemon_named: ["status"] => 2, "--daemon HOST:PORT";
-    drain_of_nothing: ["--daemon", NOBODY, "drain", "start", "menu-1"] => 2, "upstream:ID";
-    target_of_nothing: ["--daemon", NOBODY, "target", "set", "menu"] => 2, "nothing to set";
-    target_of_no_percentage: ["--daemon", NOBODY, "target", "set", "menu", "--success-pct", "x"]
+    status_without_a_daemon: ["status"] => 2, "--daemon HOST:PORT";
+    drain_without_a_target_kind: ["--daemon", NO_DAEMON, "drain", "start", "menu-1"]
+        => 2, "upstream:ID";
+    target_set_without_a_target: ["--daemon", NO_DAEMON, "target", "set", "menu"]
+        => 2, "nothing to set";
+    target_set_bad_percent: ["--daemon", NO_DAEMON, "target", "set", "menu", "--success-pct", "x"]
         => 2, "not a percentage";
     no_such_command: ["acept", "CONFIG"] => 2, "unrecognized subcommand";
 
-    nobody_accepts: ["--daemon", NOBODY, "accept", "CONFIG"] => 1, "no daemon answered";
-    nobody_accepts_on_a_base: ["--daemon", NOBODY, "accept", "CONFIG", "--base", "1"]
+    unreachable_accept: ["--daemon", NO_DAEMON, "accept", "CONFIG"] => 1, "no daemon answered";
+    unreachable_accept_on_a_base: ["--daemon", NO_DAEMON, "accept", "CONFIG", "--base", "1"]
         => 1, "no daemon answered";
-    nobody_drains: ["--daemon", NOBODY, "drain", "start", "region:arusha"]
+    unreachable_drain_start: ["--daemon", NO_DAEMON, "drain", "start", "region:arusha"]
         => 1, "no daemon answered";
-    nobody_has_drains: ["--daemon", NOBODY, "drain", "status"] => 1, "no daemon answered";
-    nobody_sets: ["--daemon", NOBODY, "target", "set", "menu", "--latency-ms", "9"]
+    unreachable_drain_status: ["--daemon", NO_DAEMON, "drain", "status"] => 1, "no daemon answered";
+    unreachable_target_set: ["--daemon", NO_DAEMON, "target", "set", "menu", "--latency-ms", "9"]
         => 1, "no daemon answered";
-    nobody_shows: ["--daemon", NOBODY, "target", "show"] => 1, "no daemon answered";
-    nobody_has_a_status: ["--daemon", NOBODY, "status"] => 1, "no daemon answered";
-    nobody_has_a_history: ["--daemon", NOBODY, "history"] => 1, "no daemon answered";
-    nobody_has_shares: ["--daemon", NOBODY, "shares"] => 1, "no daemon answered";
-    nobody_has_instances: ["--daemon", NOBODY, "instances"] => 1, "no daemon answered";
-    nobody_to_compare_with: ["--daemon", NOBODY, "diff", "CONFIG"] => 1, "no daemon answered";
+    unreachable_target_show: ["--daemon", NO_DAEMON, "target", "show"] => 1, "no daemon answered";
+    unreachable_status: ["--daemon", NO_DAEMON, "status"] => 1, "no daemon answered";
+    unreachable_history: ["--daemon", NO_DAEMON, "history"] => 1, "no daemon answered";
+    unreachable_shares: ["--daemon", NO_DAEMON, "shares"] => 1, "no daemon answered";
+    unreachable_instances: ["--daemon", NO_DAEMON, "instances"] => 1, "no daemon answered";
+    unreachable_diff: ["--daemon", NO_DAEMON, "diff", "CONFIG"] => 1, "no daemon answered";
 }
 
 #[test]
-fn every_finding_of_a_file_is_named_with_its_place() {
+fn every_finding_of_a_file_is_reported_with_its_position() {
     let text = b"name: small\nregions: [{id: a}]\nservces: [menu]\n";
     let file = TempFile::new("findings.yaml", text);
     for args in [
         vec!["check", file.path()],
-        vec!["--daemon", NOBODY, "accept", file.path()],
+        vec!["--daemon", NO_DAEMON, "accept", file.path()],
         vec!["diff", file.path(), file.path()],
     ] {
         let ran = ctl(&args).expect(2, "did you mean `services`?");
         for place in [":2:", ":3:1:"] {
-            let named = format!("{}{place}", file.path());
-            assert!(ran.stderr.contains(&named), "no {named} in {ran:?}");
+            let expected = format!("{}{place}", file.path());
+            assert!(ran.stderr.contains(&expected), "no {expected} in {ran:?}");
         }
     }
 }
 
 #[test]
-fn a_file_that_is_no_yaml_or_no_text_is_refused() {
-    let no_yaml = TempFile::new("no-yaml.yaml", b"name: [1, {\n");
-    ctl(&["check", no_yaml.path()]).expect(2, no_yaml.path());
-    let no_text = TempFile::new("no-text.yaml", &[0xff, 0xfe, 0x00]);
-    ctl(&["check", no_text.path()]).expect(2, "UTF-8");
+fn a_file_that_is_not_yaml_or_not_text_is_refused() {
+    let not_yaml = TempFile::new("no-yaml.yaml", b"name: [1, {\n");
+    ctl(&["check", not_yaml.path()]).expect(2, not_yaml.path());
+    let not_text = TempFile::new("no-text.yaml", &[0xff, 0xfe, 0x00]);
+    ctl(&["check", not_text.path()]).expect(2, "UTF-8");
 }
 
 #[test]
-fn check_reads_config_and_blocks_at_once() {
+fn check_reports_findings_of_config_and_blocks_together() {
     let config = TempFile::new("check.yaml", CONFIG);
     let good = TempFile::new("good.blocks", b"10.0.0.0/8 arusha\n");
     ctl(&["check", config.path(), "--blocks", good.path()]).expect(0, "no findings");
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn failures_are_json_too() {
+fn failures_are_printed_as_json() {
     let ran = ctl(&["--output", "json", "check", "/nowhere.yaml"]);
     assert_eq!(ran.code, 2);
     assert_eq!(ran.json()["failure"], "bad-input");
@@ -143,31 +145,33 @@
     }
 }
 
-/// Answers every connection with the same bytes, then closes it.
-fn parrot(answer: &'static str) -> String {
+/// Starts a server that sends the same bytes on every connection, then closes it.
+///
+/// Returns the server's address.
+fn serve_bytes(response: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             let _ = stream.read(&mut [0; 8192]);
-            let _ = stream.write_all(answer.as_bytes());
+            let _ = stream.write_all(response.as_bytes());
         }
     });
     addr
 }
 
-/// Names what a daemon answers, and the exit codes of a read and of a change.
-macro_rules! answers {
-    ($($name:ident: $answer:literal => $read:literal, $change:literal, $message:literal;)*) => {
+/// Tests given as a daemon's response, the exit codes of a read and of a change, and a part of the
+/// message.
+macro_rules! response_tests {
+    ($($name:ident: $response:literal => $read:literal, $change:literal, $message:literal;)*) => {
         $(
-            /// Symptom: a client reads nonsense as success, or a change that was made as refused.
-            /// Sequence: the daemon is of another release, or dies as it answers. Cause: what
-            /// can't be read is no answer; whether a change was made is then not known, unless
-            /// the request does not exist there.
+            /// Guards against a malformed response that is taken for success, or for the refusal of
+            /// a change that was made. The daemon is of another release, or dies as it responds.
+            /// The outcome of a change is then unknown, unless the daemon lacks the request's path.
             #[test]
             fn $name() {
-                let daemon = parrot($answer);
+                let daemon = serve_bytes($response);
                 let config = TempFile::new(concat!(stringify!($name), ".yaml"), CONFIG);
                 for read in [&["status"][..], &["history"], &["shares"], &["target", "show"]] {
                     let args = [&["--daemon", &daemon], read].concat();
@@ -180,26 +184,26 @@
                 ] {
                     let args = [&["--daemon", &daemon], change].concat();
                     let ran = ctl(&args).expect($change, $message);
-                    let names_next = ran.stderr.contains("run next: jasminectl --daemon");
-                    assert_eq!(names_next, $change == 3, "{ran:?}");
+                    let has_next_command = ran.stderr.contains("run next: jasminectl --daemon");
+                    assert_eq!(has_next_command, $change == 3, "{ran:?}");
                 }
             }
         )*
     };
 }
 
-answers! {
-    a_daemon_without_the_request: "HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n"
+response_tests! {
+    a_daemon_without_the_path: "HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n"
         => 1, 1, "of another release?";
     a_daemon_of_another_release: "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"other\": 1}"
         => 1, 3, "of another release?";
-    a_daemon_that_dies_before_its_answer: "" => 1, 3, "unexpected end of file";
-    a_daemon_that_dies_in_its_answer: "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"version"
+    a_daemon_that_dies_before_its_response: "" => 1, 3, "unexpected end of file";
+    a_daemon_that_dies_in_its_response: "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"version"
         => 1, 3, "127.0.0.1";
 }
 
-/// Every command that asks a daemon; `true` if it changes something.
-fn asking(config: &str) -> Vec<(Vec<&str>, bool)> {
+/// Commands that send requests to a daemon; `true` if the first request is for a change.
+fn daemon_commands(config: &str) -> Vec<(Vec<&str>, bool)> {
     vec![
         (vec!["accept", config], false),
         (vec!["accept", config, "--base", "1"], true),
@@ -220,13 +224,13 @@
     ]
 }
 
-/// Names what is wrong for every command that asks a daemon: options before it, the exit code of a
-/// read and of a change, and what the message says.
-macro_rules! wrong_for_all {
+/// Tests of all commands that talk to a daemon, given as the options before the command, the exit
+/// codes of a read and of a change, and a part of the message.
+macro_rules! option_tests {
     ($($name:ident: $options:expr => $read:literal, $change:literal, $message:literal;)*) => {
         $(
-            /// Symptom: a command that waits for ever, claims success or says nothing of use.
-            /// Sequence: it can't be done at all. Cause: each command has to tell, none is special.
+            /// Guards against a command that hangs, reports success or prints no useful message
+            /// although it can't be done. Every command has to report it, without exceptions.
             #[test]
             fn $name() {
                 let config = TempFile::new(concat!(stringify!($name), ".yaml"), CONFIG);
@@ -235,14 +239,14 @@
                     .iter()
                     .map(|option| match *option {
                         "EMPTY" => empty.path().to_owned(),
-                        "OTHER" => parrot("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"other\": 1}"),
+                        "OTHER" => serve_bytes("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n{\"other\": 1}"),
                         option => option.to_owned(),
                     })
                     .collect();
-                for (command, changes) in asking(config.path()) {
+                for (command, is_change) in daemon_commands(config.path()) {
                     let options = options.iter().map(String::as_str);
                     let args: Vec<&str> = options.chain(command).collect();
-                    let code = if changes { $change } else { $read };
+                    let code = if is_change { $change } else { $read };
                     let ran = ctl(&args).expect(code, $message);
                     assert_eq!(ran.stdout, "", "{args:?}");
                 }
@@ -251,85 +255,86 @@
     };
 }
 
-wrong_for_all! {
-    no_daemon_is_named: [""; 0] => 2, 2, "--daemon HOST:PORT";
-    no_daemon_answers: ["--daemon", NOBODY] => 1, 1, "Connection refused";
-    no_address: ["--daemon", "not an address"] => 2, 2, "HOST:PORT";
-    no_port: ["--daemon", "127.0.0.1"] => 2, 2, "HOST:PORT";
-    no_key_file: ["--daemon", NOBODY, "--key-file", "/nowhere"] => 2, 2, "/nowhere: No such file";
-    no_key_in_it: ["--daemon", NOBODY, "--key-file", "EMPTY"] => 2, 2, "not a key";
+option_tests! {
+    no_daemon_is_given: [""; 0] => 2, 2, "--daemon HOST:PORT";
+    no_daemon_answers: ["--daemon", NO_DAEMON] => 1, 1, "Connection refused";
+    invalid_address: ["--daemon", "not an address"] => 2, 2, "HOST:PORT";
+    address_without_a_port: ["--daemon", "127.0.0.1"] => 2, 2, "HOST:PORT";
+    missing_key_file: ["--daemon", NO_DAEMON, "--key-file", "/nowhere"]
+        => 2, 2, "/nowhere: No such file";
+    empty_key_file: ["--daemon", NO_DAEMON, "--key-file", "EMPTY"] => 2, 2, "not a key";
     another_release: ["--daemon", "OTHER"] => 1, 3, "of another release?";
-    no_daemon_then_another_release: ["--daemon", NOBODY, "--daemon", "OTHER"]
+    unreachable_daemon_then_another_release: ["--daemon", NO_DAEMON, "--daemon", "OTHER"]
         => 1, 3, "of another release?";
 }
 
-/// Names what stands in place of a file that a command reads.
-macro_rules! wrong_files {
+/// Tests given as the invalid content of an input file and a part of the message.
+macro_rules! file_tests {
     ($($name:ident: $text:expr => $message:literal;)*) => {
         $(
             #[test]
             fn $name() {
-                let wrong = TempFile::new(concat!(stringify!($name), ".yaml"), $text);
+                let invalid = TempFile::new(concat!(stringify!($name), ".yaml"), $text);
                 let config = TempFile::new(concat!(stringify!($name), "-right.yaml"), CONFIG);
-                let (wrong, right) = (wrong.path(), config.path());
+                let (invalid, valid) = (invalid.path(), config.path());
                 for args in [
-                    &["check", wrong][..],
-                    &["accept", wrong],
-                    &["accept", wrong, "--base", "1"],
-                    &["diff", wrong],
-                    &["diff", wrong, right],
-                    &["diff", right, wrong],
+                    &["check", invalid][..],
+                    &["accept", invalid],
+                    &["accept", invalid, "--base", "1"],
+                    &["diff", invalid],
+                    &["diff", invalid, valid],
+                    &["diff", valid, invalid],
                 ] {
-                    let args = [&["--daemon", NOBODY], args].concat();
-                    // Of a file and a daemon that are both wrong, the one that is asked first is
-                    // told, and a file is read before anything is sent.
+                    let args = [&["--daemon", NO_DAEMON], args].concat();
+                    // The daemon is unreachable as well; the first one accessed is reported. Files
+                    // come first, but `diff` of one file fetches the version in force before it.
                     let code = if args.len() == 4 && args[2] == "diff" { 1 } else { 2 };
                     let message = if code == 1 { "no daemon answered" } else { $message };
                     let ran = ctl(&args).expect(code, message);
                     assert_eq!(ran.stdout, "", "{args:?}");
                 }
                 for args in [
-                    &["check", right, "--blocks", wrong][..],
-                    &["accept", right, "--blocks", wrong, "--base", "1"],
+                    &["check", valid, "--blocks", invalid][..],
+                    &["accept", valid, "--blocks", invalid, "--base", "1"],
                 ] {
-                    ctl(&[&["--daemon", NOBODY], args].concat()).expect(2, wrong);
+                    ctl(&[&["--daemon", NO_DAEMON], args].concat()).expect(2, invalid);
                 }
             }
         )*
     };
 }
 
-wrong_files! {
-    a_file_that_ends_in_the_middle: b"name: small\nregions: [{id: arusha, fail" => ":3:1: syntax";
-    a_file_that_is_no_yaml: b"name: [1, {\n" => ".yaml";
-    a_file_of_another_kind: b"- 1\n- 2\n" => ":1:1";
-    a_file_without_text: &[0xff, 0xfe, 0x00] => "UTF-8";
+file_tests! {
+    a_truncated_file: b"name: small\nregions: [{id: arusha, fail" => ":3:1: syntax";
+    a_file_that_is_not_yaml: b"name: [1, {\n" => ".yaml";
+    a_file_with_a_list: b"- 1\n- 2\n" => ":1:1";
+    a_file_that_is_not_text: &[0xff, 0xfe, 0x00] => "UTF-8";
 }
 
-/// Runs `jasminectl` to its end, its results and messages going somewhere.
-fn ctl_into(args: &[&str], results: Stdio, messages: Stdio) -> Ran {
+/// Runs `jasminectl` until it exits, with these streams as standard output and error.
+fn ctl_into(args: &[&str], stdout: Stdio, stderr: Stdio) -> RunResult {
     let mut command = command(args);
-    end_of(command.stdout(results).stderr(messages).spawn().unwrap())
+    wait_for_exit(command.stdout(stdout).stderr(stderr).spawn().unwrap())
 }
 
-/// A stream that nobody reads any more.
-fn closed() -> Stdio {
+/// Output stream whose reader is closed.
+fn closed_stdio() -> Stdio {
     let (_reader, writer) = UnixStream::pair().unwrap();
     OwnedFd::from(writer).into()
 }
 
-/// Symptom: a script goes on although the result is lost, or a command dies in the middle of its
-/// change. Sequence: standard output is a full disk, or its reader is gone. Cause: a failed write
-/// of the result, or of progress, is taken for none, or for the end.
+/// Guards against a lost result with exit code 0, and against a command that dies in the middle of
+/// its change. Standard output is a full disk, or its reader has closed the stream: a failed write
+/// of the result must be reported, and a failed write of progress must not end the command.
 #[test]
-fn results_that_are_not_taken_are_told() {
+fn write_errors_of_results_are_reported() {
     let config = TempFile::new("taken.yaml", CONFIG);
-    let full = || std::fs::File::create("/dev/full").unwrap();
+    let full_disk = || std::fs::File::create("/dev/full").unwrap();
     for command in [&["check", config.path()][..], &["completions", "bash"]] {
-        let ran = ctl_into(command, full().into(), Stdio::piped());
+        let ran = ctl_into(command, full_disk().into(), Stdio::piped());
         ran.expect(3, "done, but the result can't be written");
-        ctl_into(command, closed(), Stdio::piped()).expect(0, "");
+        ctl_into(command, closed_stdio(), Stdio::piped()).expect(0, "");
     }
-    let change = ["--daemon", NOBODY, "drain", "start", "region:arusha"];
-    ctl_into(&change, Stdio::piped(), closed()).expect(1, "");
+    let change = ["--daemon", NO_DAEMON, "drain", "start", "region:arusha"];
+    ctl_into(&change, Stdio::piped(), closed_stdio()).expect(1, "");
 }
--- a/crates/ctl/tests/routes.rs
+++ b/crates/ctl/tests/routes.rs
@@ -1,4 +1,4 @@
-//! `jasminectl routes` against a stand-in platform, in each of its outages.
+//! Tests of `jasminectl routes` against a stand-in platform, with its faults.
 
 #[path = "support/mod.rs"]
 #[expect(dead_code, reason = "shared with the tests that need daemons")]
@@ -25,7 +25,7 @@
 };
 use support::{
     ctl,
-    Ran,
+    RunResult,
     TempFile, //
 };
 
@@ -47,15 +47,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         thread::spawn(move || {
-            let served = actix_rt::System::new().block_on(async move {
+            let result = actix_rt::System::new().block_on(async move {
                 platform::serve_with(listener, ListContent::default())?.await
             });
-            served.unwrap();
+            result.unwrap();
         });
         Self(addr)
     }
 
-    fn run(&self, args: &[&str]) -> Ran {
+    fn run(&self, args: &[&str]) -> RunResult {
         let url = format!("http://{}", self.0);
         ctl(&[
             &["--request-timeout-s", "5", "routes"],
@@ -65,7 +65,7 @@
         .concat())
     }
 
-    /// Makes this part of the table's calls meet a fault; of two calls a half is the second.
+    /// Applies a fault to this ratio of the table's calls; with 0.5, of two calls the second.
     fn set_fault(&self, kind: Kind, ratio: f64) {
         let table = Some(Fault {
             kind,
@@ -90,17 +90,20 @@
     }
 }
 
-fn file(name: &str, version: u64) -> TempFile {
+fn routes_file(name: &str, version: u64) -> TempFile {
     TempFile::new(name, routes(version).as_bytes())
 }
 
 #[test]
-fn routes_are_accepted_by_rising_versions() {
+fn routes_are_accepted_in_increasing_versions() {
     let platform = Platform::start();
     platform
         .run(&["show"])
         .expect(1, "no routes are in force yet");
-    let (first, second) = (file("rising-1.yaml", 4), file("rising-2.yaml", 7));
+    let (first, second) = (
+        routes_file("rising-1.yaml", 4),
+        routes_file("rising-2.yaml", 7),
+    );
     platform
         .run(&["accept", first.path()])
         .expect(0, "version 4: accepted");
@@ -121,7 +124,7 @@
 }
 
 #[test]
-fn routes_with_findings_reach_no_table() {
+fn routes_with_findings_are_not_written() {
     let platform = Platform::start();
     let text = routes(3).replace("service: menu, weight", "service: soup, weight");
     let bad = TempFile::new("findings.yaml", text.as_bytes());
@@ -148,12 +151,12 @@
         .expect(0, "moshi-a: in use\n");
 }
 
-/// Symptom: an operator is told that a change failed which entries then follow. Sequence: the table takes
-/// the change, its answer is lost. Cause guarded against: taking no answer for a refusal.
+/// Guards against a change that is reported as failed although entries follow it: the table commits
+/// the change and its response is lost, which must not be taken for a refusal.
 #[test]
-fn a_lost_answer_is_unknown_and_may_be_repeated() {
+fn a_lost_response_is_unknown_and_may_be_repeated() {
     let platform = Platform::start();
-    let first = file("lost.yaml", 1);
+    let first = routes_file("lost.yaml", 1);
     platform.set_fault(Kind::LostAnswer, 0.5);
     platform
         .run(&["accept", first.path()])
@@ -167,7 +170,7 @@
 #[test]
 fn an_outage_changes_nothing() {
     let platform = Platform::start();
-    let first = file("outage.yaml", 1);
+    let first = routes_file("outage.yaml", 1);
     for ratio in [1.0, 0.5] {
         platform.set_fault(Kind::Down, ratio);
         platform
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real `jasminectl` against a rig.
+//! Helpers that run the `jasminectl` binary, alone or against a rig.
 
 use rig::Rig;
 use serde_json::Value;
@@ -13,30 +13,30 @@
     },
 };
 
-/// What a run of `jasminectl` came to.
+/// Exit code and output of a run of `jasminectl`.
 #[derive(Debug)]
-pub(crate) struct Ran {
+pub(crate) struct RunResult {
     pub(crate) code: i32,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
 }
 
-impl Ran {
+impl RunResult {
     /// Standard output as JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.stdout).unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
 
-    /// Checks the exit code and that the message names something.
+    /// Asserts the exit code and that the output contains `message`.
     pub(crate) fn expect(self, code: i32, message: &str) -> Self {
         assert_eq!(self.code, code, "{self:?}");
-        let all = format!("{}{}", self.stdout, self.stderr);
-        assert!(all.contains(message), "no `{message}` in {self:?}");
+        let output = format!("{}{}", self.stdout, self.stderr);
+        assert!(output.contains(message), "no `{message}` in {self:?}");
         self
     }
 }
 
-impl From<Output> for Ran {
+impl From<Output> for RunResult {
     fn from(output: Output) -> Self {
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
         Self {
@@ -47,10 +47,10 @@
     }
 }
 
-/// `jasminectl` with these arguments, without any input.
+/// Command that runs `jasminectl` with these arguments and an empty standard input.
 pub(crate) fn command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_jasminectl"));
-    // Nothing of the tester's own surroundings may decide.
+    // The environment of the test run must not affect the results.
     for variable in [
         "JASMINE_AUTHOR",
         "JASMINE_DAEMON",
@@ -63,13 +63,13 @@
     command
 }
 
-/// Runs `jasminectl` to its end.
-pub(crate) fn ctl(args: &[&str]) -> Ran {
+/// Runs `jasminectl` until it exits.
+pub(crate) fn ctl(args: &[&str]) -> RunResult {
     command(args).output().unwrap().into()
 }
 
-/// Starts `jasminectl` and goes on.
-pub(crate) fn ctl_beside(args: &[&str]) -> Child {
+/// Starts `jasminectl` without waiting for its exit.
+pub(crate) fn spawn_ctl(args: &[&str]) -> Child {
     command(args)
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -77,18 +77,18 @@
         .unwrap()
 }
 
-/// Waits for the end of what [`ctl_beside`] started.
-pub(crate) fn end_of(child: Child) -> Ran {
+/// Waits for the exit of a process that [`spawn_ctl`] started.
+pub(crate) fn wait_for_exit(child: Child) -> RunResult {
     child.wait_with_output().unwrap().into()
 }
 
 /// Runs `jasminectl` against one daemon of a rig.
-pub(crate) fn ctl_at(rig: &Rig, id: &str, args: &[&str]) -> Ran {
+pub(crate) fn ctl_at(rig: &Rig, id: &str, args: &[&str]) -> RunResult {
     let daemon = rig.daemons[id].operator.as_str();
     ctl(&[&["--daemon", daemon, "--author", "tester"], args].concat())
 }
 
-/// A file that is gone when the test ends.
+/// Temporary file that is removed on drop.
 pub(crate) struct TempFile(pub(crate) PathBuf);
 
 impl TempFile {
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -1,4 +1,4 @@
-//! `jasminectl` against real daemons, with the platform's faults.
+//! Tests of `jasminectl` against real daemons, with and without faults of the platform.
 
 mod support;
 
@@ -21,20 +21,20 @@
 use support::{
     ctl,
     ctl_at,
-    ctl_beside,
-    end_of,
-    Ran,
+    spawn_ctl,
+    wait_for_exit,
+    RunResult,
     TempFile, //
 };
 
-/// Bound on waits for things that take well under a tenth of it.
-const GENEROUS: Duration = Duration::from_secs(60);
+/// Timeout of waits for conditions that normally take less than a tenth of it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn one_region() -> Rig {
     Rig::start(Layout::one_region()).unwrap()
 }
 
-/// The rig's configuration with another name, in a file.
+/// File with the rig's configuration under another name.
 fn config_named(rig: &Rig, name: &str) -> TempFile {
     let text = rig.layout.config();
     let text = text.replace("name: rig", &format!("name: {name}"));
@@ -46,27 +46,30 @@
     reply.body["version"].as_u64().unwrap_or(0)
 }
 
-/// Newest version by the table.
-fn newest(rig: &Rig) -> u64 {
+/// Newest version in the platform's table.
+fn newest_version(rig: &Rig) -> u64 {
     let reply = rig.operator("arusha-0", "/op/v1/history?limit=1", None);
     let version = reply.body[0]["version"].as_u64();
     version.unwrap_or_else(|| panic!("{reply:?}"))
 }
 
-fn wait_for(what: &str, mut is_so: impl FnMut() -> bool) {
-    let end = Instant::now() + GENEROUS;
-    while !is_so() {
-        assert!(Instant::now() < end, "{what}: not within {GENEROUS:?}");
+fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !is_met() {
+        assert!(
+            Instant::now() < deadline,
+            "{condition}: not within {WAIT_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn table_fault(rig: &Rig, kind: &str) {
+fn set_table_fault(rig: &Rig, kind: &str) {
     rig.fault_platform(&json!({"table": {"kind": kind}}));
 }
 
-/// The command after `run next:`, without the program.
-fn next_command(ran: &Ran) -> Vec<String> {
+/// Arguments of the command after `run next:`.
+fn next_command(ran: &RunResult) -> Vec<String> {
     let line = ran
         .stderr
         .lines()
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn a_configuration_goes_its_whole_way() {
+fn a_configuration_is_compared_accepted_and_listed() {
     let _turn = turn();
     let rig = one_region();
     let file = config_named(&rig, "second");
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn targets_and_drains_are_accepts() {
+fn targets_and_drains_create_versions() {
     let _turn = turn();
     let rig = one_region();
     let at = |args: &[&str]| ctl_at(&rig, "arusha-0", args);
@@ -146,11 +149,10 @@
     assert_eq!(version(&rig, "arusha-1"), 4);
 }
 
-/// Symptom: a drain of a domain shows as done while work is still there. Sequence: a request is
-/// at an upstream, a drain of the upstream's domain starts. Cause: each daemon knows only its own
-/// requests, so that the one asked has nothing in flight; all have to be asked.
+/// Guards against a drain that shows as done while a request is in flight in its domain. Each
+/// daemon knows only its own requests, so the command has to query all daemons.
 #[test]
-fn what_is_in_flight_is_counted_over_all_daemons() {
+fn requests_in_flight_are_counted_over_all_daemons() {
     let _turn = turn();
     let rig = one_region();
     for index in 0..3 {
@@ -160,26 +162,27 @@
         );
     }
     let callers = rig.daemons["arusha-1"].callers.clone();
-    let (answers, answered) = std::sync::mpsc::channel();
+    let (response_sender, responses) = std::sync::mpsc::channel();
     let work = thread::spawn(move || {
         let mut stream = std::net::TcpStream::connect(callers).unwrap();
         let head = "GET /v1/work/menu/slow HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
         std::io::Write::write_all(&mut stream, head.as_bytes()).unwrap();
-        let answer = std::io::read_to_string(stream).unwrap();
-        answers.send(answer).unwrap();
+        let response = std::io::read_to_string(stream).unwrap();
+        response_sender.send(response).unwrap();
     });
-    // An entry whose slots aren't settled yet hands the request to the other one, which then uses one.
+    // An entry whose slots are not settled yet hands the request to the other entry, which then
+    // uses a slot.
     let in_flight = || {
         let used = |id: &str| {
             let status = rig.operator(id, "/op/v1/status", None).body;
             status["pools"][0]["slots"]["used"].as_u64()
         };
-        let all: u64 = ["arusha-0", "arusha-1"].into_iter().filter_map(used).sum();
-        // A request that was answered already never shows, however long the wait.
-        if let Ok(answer) = answered.try_recv() {
-            panic!("answered before it showed: {answer}");
+        let total: u64 = ["arusha-0", "arusha-1"].into_iter().filter_map(used).sum();
+        // A request that was answered already will not show as in flight.
+        if let Ok(response) = responses.try_recv() {
+            panic!("answered before it was in flight: {response}");
         }
-        all == 1
+        total == 1
     };
     wait_for("a request in flight", in_flight);
     let at = |args: &[&str]| ctl_at(&rig, "arusha-0", args);
@@ -204,64 +207,62 @@
     wait_for("nothing in flight", idle);
 }
 
-/// Symptom: an operator's change is gone and nobody was told. Sequence: two operators read the
-/// same version and accept one after the other. Cause: the later one would be written over the
-/// earlier; its base has to be checked.
+/// Guards against a lost update: two operators read the same version and accept one after the
+/// other. Without a check of its base, the later accept would silently replace the earlier one.
 #[test]
-fn of_two_operators_on_one_base_the_later_is_told() {
+fn the_later_of_two_accepts_on_one_base_is_refused() {
     let _turn = turn();
     let rig = one_region();
-    let [one, two] = ["one", "two"].map(|name| config_named(&rig, name));
+    let [earlier, later] = ["one", "two"].map(|name| config_named(&rig, name));
     ctl_at(
         &rig,
         "arusha-0",
-        &["accept", one.path(), "--base", "1", "--author", "first"],
+        &["accept", earlier.path(), "--base", "1", "--author", "first"],
     )
     .expect(0, "version 2");
     for id in ["arusha-0", "arusha-1"] {
-        let ran = ctl_at(&rig, id, &["accept", two.path(), "--base", "1"])
+        let ran = ctl_at(&rig, id, &["accept", later.path(), "--base", "1"])
             .expect(1, "first made version 2 meanwhile");
         assert!(ran.stderr.contains("name rig -> one"), "{ran:?}");
     }
     assert_eq!(version(&rig, "arusha-0"), 2);
-    ctl_at(&rig, "arusha-0", &["accept", two.path(), "--base", "9"]).expect(1, "no version 9");
+    ctl_at(&rig, "arusha-0", &["accept", later.path(), "--base", "9"]).expect(1, "no version 9");
 }
 
-/// Symptom: a drain asked for by one operator is lost when another starts one at the same time.
-/// Sequence: several drains start at once through two daemons. Cause: each is an accept, and all
-/// but one are raced; they commute, so they are made again on what is in force by then.
+/// Guards against drains that are lost when several start at once through two daemons. Each is an
+/// accept, and all but one lose the race; as drains commute, they are retried on the new version.
 #[test]
-fn drains_at_once_all_come_into_force() {
+fn concurrent_drains_all_come_into_force() {
     let _turn = turn();
     let rig = one_region();
     let targets = ["upstream:u1", "upstream:u2", "upstream:u3", "upstream:u4"];
-    let started: Vec<_> = targets
+    let children: Vec<_> = targets
         .iter()
         .enumerate()
         .map(|(index, target)| {
             let daemon = &rig.daemons[&format!("arusha-{}", index % 2)].operator;
-            ctl_beside(&["--daemon", daemon, "drain", "start", target, "--wait"])
+            spawn_ctl(&["--daemon", daemon, "drain", "start", target, "--wait"])
         })
         .collect();
-    for child in started {
-        end_of(child).expect(0, "accepted as version");
+    for child in children {
+        wait_for_exit(child).expect(0, "accepted as version");
     }
     let ran = ctl_at(&rig, "arusha-0", &["--output", "json", "drain", "status"]);
     assert_eq!(ran.json()["drains"].as_array().unwrap().len(), 4, "{ran:?}");
     assert_eq!(version(&rig, "arusha-0"), 5);
 }
 
-/// Symptom: an operator is told "not accepted", and the change comes into force. Sequence: a part
-/// of the table's answers is lost, those of commits that took effect among them. Cause: a lost
-/// answer says nothing; only a read of the accept id's row does.
+/// Guards against a change that is reported as not accepted and comes into force all the same. Some
+/// of the table's responses are lost, also those of commits that took effect; only a read of the
+/// accept id's row shows whether the change was accepted.
 #[test]
-fn a_lost_answer_ends_as_a_truth() {
+fn a_lost_response_never_gives_a_false_outcome() {
     let _turn = turn();
     let rig = one_region();
     for (index, ratio) in [0.3, 0.5, 0.6, 0.8, 1.0].into_iter().enumerate() {
         let id = format!("lost-{index}");
         let file = config_named(&rig, &id);
-        let base = newest(&rig);
+        let base = newest_version(&rig);
         let base_text = base.to_string();
         let accept = [
             "accept",
@@ -273,35 +274,35 @@
         ];
         rig.fault_platform(&json!({"table": {"kind": "lost-answer", "ratio": ratio}}));
         let ran = ctl_at(&rig, "arusha-0", &accept);
-        table_fault(&rig, "none");
+        set_table_fault(&rig, "none");
         match ran.code {
-            0 => assert_eq!(newest(&rig), base + 1, "{ran:?}"),
+            0 => assert_eq!(newest_version(&rig), base + 1, "{ran:?}"),
             1 => {
                 let ran = ran.expect(1, "nothing was changed");
-                assert_eq!(newest(&rig), base, "{ran:?}");
+                assert_eq!(newest_version(&rig), base, "{ran:?}");
             }
             _ => {
                 let next = next_command(&ran.expect(3, "run next: jasminectl"));
                 let next: Vec<&str> = next.iter().map(String::as_str).collect();
-                let was_done = newest(&rig) == base + 1;
-                let how = if was_done {
+                let was_accepted = newest_version(&rig) == base + 1;
+                let message = if was_accepted {
                     "by an earlier request"
                 } else {
                     "accepted as"
                 };
-                ctl(&next).expect(0, how);
-                assert_eq!(newest(&rig), base + 1);
+                ctl(&next).expect(0, message);
+                assert_eq!(newest_version(&rig), base + 1);
             }
         }
     }
-    let newest = newest(&rig);
-    wait_for("the other has it", || version(&rig, "arusha-1") == newest);
+    let newest = newest_version(&rig);
+    wait_for("newest adopted", || version(&rig, "arusha-1") == newest);
 }
 
-/// Symptom: a repeat of an accept makes a second version. Sequence: an operator repeats a command
-/// whose answer he did not get. Cause: without the accept id's row the repeat is a new accept.
+/// Guards against a second version from the repeat of an accept whose response was lost. Without
+/// the accept id's row, the repeat would be a new accept.
 #[test]
-fn a_repeat_says_that_it_was_done_before() {
+fn a_repeat_reports_the_earlier_accept() {
     let _turn = turn();
     let rig = one_region();
     let file = config_named(&rig, "repeated");
@@ -321,7 +322,7 @@
     ctl_at(&rig, "arusha-1", &drain).expect(0, "accepted as version 3");
     ctl_at(&rig, "arusha-0", &drain).expect(0, "accepted already by an earlier request");
     ctl_at(&rig, "arusha-0", &["drain", "stop", "upstream:u1"]).expect(0, "version 4");
-    // The drain was stopped since, yet the truth about this request is that it was accepted.
+    // The drain was stopped since, but this request was accepted as version 3.
     ctl_at(&rig, "arusha-0", &drain).expect(0, "as version 3");
 
     let other = config_named(&rig, "other");
@@ -330,16 +331,15 @@
     assert_eq!(version(&rig, "arusha-0"), 4);
 }
 
-/// Symptom: an operator waits for ever, or is told of a success that is none. Sequence: the
-/// platform is down, or frozen, when an accept is asked for. Cause: no version can be made then,
-/// and that is what has to be said, within the client's time.
+/// Guards against a command that hangs or reports success while the platform is down or frozen. No
+/// version can be accepted then, which has to be reported within the client's timeout.
 #[test]
-fn an_outage_of_the_platform_is_told_and_changes_nothing() {
+fn an_outage_of_the_platform_is_reported_and_changes_nothing() {
     let _turn = turn();
     let rig = one_region();
     let file = config_named(&rig, "outage");
     for kind in ["down", "freeze"] {
-        table_fault(&rig, kind);
+        set_table_fault(&rig, kind);
         let at = |args: &[&str]| ctl_at(&rig, "arusha-0", args);
         at(&["accept", file.path(), "--base", "1"]).expect(1, "nothing was changed");
         at(&["drain", "start", "region:arusha"]).expect(1, "nothing was changed");
@@ -348,25 +348,25 @@
         at(&["status"]).expect(0, "version 1");
         at(&["target", "show"]).expect(0, "version 1");
         at(&["drain", "status"]).expect(0, "none");
-        table_fault(&rig, "none");
+        set_table_fault(&rig, "none");
     }
     assert_eq!(version(&rig, "arusha-1"), 1);
     ctl_at(&rig, "arusha-0", &["accept", file.path(), "--wait"]).expect(0, "version 2");
 }
 
-/// Symptom: a command hangs or claims success when its daemon dies. Sequence: the daemon is killed
-/// while `--wait` polls it. Cause: another one that was named can answer as well.
+/// Guards against a command that hangs or reports a false success when its daemon is dead. Another
+/// daemon of the list can respond as well.
 #[test]
-fn a_daemon_that_dies_is_replaced_by_the_next_named() {
+fn a_dead_daemon_is_replaced_by_the_next_in_the_list() {
     let _turn = turn();
     let mut rig = one_region();
     let file = config_named(&rig, "next");
     let daemons = ["arusha-0", "arusha-1"].map(|id| rig.daemons[id].operator.clone());
-    let named = daemons.join(",");
+    let addrs = daemons.join(",");
     rig.kill("arusha-0");
     let ran = ctl(&[
         "--daemon",
-        &named,
+        &addrs,
         "accept",
         file.path(),
         "--wait",
@@ -374,15 +374,15 @@
         "60",
     ]);
     let ran = ran.expect(0, "accepted as version 2");
-    // The killed one is silent; once its lease has lapsed nobody waits for it.
+    // The killed daemon never confirms; once its lease has lapsed, the wait no longer includes it.
     assert!(ran.stdout.contains("lease has lapsed: arusha-0"), "{ran:?}");
 }
 
-/// Symptom: `accept --wait` says that a version is in force everywhere while a daemon still runs
-/// on the one before. Sequence: a daemon is frozen when a version is accepted. Cause: a daemon that
-/// can't be heard is not one that has confirmed.
+/// Guards against `accept --wait` reporting a version as in force everywhere while a daemon still
+/// runs on the previous one. A daemon is frozen during the accept; unreachable, but with its lease
+/// not lapsed, it counts as not having confirmed.
 #[test]
-fn a_wait_names_who_has_not_confirmed() {
+fn a_wait_names_the_daemons_that_have_not_confirmed() {
     let _turn = turn();
     let mut rig = Rig::start(Layout {
         terms: {
@@ -413,9 +413,9 @@
     ctl(&next).expect(0, "in force at all 2 live instances");
 }
 
-/// Symptom: a daemon goes on with an old version for as long as it can't reach the platform.
-/// Sequence: one daemon's way to the platform is cut, then a version is accepted elsewhere. Cause:
-/// the head's row is not the only source; heartbeats tell of the version and a peer has the body.
+/// Guards against a daemon that keeps an old version for as long as it can't reach the platform.
+/// Its connection to the platform is cut before a version is accepted at its peer. The head's row
+/// is not the only source: heartbeats announce the version, and the peer has the body.
 #[test]
 fn a_daemon_cut_from_the_platform_adopts_through_its_peer() {
     let _turn = turn();
@@ -439,9 +439,8 @@
     assert_eq!(version(&rig, "arusha-1"), 4);
 }
 
-/// Symptom: a replaced instance stays out while the object store is down, although every other
-/// daemon has all that it needs. Sequence: the store goes down, then a daemon is killed and started
-/// anew. Cause: body, snapshot and differences can come from peers; the table still has the lease.
+/// Guards against a restarted daemon that does not become ready while the object store is down. It
+/// can get the body, the snapshot and the differences from its peers, and its lease from the table.
 #[test]
 fn a_new_daemon_gets_all_objects_from_peers() {
     let _turn = turn();
@@ -459,9 +458,9 @@
     assert_eq!(version(&rig, "arusha-1"), 3);
 }
 
-/// Symptom: an accepted version takes as long as the platform is slow to reach each daemon.
-/// Sequence: each call of the platform takes a second and a half. Cause: only the daemon that
-/// accepts needs the platform; the others hear of the version and fetch it from it.
+/// Guards against a slow platform, here 1.5 s per call, that delays an accepted version at each
+/// daemon. Only the accepting daemon needs the platform; the others learn of the version and fetch
+/// it from that daemon.
 #[test]
 fn a_slow_platform_delays_only_the_accept() {
     let _turn = turn();
@@ -478,7 +477,7 @@
 }
 
 #[test]
-fn without_the_key_no_command_is_answered() {
+fn commands_without_the_key_are_refused() {
     let _turn = turn();
     let key = "the-operators-key-of-the-rig";
     let rig = Rig::start(Layout {
@@ -487,8 +486,8 @@
     })
     .unwrap();
     let file = config_named(&rig, "key");
-    let right = TempFile::new("right.key", format!("{key}\n").as_bytes());
-    let wrong = TempFile::new("wrong.key", b"another-key-of-the-same-sort\n");
+    let right_key = TempFile::new("right.key", format!("{key}\n").as_bytes());
+    let wrong_key = TempFile::new("wrong.key", b"another-key-of-the-same-sort\n");
     let commands: [&[&str]; 15] = [
         &["accept", file.path()],
         &["accept", file.path(), "--base", "1"],
@@ -507,16 +506,16 @@
         &["accept", file.path(), "--base", "1", "--wait"],
     ];
     for command in commands {
-        for keys in [&[][..], &["--key-file", wrong.path()]] {
+        for keys in [&[][..], &["--key-file", wrong_key.path()]] {
             let ran = ctl_at(&rig, "arusha-0", &[keys, command].concat())
                 .expect(1, "the operators' key is missing or wrong");
             assert!(!ran.stderr.contains("another-key"), "{ran:?}");
         }
     }
     assert_eq!(version(&rig, "arusha-0"), 1);
-    let with_key = ["--key-file", right.path(), "accept", file.path()];
+    let with_key = ["--key-file", right_key.path(), "accept", file.path()];
     ctl_at(&rig, "arusha-0", &with_key).expect(0, "version 2");
-    let empty = TempFile::new("empty.key", b"\n");
-    let with_empty = ["--key-file", empty.path(), "status"];
+    let empty_key = TempFile::new("empty.key", b"\n");
+    let with_empty = ["--key-file", empty_key.path(), "status"];
     ctl_at(&rig, "arusha-0", &with_empty).expect(2, "not a key");
 }
