--- a/crates/standin/src/bin/standin-link.rs
+++ b/crates/standin/src/bin/standin-link.rs
@@ -1,4 +1,4 @@
-//! Links as a process; see [`standin::link`].
+//! Runs link stand-ins as a process; see [`standin::link`].
 
 use clap::Parser;
 use standin::link::{
@@ -13,7 +13,7 @@
 
 /// Stand-in for the links between regions.
 ///
-/// Prints `listening NAME ADDR` for each and `listening control ADDR` last.
+/// Prints `listening NAME ADDR` for each relay and `listening control ADDR` last.
 #[derive(Parser)]
 struct Args {
     /// A relay: `name=…,from=…,to=…[,delay_us=…][,bytes_per_s=…]`.
@@ -25,15 +25,15 @@
     /// Address that the relay named `link` connects to.
     #[arg(long)]
     to: Option<String>,
-    /// Delay of each of its directions, in microseconds.
+    /// Delay of each direction of the relay named `link`, in microseconds.
     #[arg(long, default_value_t = 0)]
     delay_us: u64,
-    /// Where to serve faults and counters.
+    /// Address of the control interface, which sets faults and returns counters.
     #[arg(long, default_value = "127.0.0.1:0")]
     control: String,
 }
 
-/// Relays until the process is ended.
+/// Runs the relays until the process is terminated.
 #[actix_web::main]
 async fn main() -> eyre::Result<()> {
     let args = Args::parse();
--- a/crates/standin/src/bin/standin-platform.rs
+++ b/crates/standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table, objects and list as a process; see [`standin::platform`].
+//! Runs the platform stand-in as a process; see [`standin::platform`].
 
 use clap::Parser;
 use std::{
@@ -10,15 +10,15 @@
 /// Stand-in for the platform's table, object store and list.
 #[derive(Parser)]
 struct Args {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: String,
-    /// JSON file with the `instances` and `upstreams` to begin with.
+    /// JSON file with the initial `instances` and `upstreams`.
     #[arg(long)]
     list: Option<PathBuf>,
 }
 
-/// Serves until the process is ended.
+/// Serves until the process is terminated.
 #[actix_web::main]
 async fn main() -> eyre::Result<()> {
     let args = Args::parse();
--- a/crates/standin/src/bin/standin-upstream.rs
+++ b/crates/standin/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams as a process; see [`standin::upstream`].
+//! Runs upstream stand-ins as a process; see [`standin::upstream`].
 
 use clap::Parser;
 use futures_util::future;
@@ -15,24 +15,24 @@
 
 /// Stand-in for upstreams.
 ///
-/// Prints `listening ID ADDR` for each and `listening control ADDR` last.
+/// Prints `listening ID ADDR` for each upstream and `listening control ADDR` last.
 #[derive(Parser)]
 struct Args {
     /// An upstream: `id=…,service=…,region=…,domain=…,slots=…[,listen=…][,service_ms=…]…`.
     #[arg(long = "upstream")]
     upstreams: Vec<Spec>,
-    /// JSON file with an array of upstreams of the same fields.
+    /// JSON file with an array of upstreams, as objects with the same fields.
     #[arg(long)]
     spec: Option<PathBuf>,
-    /// Where to serve faults and records of all of them.
+    /// Address of the control interface, which sets faults and returns records of all upstreams.
     #[arg(long, default_value = "127.0.0.1:0")]
     control: String,
-    /// URL of the platform whose list they enter.
+    /// URL of the platform to whose list the upstreams are added.
     #[arg(long)]
     platform: Option<String>,
 }
 
-/// Serves until the process is ended.
+/// Serves until the process is terminated.
 #[actix_web::main]
 async fn main() -> eyre::Result<()> {
     let args = Args::parse();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,13 +1,15 @@
 //! Test stand-ins for the platform, upstreams and links; never shipped.
 //!
-//! Each part has its logic here, so that tests run it in their own process, and a thin binary
-//! around it: [`platform`] is the table, object store and list; [`upstream`] does work and records
-//! what it ran, the judge's truth; [`link`] is a TCP relay that delays, cuts and goes silent. Each
-//! has faults that a test switches on by HTTP; `docs/design/interfaces.md` has the requests.
+//! The logic of each stand-in is in this library, so that tests can run it in their own process;
+//! the binaries only parse arguments and start it. [`platform`] provides the table, the object
+//! store and the list. [`upstream`] serves requests and records which of them ran, as the ground
+//! truth for checks. [`link`] is a TCP relay that delays data, cuts connections or silently
+//! discards what they carry. Tests inject faults into each over HTTP; `docs/design/interfaces.md`
+//! describes the requests.
 //!
-//! Invariants: faults act on what is new after the answer to the request that set them, and a
-//! share of requests (`ratio`) is met by counting, not by chance, so that runs repeat. Recorded
-//! times are wall-clock milliseconds since the Unix epoch.
+//! Invariants: a fault applies to whatever arrives after the response to the request that set it.
+//! A fault with a `ratio` selects requests by counting, not at random, so that runs are
+//! reproducible. Recorded times are wall-clock milliseconds since the Unix epoch.
 
 use std::{
     io::{
@@ -26,23 +28,23 @@
     },
 };
 
-mod alarm;
 pub mod link;
 pub mod pattern;
 pub mod platform;
+mod timer;
 pub mod upstream;
 
-/// Milliseconds since the Unix epoch, by the wall clock.
+/// Current wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Tells whoever started this process where it listens: `listening [NAME ]ADDR`.
+/// Prints the listening address to standard output as `listening [NAME ]ADDR`.
 ///
 /// # Errors
 ///
-/// When standard output is closed.
+/// Fails if standard output is closed.
 pub fn announce(name: &str, addr: SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
     match name {
@@ -52,26 +54,26 @@
     out.flush()
 }
 
-/// Picks a share of a sequence evenly, by counting.
+/// Selects a given ratio of a sequence, evenly spaced and deterministic.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Share {
-    /// Sum of the ratios that no pick has used up.
-    due: f64,
+pub(crate) struct RatioSampler {
+    /// Sum of the ratios so far, minus one for each selected item.
+    accumulated: f64,
 }
 
-impl Share {
-    /// Whether the next one is picked, when `ratio` of all are to be.
-    pub(crate) fn meets(&mut self, ratio: f64) -> bool {
-        self.due += ratio;
-        let picked = self.due >= 1.0;
-        if picked {
-            self.due -= 1.0;
+impl RatioSampler {
+    /// Returns whether the next item is selected, given the ratio of items to select.
+    pub(crate) fn select(&mut self, ratio: f64) -> bool {
+        self.accumulated += ratio;
+        let selected = self.accumulated >= 1.0;
+        if selected {
+            self.accumulated -= 1.0;
         }
-        picked
+        selected
     }
 }
 
-/// Locks, also after a handler panicked.
+/// Locks a mutex, ignoring poisoning by a handler that panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/link/mod.rs
+++ b/crates/standin/src/link/mod.rs
@@ -1,12 +1,12 @@
-//! Links: TCP relays that delay, cut and go silent.
+//! TCP relays that simulate network links, with latency, limited bandwidth and faults.
 //!
-//! The delay is that of a long line, not of a slow one: what is read is queued with the time when
-//! it is due, so any number of chunks is on its way at once. `bytes_per_s` is the line's width,
-//! shared by all connections of one direction.
+//! The delay models propagation time, not bandwidth: each chunk read is queued with its arrival
+//! time, so the delay doesn't limit throughput until the queue of a connection is full. The
+//! bandwidth, `bytes_per_s`, is shared by all connections per direction.
 //!
-//! A fault finds its connections by watermarks: each fault begins a new epoch, each connection
-//! remembers the epoch in which it was made, and those made before a watermark are silent, or
-//! closed, for good. So no fault is missed, however soon another follows.
+//! Faults select connections by epoch. Each fault starts a new epoch, and each connection stores
+//! the epoch in which it was accepted. Connections of epochs before a watermark are permanently
+//! silent or closed. A connection therefore never misses a fault, even if another follows at once.
 
 use crate::lock;
 use actix_web::{
@@ -44,37 +44,38 @@
     time::sleep, //
 };
 
-mod pump;
+mod connection;
 
-/// Pause before the address of a cut relay is tried again.
-const RETRY: Duration = Duration::from_millis(10);
+/// Delay before accepting or binding is retried after an error.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// One relay; on the command line `name=…,from=…,to=…[,delay_us=…][,bytes_per_s=…]`.
+/// Configuration of a relay; on the command line
+/// `name=…,from=…,to=…[,delay_us=…][,bytes_per_s=…]`.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Name for faults and counters.
     pub name: String,
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub from: String,
     /// Address to connect to.
     pub to: String,
-    /// Delay of each direction.
+    /// Propagation delay of each direction.
     pub delay: Duration,
-    /// Width of each direction; 0 for no limit.
+    /// Bandwidth of each direction; 0 for no limit.
     pub bytes_per_s: u64,
 }
 
-/// What goes wrong on a link.
+/// Kind of fault of a link.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Nothing.
+    /// No fault.
     None,
     /// Connections close, and new ones are refused.
     Cut,
-    /// Connections made before go silent for good; new ones work.
+    /// Existing connections become permanently silent; new ones work.
     SilentOld,
-    /// Connections go silent for good, and so do new ones.
+    /// Existing and new connections become permanently silent.
     Blackhole,
 }
 
@@ -84,46 +85,46 @@
 pub struct Fault {
     /// Name of the relay.
     pub name: String,
-    /// What goes wrong.
+    /// Kind of fault.
     pub kind: Kind,
 }
 
-/// What a relay carried; the values of `GET /counters`, by name.
+/// Traffic counters of a relay; `GET /counters` returns them by relay name.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Counters {
     /// Connections accepted.
     pub connections: u64,
-    /// Bytes passed on towards `to`.
+    /// Bytes relayed towards `to`.
     pub forward_bytes: u64,
-    /// Bytes passed on back.
+    /// Bytes relayed back from `to`.
     pub back_bytes: u64,
-    /// Bytes swallowed.
+    /// Bytes discarded on silent connections.
     pub swallowed_bytes: u64,
 }
 
-/// One relay.
+/// A TCP relay.
 #[derive(Debug)]
 pub struct Relay {
-    /// What it is.
+    /// Configuration.
     spec: Spec,
-    /// Where it listens.
+    /// Listening address.
     addr: SocketAddr,
-    /// What goes wrong; watched by its connections.
-    state: watch::Sender<State>,
+    /// Fault state, watched by the connections.
+    state: watch::Sender<FaultState>,
     /// Connections accepted.
     connections: AtomicU64,
-    /// Both directions: towards `to`, and back.
+    /// The two directions: towards `to`, and back.
     directions: [Direction; 2],
-    /// Bytes swallowed.
-    swallowed_bytes: AtomicU64,
+    /// Bytes discarded on silent connections.
+    discarded_bytes: AtomicU64,
 }
 
-/// What goes wrong on a relay, and for whom.
+/// Fault of a relay and the connections that it affects.
 #[derive(Clone, Copy, Debug)]
-struct State {
-    /// What goes wrong.
+struct FaultState {
+    /// Kind of the current fault.
     kind: Kind,
-    /// Number of the last fault.
+    /// Number of faults set so far.
     epoch: u64,
     /// Connections of earlier epochs are silent.
     silent_before: u64,
@@ -134,28 +135,28 @@
 /// One direction of a relay.
 #[derive(Debug)]
 struct Direction {
-    /// Bytes passed on.
+    /// Bytes relayed.
     bytes: AtomicU64,
-    /// When the line is free again.
-    free_at: Mutex<Instant>,
+    /// Time at which the data queued so far has been sent at the configured bandwidth.
+    idle_at: Mutex<Instant>,
 }
 
 impl Relay {
-    /// Listens and relays, on the runtime that this is called on, as long as that runs.
+    /// Starts a relay that runs on the current runtime until that shuts down.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn start(spec: Spec) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind(&spec.from).await?;
         let direction = || Direction {
             bytes: AtomicU64::new(0),
-            free_at: Mutex::new(Instant::now()),
+            idle_at: Mutex::new(Instant::now()),
         };
         let relay = Arc::new(Self {
             addr: listener.local_addr()?,
             spec,
-            state: watch::Sender::new(State {
+            state: watch::Sender::new(FaultState {
                 kind: Kind::None,
                 epoch: 0,
                 silent_before: 0,
@@ -163,23 +164,23 @@
             }),
             connections: AtomicU64::new(0),
             directions: [direction(), direction()],
-            swallowed_bytes: AtomicU64::new(0),
+            discarded_bytes: AtomicU64::new(0),
         });
         tokio::spawn(Arc::clone(&relay).accept(listener));
         Ok(relay)
     }
 
-    /// Its name.
+    /// Returns the relay's name.
     pub fn name(&self) -> &str {
         &self.spec.name
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the current fault.
     pub fn set_fault(&self, kind: Kind) {
         self.state.send_modify(|state| {
             state.kind = kind;
@@ -192,18 +193,18 @@
         });
     }
 
-    /// What it carried.
+    /// Returns the traffic counters.
     pub fn counters(&self) -> Counters {
         let [forward, back] = &self.directions;
         Counters {
             connections: self.connections.load(Ordering::Relaxed),
             forward_bytes: forward.bytes.load(Ordering::Relaxed),
             back_bytes: back.bytes.load(Ordering::Relaxed),
-            swallowed_bytes: self.swallowed_bytes.load(Ordering::Relaxed),
+            swallowed_bytes: self.discarded_bytes.load(Ordering::Relaxed),
         }
     }
 
-    /// Accepts connections, but while the link is cut.
+    /// Accepts connections except while the link is cut.
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         let mut listener = Some(listener);
         let mut watcher = self.state.subscribe();
@@ -213,20 +214,20 @@
                 (Some(open), false) => tokio::select! {
                     accepted = open.accept() => match accepted {
                         Ok((stream, _)) => {
-                            tokio::spawn(pump::carry(Arc::clone(&self), stream));
+                            tokio::spawn(connection::relay_connection(Arc::clone(&self), stream));
                         }
-                        Err(_) => sleep(RETRY).await,
+                        Err(_) => sleep(RETRY_DELAY).await,
                     },
                     _ = watcher.changed() => {}
                 },
                 (None, false) => {
                     listener = TcpListener::bind(self.addr).await.ok();
                     if listener.is_none() {
-                        sleep(RETRY).await;
+                        sleep(RETRY_DELAY).await;
                     }
                 }
                 (_, true) => {
-                    // Closing the listener is what makes the kernel refuse connections.
+                    // The kernel refuses connections only once the listener is closed.
                     listener = None;
                     if watcher.changed().await.is_err() {
                         return;
@@ -255,22 +256,22 @@
                 Some(("to", value)) => spec.to = value.to_owned(),
                 Some(("delay_us", value)) => spec.delay = Duration::from_micros(value.parse()?),
                 Some(("bytes_per_s", value)) => spec.bytes_per_s = value.parse()?,
-                _ => eyre::bail!("`{field}` of `{text}` is no field of a relay"),
+                _ => eyre::bail!("invalid field `{field}` in relay `{text}`"),
             }
         }
-        eyre::ensure!(!spec.to.is_empty(), "`{text}` lacks `to`");
+        eyre::ensure!(!spec.to.is_empty(), "relay `{text}` has no `to` address");
         Ok(spec)
     }
 }
 
-/// The relays as the handlers share them.
+/// The relays, shared by the handlers.
 type Relays = web::Data<Vec<Arc<Relay>>>;
 
 /// Serves `POST /fault` and `GET /counters` for these relays, on a thread of its own.
 ///
 /// # Errors
 ///
-/// When the listener can't be used.
+/// Fails if the listener can't be used.
 pub fn control(listener: std::net::TcpListener, relays: Vec<Arc<Relay>>) -> io::Result<Server> {
     let server = HttpServer::new(move || {
         App::new()
@@ -285,7 +286,7 @@
     Ok(server)
 }
 
-/// Answers `POST /fault`.
+/// Handles `POST /fault`.
 async fn fault(relays: Relays, fault: web::Json<Fault>) -> HttpResponse {
     match relays.iter().find(|relay| relay.name() == fault.name) {
         Some(relay) => {
@@ -296,34 +297,34 @@
     }
 }
 
-/// Answers `GET /counters`.
+/// Handles `GET /counters`.
 async fn counters(relays: Relays) -> HttpResponse {
     let counters: BTreeMap<_, _> = relays.iter().map(|r| (r.name(), r.counters())).collect();
     HttpResponse::Ok().json(counters)
 }
 
 impl Direction {
-    /// When a chunk that is read now arrives at the other end of the line.
-    fn due(&self, spec: &Spec, len: usize) -> Instant {
+    /// Returns the time at which a chunk read now arrives at the other end of the link.
+    fn arrival_time(&self, spec: &Spec, len: usize) -> Instant {
         let now = Instant::now();
         if spec.bytes_per_s == 0 {
             return now + spec.delay;
         }
-        // A chunk's length is exact in a float; so is any width of a link.
-        let sending = Duration::from_secs_f64(len as f64 / spec.bytes_per_s as f64);
-        let mut free_at = lock(&self.free_at);
-        *free_at = now.max(*free_at) + sending;
-        *free_at + spec.delay
+        // Chunk lengths and realistic bandwidths are far below 2^52, so the conversions are exact.
+        let transmission_time = Duration::from_secs_f64(len as f64 / spec.bytes_per_s as f64);
+        let mut idle_at = lock(&self.idle_at);
+        *idle_at = now.max(*idle_at) + transmission_time;
+        *idle_at + spec.delay
     }
 }
 
-impl State {
-    /// Whether connections made in this epoch are silent.
+impl FaultState {
+    /// Returns whether connections of this epoch are silent.
     fn silences(&self, epoch: u64) -> bool {
         epoch < self.silent_before
     }
 
-    /// Whether connections made in this epoch are closed.
+    /// Returns whether connections of this epoch are closed.
     fn closes(&self, epoch: u64) -> bool {
         epoch < self.closed_before
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,9 +1,10 @@
-//! The platform: a table with optimistic transactions, immutable objects and the list.
+//! The platform: a table with optimistic transactions, a store of immutable objects, and the list
+//! of instances and upstreams.
 
 use crate::{
     lock,
     wall_ms,
-    Share, //
+    RatioSampler, //
 };
 use actix_web::{
     dev::{
@@ -43,38 +44,38 @@
     time::Duration, //
 };
 
-/// Largest body of a request.
+/// Maximum size of a request body.
 const BODY_LIMIT_BYTES: usize = 256 << 20;
 
-/// What goes wrong in one part of the platform.
+/// Kind of fault of one component of the platform.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Refuses at once with 503, without effect.
+    /// Requests are refused immediately with 503, without taking effect.
     Down,
-    /// Takes requests and never answers, without effect.
+    /// Requests never get a response and take no effect.
     Freeze,
-    /// Answers `delay_ms` later than else.
+    /// Requests take effect and get their response after a further `delay_ms`.
     Slow,
-    /// The effect takes place; the connection closes without an answer.
+    /// Requests take effect, but the connection closes without a response.
     LostAnswer,
-    /// Reads of the table and the list give what they held when the fault was set; commits are as
-    /// ever, and so are objects.
+    /// Reads of the table and the list return their content at the time when the fault was set;
+    /// commits and objects are unaffected.
     Stale,
 }
 
-/// A fault of one part of the platform.
+/// Fault of one component of the platform.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of fault.
     pub kind: Kind,
-    /// For `Slow`: the delay in milliseconds.
+    /// Delay in milliseconds for [`Kind::Slow`].
     pub delay_ms: u64,
-    /// Part of the requests that meet the fault.
+    /// Ratio of requests that the fault affects.
     pub ratio: f64,
 }
 
@@ -88,7 +89,7 @@
     }
 }
 
-/// Body of `POST /fault`; parts left out keep their fault.
+/// Body of `POST /fault`; components that are left out keep their fault.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -100,11 +101,11 @@
     pub list: Option<Fault>,
 }
 
-/// The list, or a part of it, as in the answer of `GET /list` and in a list file.
+/// Complete or partial list, as in the response to `GET /list` and in a list file.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListContent {
-    /// When this was true, in milliseconds since the Unix epoch.
+    /// Time of this snapshot in milliseconds since the Unix epoch.
     pub as_of_ms: u64,
     /// Instances, each an object with an `id`.
     pub instances: Vec<Value>,
@@ -112,14 +113,14 @@
     pub upstreams: Vec<Value>,
 }
 
-/// Requests that took effect or were answered, since the start.
+/// Counts of requests since the start, without those that a fault refused or left pending.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Counters {
     /// Reads and scans of the table.
     pub reads: u64,
     /// Transactions committed.
     pub commits: u64,
-    /// Transactions refused by a check.
+    /// Transactions rejected because a check failed.
     pub conflicts: u64,
     /// Objects read or written.
     pub objects: u64,
@@ -127,9 +128,9 @@
     pub lists: u64,
 }
 
-/// A part of the platform that has a fault of its own.
+/// A component of the platform whose faults are set separately.
 #[derive(Clone, Copy)]
-enum Part {
+enum Component {
     /// The table.
     Table,
     /// The object store.
@@ -138,27 +139,27 @@
     List,
 }
 
-/// One row.
+/// A row of the table.
 #[derive(Clone, Serialize)]
 struct Row {
-    /// Its name.
+    /// Key.
     key: String,
-    /// Commit that last wrote it.
+    /// Version of the commit that last wrote it.
     version: u64,
-    /// Its text.
+    /// Value.
     value: String,
 }
 
-/// A fault with the count that spreads its ratio.
+/// A fault and the sampler that applies its ratio.
 #[derive(Default)]
-struct Meter {
+struct ActiveFault {
     /// The fault.
     fault: Fault,
-    /// Which requests meet it.
-    share: Share,
+    /// Selects the requests that the fault affects.
+    sampler: RatioSampler,
 }
 
-/// All that the platform holds.
+/// State of the platform.
 #[derive(Default)]
 struct State {
     /// Rows by key.
@@ -171,20 +172,20 @@
     instances: BTreeMap<String, Value>,
     /// Listed upstreams by id.
     upstreams: BTreeMap<String, Value>,
-    /// The list that a stale answer gives.
-    stale: ListContent,
-    /// The rows that a stale answer gives.
+    /// List returned by stale reads.
+    stale_list: ListContent,
+    /// Rows returned by stale reads.
     stale_rows: BTreeMap<String, Row>,
-    /// Faults, indexed by [`Part`].
-    meters: [Meter; 3],
-    /// What was done.
+    /// Active faults, indexed by [`Component`].
+    active_faults: [ActiveFault; 3],
+    /// Request counters.
     counters: Counters,
 }
 
-/// The state as the handlers share it.
+/// The state, shared by the handlers.
 type Shared = web::Data<Arc<Mutex<State>>>;
 
-/// A second handle of a connection's socket, to close it without an answer.
+/// A duplicate handle of a connection's socket, used to close it without a response.
 struct Socket(std::net::TcpStream);
 
 /// Body of `POST /table/read`.
@@ -197,34 +198,34 @@
 /// Body of `POST /table/scan`.
 #[derive(Deserialize)]
 struct ScanBody {
-    /// Start of the keys.
+    /// Prefix of the keys to return.
     prefix: String,
 }
 
 /// Body of `POST /table/commit`.
 #[derive(Deserialize)]
 struct CommitBody {
-    /// What must hold.
+    /// Conditions that must all hold.
     checks: Vec<CheckBody>,
-    /// What changes then.
+    /// Writes to apply if they do.
     writes: Vec<WriteBody>,
 }
 
-/// A check.
+/// A condition on the version of a row.
 #[derive(Deserialize)]
 struct CheckBody {
-    /// Name of the row.
+    /// Key of the row.
     key: String,
-    /// Its version; none when it must be absent.
+    /// Required version; `None` if the row must be absent.
     version: Option<u64>,
 }
 
-/// A write.
+/// A write to a row.
 #[derive(Deserialize)]
 struct WriteBody {
-    /// Name of the row.
+    /// Key of the row.
     key: String,
-    /// Its new value; none deletes it.
+    /// New value; `None` deletes the row.
     value: Option<String>,
 }
 
@@ -232,16 +233,16 @@
 ///
 /// # Errors
 ///
-/// When the listener can't be used.
+/// Fails if the listener can't be used.
 pub fn serve(listener: TcpListener) -> io::Result<Server> {
     serve_with(listener, ListContent::default())
 }
 
-/// Like [`serve`], with a list to begin with.
+/// Like [`serve`], with an initial list.
 ///
 /// # Errors
 ///
-/// When the listener can't be used.
+/// Fails if the listener can't be used.
 pub fn serve_with(listener: TcpListener, list: ListContent) -> io::Result<Server> {
     let state = Arc::new(Mutex::new(State {
         instances: by_id(list.instances),
@@ -259,8 +260,8 @@
             .route("/objects/{name}", web::get().to(get_object))
             .route("/objects/{name}", web::put().to(put_object))
             .route("/list", web::get().to(get_list))
-            .route("/list/{what}/{id}", web::put().to(put_listed))
-            .route("/list/{what}/{id}", web::delete().to(delete_listed))
+            .route("/list/{what}/{id}", web::put().to(put_entry))
+            .route("/list/{what}/{id}", web::delete().to(delete_entry))
             .route("/fault", web::post().to(set_faults))
             .route("/counters", web::get().to(get_counters))
     })
@@ -274,7 +275,7 @@
     Ok(server)
 }
 
-/// Keeps a second handle of each connection's socket.
+/// Stores a duplicate handle of each connection's socket with the connection.
 fn keep_socket(connection: &dyn Any, extensions: &mut Extensions) {
     let socket = connection
         .downcast_ref::<TcpStream>()
@@ -284,23 +285,23 @@
     }
 }
 
-/// Answers `POST /table/read`.
+/// Handles `POST /table/read`.
 async fn read(state: Shared, request: HttpRequest, body: web::Json<ReadBody>) -> HttpResponse {
-    with_fault(&state, &request, Part::Table, |state, kind| {
+    with_fault(&state, &request, Component::Table, |state, kind| {
         state.counters.reads += 1;
-        let known = state.rows_read(kind);
-        let rows: Vec<_> = body.keys.iter().map(|key| known.get(key)).collect();
+        let rows_by_key = state.visible_rows(kind);
+        let rows: Vec<_> = body.keys.iter().map(|key| rows_by_key.get(key)).collect();
         HttpResponse::Ok().json(json!({ "rows": rows }))
     })
     .await
 }
 
-/// Answers `POST /table/scan`.
+/// Handles `POST /table/scan`.
 async fn scan(state: Shared, request: HttpRequest, body: web::Json<ScanBody>) -> HttpResponse {
-    with_fault(&state, &request, Part::Table, |state, kind| {
+    with_fault(&state, &request, Component::Table, |state, kind| {
         state.counters.reads += 1;
         let rows: Vec<_> = state
-            .rows_read(kind)
+            .visible_rows(kind)
             .range(body.prefix.clone()..)
             .take_while(|(key, _)| key.starts_with(&body.prefix))
             .map(|(_, row)| row)
@@ -310,23 +311,23 @@
     .await
 }
 
-/// Answers `POST /table/commit`.
+/// Handles `POST /table/commit`.
 async fn commit(state: Shared, request: HttpRequest, body: web::Json<CommitBody>) -> HttpResponse {
-    with_fault(&state, &request, Part::Table, |state, _| {
+    with_fault(&state, &request, Component::Table, |state, _| {
         state.commit(body.into_inner())
     })
     .await
 }
 
 impl State {
-    /// Makes all writes if all checks hold.
+    /// Applies all writes if all checks hold.
     fn commit(&mut self, body: CommitBody) -> HttpResponse {
         let rows: Vec<_> = body.checks.iter().map(|c| self.rows.get(&c.key)).collect();
         let versions = rows.iter().map(|row| row.map(|row| row.version));
         if !versions.eq(body.checks.iter().map(|check| check.version)) {
-            let answer = json!({ "committed": false, "rows": rows });
+            let conflict = json!({ "committed": false, "rows": rows });
             self.counters.conflicts += 1;
-            return HttpResponse::Conflict().json(answer);
+            return HttpResponse::Conflict().json(conflict);
         }
         self.counters.commits += 1;
         self.version += 1;
@@ -349,7 +350,7 @@
         HttpResponse::Ok().json(json!({ "committed": true, "version": version }))
     }
 
-    /// The list as it is now.
+    /// Returns the current list.
     fn list(&self) -> ListContent {
         ListContent {
             as_of_ms: wall_ms(),
@@ -358,37 +359,37 @@
         }
     }
 
-    /// The rows that a read finds under a fault.
-    fn rows_read(&self, kind: Kind) -> &BTreeMap<String, Row> {
+    /// Returns the rows that a read sees under a fault.
+    fn visible_rows(&self, kind: Kind) -> &BTreeMap<String, Row> {
         match kind {
             Kind::Stale => &self.stale_rows,
             _ => &self.rows,
         }
     }
 
-    /// Entries of one kind of the list.
-    fn listed(&mut self, what: &str) -> Option<&mut BTreeMap<String, Value>> {
-        match what {
+    /// Returns the list entries of a collection: `instances` or `upstreams`.
+    fn entries_mut(&mut self, collection: &str) -> Option<&mut BTreeMap<String, Value>> {
+        match collection {
             "instances" => Some(&mut self.instances),
             "upstreams" => Some(&mut self.upstreams),
             _ => None,
         }
     }
 
-    /// The fault that the next request to a part meets.
-    fn next_fault(&mut self, part: Part) -> Fault {
-        let meter = &mut self.meters[part as usize];
-        if meter.share.meets(meter.fault.ratio) {
-            meter.fault
+    /// Returns the fault that affects the next request to a component.
+    fn next_fault(&mut self, component: Component) -> Fault {
+        let active = &mut self.active_faults[component as usize];
+        if active.sampler.select(active.fault.ratio) {
+            active.fault
         } else {
             Fault::default()
         }
     }
 }
 
-/// Answers `GET /objects/<name>`.
+/// Handles `GET /objects/<name>`.
 async fn get_object(state: Shared, request: HttpRequest, name: web::Path<String>) -> HttpResponse {
-    with_fault(&state, &request, Part::Objects, |state, _| {
+    with_fault(&state, &request, Component::Objects, |state, _| {
         state.counters.objects += 1;
         match state.objects.get(name.as_str()) {
             Some(body) => HttpResponse::Ok().body(body.clone()),
@@ -398,14 +399,14 @@
     .await
 }
 
-/// Answers `PUT /objects/<name>`.
+/// Handles `PUT /objects/<name>`.
 async fn put_object(
     state: Shared,
     request: HttpRequest,
     name: web::Path<String>,
     body: Bytes,
 ) -> HttpResponse {
-    with_fault(&state, &request, Part::Objects, |state, _| {
+    with_fault(&state, &request, Component::Objects, |state, _| {
         state.counters.objects += 1;
         let stored = state.objects.entry(name.into_inner());
         if *stored.or_insert_with(|| body.clone()) == body {
@@ -417,12 +418,12 @@
     .await
 }
 
-/// Answers `GET /list`.
+/// Handles `GET /list`.
 async fn get_list(state: Shared, request: HttpRequest) -> HttpResponse {
-    with_fault(&state, &request, Part::List, |state, kind| {
+    with_fault(&state, &request, Component::List, |state, kind| {
         state.counters.lists += 1;
         let list = if kind == Kind::Stale {
-            state.stale.clone()
+            state.stale_list.clone()
         } else {
             state.list()
         };
@@ -431,28 +432,28 @@
     .await
 }
 
-/// Answers `PUT /list/<what>/<id>`.
-async fn put_listed(
+/// Handles `PUT /list/<collection>/<id>`.
+async fn put_entry(
     state: Shared,
     path: web::Path<(String, String)>,
     body: web::Json<Value>,
 ) -> HttpResponse {
-    let (what, id) = path.into_inner();
-    match lock(&state).listed(&what) {
+    let (collection, id) = path.into_inner();
+    match lock(&state).entries_mut(&collection) {
         Some(entries) if body["id"] == id.as_str() => {
             entries.insert(id, body.into_inner());
             HttpResponse::Ok().finish()
         }
-        Some(_) => HttpResponse::BadRequest().body("the id of the path is not the body's"),
+        Some(_) => HttpResponse::BadRequest().body("the ids in path and body differ"),
         None => HttpResponse::NotFound().finish(),
     }
 }
 
-/// Answers `DELETE /list/<what>/<id>`.
-async fn delete_listed(state: Shared, path: web::Path<(String, String)>) -> HttpResponse {
-    let (what, id) = path.into_inner();
+/// Handles `DELETE /list/<collection>/<id>`.
+async fn delete_entry(state: Shared, path: web::Path<(String, String)>) -> HttpResponse {
+    let (collection, id) = path.into_inner();
     match lock(&state)
-        .listed(&what)
+        .entries_mut(&collection)
         .and_then(|entries| entries.remove(&id))
     {
         Some(_) => HttpResponse::Ok().finish(),
@@ -460,40 +461,40 @@
     }
 }
 
-/// Answers `POST /fault`.
+/// Handles `POST /fault`.
 async fn set_faults(state: Shared, faults: web::Json<Faults>) -> HttpResponse {
     let mut state = lock(&state);
     if faults.list.is_some() {
-        state.stale = state.list();
+        state.stale_list = state.list();
     }
     if faults.table.is_some() {
         state.stale_rows = state.rows.clone();
     }
-    let parts = [faults.table, faults.objects, faults.list];
-    for (meter, fault) in state.meters.iter_mut().zip(parts) {
+    let new_faults = [faults.table, faults.objects, faults.list];
+    for (active, fault) in state.active_faults.iter_mut().zip(new_faults) {
         if let Some(fault) = fault {
-            *meter = Meter {
+            *active = ActiveFault {
                 fault,
-                share: Share::default(),
+                sampler: RatioSampler::default(),
             };
         }
     }
     HttpResponse::Ok().finish()
 }
 
-/// Answers `GET /counters`.
+/// Handles `GET /counters`.
 async fn get_counters(state: Shared) -> HttpResponse {
     HttpResponse::Ok().json(lock(&state).counters)
 }
 
-/// Runs `effect` under the fault that its part of the platform has.
+/// Applies the effect of a request, subject to the current fault of the component.
 async fn with_fault(
     state: &Shared,
     request: &HttpRequest,
-    part: Part,
+    component: Component,
     effect: impl FnOnce(&mut State, Kind) -> HttpResponse,
 ) -> HttpResponse {
-    let fault = lock(state).next_fault(part);
+    let fault = lock(state).next_fault(component);
     match fault.kind {
         Kind::None | Kind::Stale => {}
         Kind::Down => return HttpResponse::ServiceUnavailable().finish(),
@@ -502,7 +503,7 @@
         Kind::LostAnswer => {
             effect(&mut lock(state), fault.kind);
             if let Some(Socket(socket)) = request.conn_data() {
-                // Fails only when the caller closed it already, which is as good.
+                // Fails only if the caller has already closed the connection.
                 let _ = socket.shutdown(Shutdown::Both);
             }
             return future::pending().await;
@@ -511,7 +512,7 @@
     effect(&mut lock(state), fault.kind)
 }
 
-/// Entries of a list by their ids; those without one are left out.
+/// Returns entries by id, without those that have no id.
 fn by_id(entries: Vec<Value>) -> BTreeMap<String, Value> {
     let with_id = |entry: Value| Some((entry["id"].as_str()?.to_owned(), entry));
     entries.into_iter().filter_map(with_id).collect()
--- a/crates/standin/src/upstream/control.rs
+++ b/crates/standin/src/upstream/control.rs
@@ -1,4 +1,4 @@
-//! A test's requests to upstreams: faults and records.
+//! Control interface of upstreams, through which tests set faults and read records.
 
 use super::{
     Faults,
@@ -19,22 +19,22 @@
     sync::Arc, //
 };
 
-/// The upstreams that a request can be about.
+/// The upstreams that a control request can select from.
 type Upstreams = web::Data<Vec<Arc<Upstream>>>;
 
-/// Which of them it is about.
+/// Query that selects an upstream.
 #[derive(Deserialize)]
-struct Which {
-    /// Its id; needed where there are several.
+struct UpstreamQuery {
+    /// Id of the upstream; required if there are several.
     id: Option<String>,
 }
 
-/// Serves `/fault`, `/record` and `/record/clear` by `?id=` and `/records` for these upstreams, on
-/// a thread of its own.
+/// Serves `/records` and, with `?id=`, `/fault`, `/record` and `/record/clear` for these upstreams,
+/// on a thread of its own.
 ///
 /// # Errors
 ///
-/// When the listener can't be used.
+/// Fails if the listener can't be used.
 pub fn control(listener: TcpListener, upstreams: Vec<Arc<Upstream>>) -> io::Result<Server> {
     let server = HttpServer::new(move || {
         App::new()
@@ -49,7 +49,7 @@
     Ok(server)
 }
 
-/// Routes that an upstream's own port has, too.
+/// Adds the routes that an upstream also serves on its own port.
 pub(super) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/fault", web::post().to(fault))
@@ -57,49 +57,50 @@
         .route("/record/clear", web::post().to(clear));
 }
 
-/// Answers `POST /fault`.
+/// Handles `POST /fault`.
 async fn fault(
-    all: Upstreams,
-    which: web::Query<Which>,
+    upstreams: Upstreams,
+    query: web::Query<UpstreamQuery>,
     faults: web::Json<Faults>,
 ) -> HttpResponse {
-    with_one(&all, &which, |upstream| {
+    with_upstream(&upstreams, &query, |upstream| {
         upstream.set_faults(*faults);
         HttpResponse::Ok().finish()
     })
 }
 
-/// Answers `GET /record`.
-async fn record(all: Upstreams, which: web::Query<Which>) -> HttpResponse {
-    with_one(&all, &which, |upstream| {
+/// Handles `GET /record`.
+async fn record(upstreams: Upstreams, query: web::Query<UpstreamQuery>) -> HttpResponse {
+    with_upstream(&upstreams, &query, |upstream| {
         HttpResponse::Ok().json(upstream.record())
     })
 }
 
-/// Answers `POST /record/clear`.
-async fn clear(all: Upstreams, which: web::Query<Which>) -> HttpResponse {
-    with_one(&all, &which, |upstream| {
+/// Handles `POST /record/clear`.
+async fn clear(upstreams: Upstreams, query: web::Query<UpstreamQuery>) -> HttpResponse {
+    with_upstream(&upstreams, &query, |upstream| {
         upstream.clear_record();
         HttpResponse::Ok().finish()
     })
 }
 
-/// Answers `GET /records`: the record of each upstream by its id.
-async fn records(all: Upstreams) -> HttpResponse {
-    let records: BTreeMap<_, _> = all.iter().map(|u| (u.id(), u.record())).collect();
+/// Handles `GET /records`: returns the record of each upstream by id.
+async fn records(upstreams: Upstreams) -> HttpResponse {
+    let records: BTreeMap<_, _> = upstreams.iter().map(|u| (u.id(), u.record())).collect();
     HttpResponse::Ok().json(records)
 }
 
-/// Does something with the one upstream meant.
-fn with_one(
-    all: &[Arc<Upstream>],
-    which: &Which,
-    act: impl FnOnce(&Arc<Upstream>) -> HttpResponse,
+/// Calls `action` with the upstream that the query selects.
+fn with_upstream(
+    upstreams: &[Arc<Upstream>],
+    query: &UpstreamQuery,
+    action: impl FnOnce(&Arc<Upstream>) -> HttpResponse,
 ) -> HttpResponse {
-    let meant = |upstream: &&Arc<Upstream>| which.id.as_ref().is_none_or(|id| upstream.id() == id);
-    let mut meant = all.iter().filter(meant);
-    match (meant.next(), meant.next()) {
-        (Some(upstream), None) => act(upstream),
-        _ => HttpResponse::NotFound().body("name one upstream by ?id="),
+    let matches =
+        |upstream: &&Arc<Upstream>| query.id.as_ref().is_none_or(|id| upstream.id() == id);
+    let mut matching = upstreams.iter().filter(matches);
+    match (matching.next(), matching.next()) {
+        (Some(upstream), None) => action(upstream),
+        _ => HttpResponse::NotFound().body("`?id=` must select exactly one upstream"),
     }
 }
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,17 +1,19 @@
-//! Upstreams: each does work in its slots, on a port of its own, and records what it ran.
+//! Simulated upstreams with a limited number of slots and a record of the requests that ran.
 //!
-//! [`Upstream::serve`] starts one; any path is work but `/health`, `/load`, `/fault`, `/record` and
-//! `/record/clear`. [`control()`] serves the last three for all upstreams of a process, by `?id=`,
-//! so that the record of an upstream that is gone can still be read.
+//! [`Upstream::serve`] starts an upstream on a port of its own. Every path is served as work except
+//! `/health`, `/load`, `/fault`, `/record` and `/record/clear`. [`control()`] serves the last three
+//! for all upstreams of a process, selected by `?id=`, so that the record of an upstream can be
+//! read after its own port has closed.
 //!
-//! Life of a request: its body is read and digested; it may be shed; it waits for a slot; it is
-//! served for a time; its answer streams. The slot is held from the start of the service to the
-//! last byte given to the connection. A caller that goes away frees it at once.
+//! A request goes through these steps: its body is read and hashed, it may be shed, it waits for a
+//! slot, it is served for the simulated service time, and its response is streamed. It holds the
+//! slot from the start of service until the last byte is handed to the connection. If the caller
+//! disconnects, the slot is released at once.
 
 use crate::{
     lock,
     wall_ms,
-    Share, //
+    RatioSampler, //
 };
 use actix_web::{
     dev::{
@@ -50,9 +52,9 @@
 use tokio::sync::Semaphore;
 
 mod control;
+mod handlers;
 mod record;
 mod settings;
-mod work;
 
 pub use control::control;
 pub use record::{
@@ -63,31 +65,31 @@
 pub use settings::{
     Drain,
     Faults,
-    Lie,
+    LoadOverride,
     Spec, //
 };
 
-/// Shortest time between two samples of the load.
-const SAMPLE_MS: u64 = 10;
-/// Samples of the load that are kept for answers that lag.
-const SAMPLES: usize = 4096;
+/// Minimum interval between two load samples.
+const SAMPLE_INTERVAL_MS: u64 = 10;
+/// Maximum number of load samples kept for responses that lag.
+const MAX_SAMPLES: usize = 4096;
 
-/// State of an upstream by its own word.
+/// State that an upstream reports about itself.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
     /// Serves at full speed.
     Up,
-    /// Serves, but isn't warm yet.
+    /// Serves more slowly because it is still warming up.
     Cold,
-    /// Takes no new work soon.
+    /// Drains, and will stop accepting requests.
     Leaving,
 }
 
-/// Answer of `GET /load`.
+/// Response to `GET /load`.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Load {
-    /// Requests that it serves at once.
+    /// Maximum number of requests served concurrently.
     pub slots: u32,
     /// Requests being served.
     pub in_flight: u64,
@@ -95,64 +97,64 @@
     pub queued: u64,
     /// State.
     pub state: State,
-    /// When this was true, in milliseconds since the Unix epoch.
+    /// Time of this sample in milliseconds since the Unix epoch.
     pub as_of_ms: u64,
 }
 
-/// One upstream.
+/// A simulated upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What it is.
+    /// Configuration.
     spec: Spec,
-    /// Where it listens.
+    /// Listening address.
     addr: SocketAddr,
     /// Free slots.
     slots: Arc<Semaphore>,
-    /// What changes as it works.
+    /// Mutable state.
     inner: Mutex<Inner>,
-    /// Stops its server.
+    /// Handle that stops its HTTP server.
     handle: OnceLock<ServerHandle>,
 }
 
-/// What changes as an upstream works.
+/// Mutable state of an upstream.
 #[derive(Debug)]
 struct Inner {
-    /// What goes wrong.
+    /// Active faults.
     faults: Faults,
-    /// Which requests are shed.
-    shed: Share,
-    /// Which answers are cut short.
-    truncate: Share,
-    /// Which requests hang.
-    hang: Share,
-    /// Whether it refuses all new work.
-    gone: bool,
+    /// Selects the requests to shed.
+    shed: RatioSampler,
+    /// Selects the responses to truncate.
+    truncate: RatioSampler,
+    /// Selects the requests that hang.
+    hang: RatioSampler,
+    /// Whether all new requests are refused, as at the end of a drain.
+    refuses_requests: bool,
     /// Requests being served.
     in_flight: u64,
     /// Requests waiting for a slot.
     queued: u64,
-    /// Most served at once.
+    /// Maximum of `in_flight`.
     max_in_flight: u64,
-    /// Most waiting at once.
+    /// Maximum of `queued`.
     max_queued: u64,
-    /// Requests served since it was cold.
+    /// Requests served since the last cold start.
     served: u64,
-    /// When it was first sent work since it was cold.
-    first_ms: Option<u64>,
-    /// Loads seen lately, oldest first.
+    /// Time of the first request served since the last cold start.
+    first_served_ms: Option<u64>,
+    /// Recent load samples, oldest first.
     samples: VecDeque<Load>,
-    /// Source of the jitter.
+    /// Random number generator for the jitter.
     rng: SmallRng,
-    /// What it was sent.
+    /// Requests received.
     log: record::Log,
 }
 
 impl Upstream {
-    /// Listens and serves on a thread of its own until the server is stopped.
+    /// Starts an upstream that serves on a thread of its own until the server is stopped.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub fn serve(spec: Spec) -> io::Result<(Arc<Self>, Server)> {
         let listener = TcpListener::bind(&spec.listen)?;
         let upstream = Arc::new(Self {
@@ -162,16 +164,16 @@
             handle: OnceLock::new(),
             spec,
         });
-        let served = Arc::clone(&upstream);
+        let shared = Arc::clone(&upstream);
         let ignores_cancel = upstream.spec.ignores_cancel;
         let server = HttpServer::new(move || {
             App::new()
-                .app_data(web::Data::new(Arc::clone(&served)))
-                .app_data(web::Data::new(vec![Arc::clone(&served)]))
+                .app_data(web::Data::new(Arc::clone(&shared)))
+                .app_data(web::Data::new(vec![Arc::clone(&shared)]))
                 .configure(control::routes)
-                .route("/health", web::get().to(work::health))
-                .route("/load", web::get().to(work::load))
-                .default_service(web::to(work::work))
+                .route("/health", web::get().to(handlers::health))
+                .route("/load", web::get().to(handlers::load))
+                .default_service(web::to(handlers::work))
         })
         .workers(1)
         .keep_alive(Duration::from_secs(75))
@@ -180,26 +182,26 @@
         .disable_signals()
         .listen(listener)?
         .run();
-        // The one place that sets it.
+        // Can't fail: the handle is set nowhere else.
         let _ = upstream.handle.set(server.handle());
         Ok((upstream, server))
     }
 
-    /// Its name.
+    /// Returns the upstream's id.
     pub fn id(&self) -> &str {
         &self.spec.id
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Enters it into the list of the platform at `base_url`.
+    /// Adds the upstream to the list of the platform at `base_url`.
     ///
     /// # Errors
     ///
-    /// When the platform doesn't take it.
+    /// Fails if the platform can't be reached or rejects the entry.
     pub async fn register(&self, base_url: &str) -> eyre::Result<()> {
         let Spec { id, service, .. } = &self.spec;
         let entry = json!({
@@ -208,14 +210,18 @@
             "slots": self.spec.slots, "state": "live",
         });
         let url = format!("{}/list/upstreams/{id}", base_url.trim_end_matches('/'));
-        let answer = awc::Client::default().put(url).send_json(&entry).await;
-        // The client's error can't cross threads as a report must; its text is what matters.
-        let answer = answer.map_err(|error| eyre::eyre!("registering {id}: {error}"))?;
-        eyre::ensure!(answer.status().is_success(), "registering {id} was refused");
+        let response = awc::Client::default().put(url).send_json(&entry).await;
+        // The client's error isn't `Send`, which a report requires, so only its text is kept.
+        let response =
+            response.map_err(|error| eyre::eyre!("failed to register upstream {id}: {error}"))?;
+        eyre::ensure!(
+            response.status().is_success(),
+            "the platform rejected upstream {id}"
+        );
         Ok(())
     }
 
-    /// What it was sent and ran.
+    /// Returns a snapshot of the requests received and of the peak counts.
     pub fn record(&self) -> Record {
         let inner = lock(&self.inner);
         let (entries, dropped) = inner.log.entries();
@@ -229,7 +235,7 @@
         }
     }
 
-    /// Forgets the ended requests and the largest numbers.
+    /// Removes ended requests from the record and resets the peak counts.
     pub fn clear_record(&self) {
         let mut inner = lock(&self.inner);
         inner.log.clear();
@@ -237,125 +243,126 @@
         inner.max_queued = inner.queued;
     }
 
-    /// Sets what goes wrong from now on, in place of what went wrong.
+    /// Replaces the active faults.
     pub fn set_faults(self: &Arc<Self>, faults: Faults) {
         let mut inner = lock(&self.inner);
         inner.faults = faults;
-        inner.shed = Share::default();
-        inner.truncate = Share::default();
-        inner.hang = Share::default();
+        inner.shed = RatioSampler::default();
+        inner.truncate = RatioSampler::default();
+        inner.hang = RatioSampler::default();
         if faults.cold {
             inner.served = 0;
-            inner.first_ms = None;
+            inner.first_served_ms = None;
         }
         drop(inner);
         if faults.dead {
             let upstream = Arc::clone(self);
-            actix_web::rt::spawn(async move { upstream.die().await });
+            actix_web::rt::spawn(async move { upstream.abort().await });
         }
         if let Some(after_ms) = faults.drain.and_then(|drain| drain.refuse_after_ms) {
             let upstream = Arc::clone(self);
             actix_web::rt::spawn(async move {
                 actix_web::rt::time::sleep(Duration::from_millis(after_ms)).await;
-                upstream.leave().await;
+                upstream.stop_gracefully().await;
             });
         }
     }
 
-    /// Refuses connections and new work from now on; what runs may finish.
-    async fn leave(&self) {
-        lock(&self.inner).gone = true;
+    /// Stops accepting connections and requests, and lets requests in flight finish.
+    async fn stop_gracefully(&self) {
+        lock(&self.inner).refuses_requests = true;
         if let Some(handle) = self.handle.get() {
             handle.stop(true).await;
         }
     }
 
-    /// Closes its connections and its port at once, and drops what runs; its record stays.
-    async fn die(&self) {
+    /// Closes the port and all connections at once, which cancels requests in flight; the record
+    /// stays readable.
+    async fn abort(&self) {
         if let Some(handle) = self.handle.get() {
             handle.stop(false).await;
         }
     }
 
-    /// Whether it says that it leaves.
+    /// Returns whether it reports that it is leaving.
     fn leaving(&self) -> bool {
         lock(&self.inner).leaving()
     }
 
-    /// Its load by its own word, which may lag or lie.
+    /// Returns the reported load, with the lag and the overrides that faults impose.
     fn load(&self) -> Load {
         let mut inner = lock(&self.inner);
         let now_ms = wall_ms();
         inner.sample(&self.spec, now_ms);
         let as_of_ms = now_ms.saturating_sub(inner.faults.lag_ms);
-        let told = inner.samples.iter().rev().find(|s| s.as_of_ms <= as_of_ms);
-        let told = told.or(inner.samples.front()).copied();
-        let told = told.unwrap_or_else(|| inner.load(&self.spec, now_ms));
-        let lie = inner.faults.lie;
+        let reported = inner.samples.iter().rev().find(|s| s.as_of_ms <= as_of_ms);
+        let reported = reported.or(inner.samples.front()).copied();
+        let reported = reported.unwrap_or_else(|| inner.load(&self.spec, now_ms));
+        let overrides = inner.faults.lie;
         Load {
-            slots: lie.slots.unwrap_or(told.slots),
-            in_flight: lie.in_flight.unwrap_or(told.in_flight),
-            queued: lie.queued.unwrap_or(told.queued),
-            state: lie.state.unwrap_or(told.state),
-            ..told
+            slots: overrides.slots.unwrap_or(reported.slots),
+            in_flight: overrides.in_flight.unwrap_or(reported.in_flight),
+            queued: overrides.queued.unwrap_or(reported.queued),
+            state: overrides.state.unwrap_or(reported.state),
+            ..reported
         }
     }
 }
 
 impl Inner {
-    /// An upstream that was sent nothing yet.
+    /// Creates the state of an upstream that has received no requests.
     fn new(seed: u64) -> Self {
         Self {
             faults: Faults::default(),
-            shed: Share::default(),
-            truncate: Share::default(),
-            hang: Share::default(),
-            gone: false,
+            shed: RatioSampler::default(),
+            truncate: RatioSampler::default(),
+            hang: RatioSampler::default(),
+            refuses_requests: false,
             in_flight: 0,
             queued: 0,
             max_in_flight: 0,
             max_queued: 0,
             served: 0,
-            first_ms: None,
+            first_served_ms: None,
             samples: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
             log: record::Log::default(),
         }
     }
 
-    /// Whether it says that it leaves.
+    /// Returns whether it reports that it is leaving.
     fn leaving(&self) -> bool {
-        self.gone || self.faults.drain.is_some()
+        self.refuses_requests || self.faults.drain.is_some()
     }
 
-    /// The true load.
+    /// Returns the actual load.
     fn load(&self, spec: &Spec, now_ms: u64) -> Load {
         Load {
             slots: spec.slots,
             in_flight: self.in_flight,
             queued: self.queued,
-            state: match self.coldness(spec, now_ms) {
+            state: match self.remaining_warmup(spec, now_ms) {
                 _ if self.leaving() => State::Leaving,
-                coldness if coldness > 0.0 => State::Cold,
+                remaining if remaining > 0.0 => State::Cold,
                 _ => State::Up,
             },
             as_of_ms: now_ms,
         }
     }
 
-    /// Keeps the true load for answers that lag.
+    /// Stores a sample of the actual load for responses that lag.
     fn sample(&mut self, spec: &Spec, now_ms: u64) {
         let load = self.load(spec, now_ms);
         match self.samples.back_mut() {
-            // The last one is kept as the truth of its whole interval.
-            Some(last) if now_ms < last.as_of_ms + SAMPLE_MS => {
+            // Within one interval, the newest values replace the last sample but keep its time.
+            Some(last) if now_ms < last.as_of_ms + SAMPLE_INTERVAL_MS => {
                 *last = Load {
                     as_of_ms: last.as_of_ms,
                     ..load
                 }
             }
             _ => {
-                if self.samples.len() == SAMPLES {
+                if self.samples.len() == MAX_SAMPLES {
                     self.samples.pop_front();
                 }
                 self.samples.push_back(load);
@@ -363,27 +370,28 @@
         }
     }
 
-    /// From 1 for an upstream that was sent nothing yet to 0 for a warm one.
-    fn coldness(&self, spec: &Spec, now_ms: u64) -> f64 {
+    /// Returns the fraction of the warm-up that remains, from 1 (cold) to 0 (warm).
+    fn remaining_warmup(&self, spec: &Spec, now_ms: u64) -> f64 {
         if spec.cold_requests == 0 {
             return 0.0;
         }
-        // Counts of requests and of milliseconds are far below 2^52, so they stay exact.
-        let by_work = 1.0 - self.served as f64 / spec.cold_requests as f64;
-        let worked_ms = self
-            .first_ms
-            .map_or(0, |first| now_ms.saturating_sub(first));
-        let by_time = 1.0 - worked_ms as f64 / spec.cold_ms as f64;
-        by_work.min(by_time).max(0.0)
+        // Request counts and milliseconds are far below 2^52, so the conversions are exact.
+        let by_requests = 1.0 - self.served as f64 / spec.cold_requests as f64;
+        let elapsed_ms = self
+            .first_served_ms
+            .map_or(0, |first_served_ms| now_ms.saturating_sub(first_served_ms));
+        let by_time = 1.0 - elapsed_ms as f64 / spec.cold_ms as f64;
+        by_requests.min(by_time).max(0.0)
     }
 
-    /// How long the next request is served.
-    fn service_time(&mut self, spec: &Spec, now_ms: u64) -> Duration {
-        self.first_ms.get_or_insert(now_ms);
+    /// Counts the next request as served and returns its service time.
+    fn next_service_time(&mut self, spec: &Spec, now_ms: u64) -> Duration {
+        self.first_served_ms.get_or_insert(now_ms);
         let mean_ms = self.faults.service_ms.unwrap_or(spec.service_ms);
-        let cold_factor = 1.0 + (spec.cold_factor - 1.0) * self.coldness(spec, now_ms);
+        let cold_factor = 1.0 + (spec.cold_factor - 1.0) * self.remaining_warmup(spec, now_ms);
         self.served += 1;
-        // Box and Muller's way to a normal deviate; the shift keeps the mean of its exponential.
+        // The Box-Muller transform gives a normal deviate; subtracting half the variance keeps the
+        // mean of the log-normal factor at 1.
         let (u, v): (f64, f64) = (self.rng.random(), self.rng.random());
         let normal = (-2.0 * (1.0 - u).ln()).sqrt() * (TAU * v).cos();
         let jitter = (spec.jitter * normal - spec.jitter * spec.jitter / 2.0).exp();
--- a/crates/standin/src/upstream/record.rs
+++ b/crates/standin/src/upstream/record.rs
@@ -1,4 +1,4 @@
-//! What an upstream was sent and what it ran: the judge's truth.
+//! Record of the requests that an upstream received and ran, the ground truth for checks.
 
 use serde::{
     Deserialize,
@@ -9,115 +9,115 @@
     VecDeque, //
 };
 
-/// Ended requests that are kept; older ones are only counted.
-const KEPT: usize = 200_000;
+/// Maximum number of ended requests kept; older ones are only counted.
+const MAX_ENDED: usize = 200_000;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ended {
-    /// Not yet.
+    /// It hasn't ended yet.
     Running,
-    /// It ran, and its whole answer was handed to the connection.
+    /// It ran, and its complete response was handed to the connection.
     Ran,
-    /// The caller went away first.
+    /// The caller disconnected, or the upstream died, before it ended.
     Cancelled,
-    /// It was refused unrun.
+    /// It was refused without running.
     Shed,
-    /// It ran, and its answer was cut short.
+    /// It ran, and its response was truncated.
     Truncated,
-    /// Its deadline passed first.
+    /// Its deadline passed before it ended.
     Expired,
 }
 
-/// One request. It ran, or began to, if it has a `started_ms`.
+/// A recorded request. If `started_ms` is set, it ran at least in part.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Entry {
     /// The `Jasmine-Request` header.
     pub request: Option<String>,
     /// The `Jasmine-Filing` header.
     pub filing: Option<String>,
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// When the request came, in milliseconds since the Unix epoch.
+    /// Time of arrival in milliseconds since the Unix epoch.
     pub received_ms: u64,
-    /// When it got a slot.
+    /// Time at which it acquired a slot.
     pub started_ms: Option<u64>,
-    /// When it ended.
+    /// Time at which it ended.
     pub finished_ms: Option<u64>,
-    /// Length of its body, when that was read whole.
+    /// Length of its body, if it was read completely.
     pub body_bytes: Option<u64>,
-    /// How it ended.
+    /// Outcome.
     pub outcome: Ended,
 }
 
-/// Answer of `GET /record`.
+/// Response to `GET /record`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Record {
     /// The upstream's id.
     pub upstream: String,
-    /// Its slots.
+    /// Number of slots.
     pub slots: u32,
-    /// Most requests served at once.
+    /// Maximum number of requests served concurrently.
     pub max_in_flight: u64,
-    /// Most requests that waited at once, which is how far above its slots it was sent.
+    /// Maximum number of requests queued at once, that is, by how many callers exceeded the slots.
     pub max_queued: u64,
-    /// Ended requests, in the order in which they ended, and then the unfinished ones.
+    /// Ended requests in the order in which they ended, followed by unfinished ones.
     pub entries: Vec<Entry>,
-    /// Ended requests that were dropped because there were too many.
+    /// Number of ended requests dropped because there were too many.
     pub dropped: u64,
 }
 
-/// Requests that came since the last clearing.
+/// Requests received, without those cleared.
 #[derive(Debug, Default)]
 pub(super) struct Log {
     /// Number of the next request.
-    next: u64,
+    next_number: u64,
     /// Unfinished requests by number.
     running: BTreeMap<u64, Entry>,
-    /// Ended ones; at most [`KEPT`].
+    /// Ended requests; at most [`MAX_ENDED`].
     ended: VecDeque<Entry>,
-    /// Ended ones no longer kept.
+    /// Number of ended requests dropped.
     dropped: u64,
 }
 
 impl Log {
-    /// Adds a request that came, and gives it a number.
+    /// Adds a received request and returns its number.
     pub(super) fn begin(&mut self, entry: Entry) -> u64 {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.running.insert(number, entry);
         number
     }
 
-    /// The unfinished request of this number.
+    /// Returns the unfinished request with this number.
     pub(super) fn running(&mut self, number: u64) -> Option<&mut Entry> {
         self.running.get_mut(&number)
     }
 
-    /// Ends a request.
+    /// Records the end of a request.
     pub(super) fn end(&mut self, number: u64, outcome: Ended, now_ms: u64) {
         let Some(mut entry) = self.running.remove(&number) else {
             return;
         };
         entry.outcome = outcome;
         entry.finished_ms = Some(now_ms);
-        if self.ended.len() == KEPT {
+        if self.ended.len() == MAX_ENDED {
             self.ended.pop_front();
             self.dropped += 1;
         }
         self.ended.push_back(entry);
     }
 
-    /// All entries, and how many are missing.
+    /// Returns all entries, and how many were dropped.
     pub(super) fn entries(&self) -> (Vec<Entry>, u64) {
         let entries = self.ended.iter().chain(self.running.values());
         (entries.cloned().collect(), self.dropped)
     }
 
-    /// Forgets the ended ones.
+    /// Removes the ended requests.
     pub(super) fn clear(&mut self) {
         self.ended.clear();
         self.dropped = 0;
--- a/crates/standin/src/upstream/settings.rs
+++ b/crates/standin/src/upstream/settings.rs
@@ -1,4 +1,4 @@
-//! What an upstream is, and what goes wrong in it.
+//! Configuration of an upstream and the faults that tests inject into it.
 
 use super::State;
 use eyre::{
@@ -15,94 +15,96 @@
 };
 use std::str::FromStr;
 
-/// One upstream; on the command line `key=value,…`, in a file JSON of the same fields.
+/// Configuration of an upstream: `key=value,…` on the command line, an object with the same fields
+/// in a JSON file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Name, unique over all.
+    /// Name, unique among all upstreams.
     pub id: String,
-    /// The service it serves.
+    /// Service that it belongs to.
     pub service: String,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Its failure domain.
+    /// Failure domain.
     pub domain: String,
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     #[serde(default = "any_port")]
     pub listen: String,
-    /// Requests served at once; the others queue.
+    /// Maximum number of requests served concurrently; further ones queue.
     pub slots: u32,
-    /// Mean time of service in milliseconds.
+    /// Mean service time in milliseconds.
     #[serde(default)]
     pub service_ms: f64,
-    /// Standard deviation of the logarithm of the time of service.
+    /// Standard deviation of the logarithm of the service time.
     #[serde(default = "usual_jitter")]
     pub jitter: f64,
     /// Seed of the jitter.
     #[serde(default)]
     pub seed: u64,
-    /// Requests after which it is warm; 0 for an upstream that is never cold.
+    /// Number of requests after which it is warm; 0 for an upstream that is never cold.
     #[serde(default)]
     pub cold_requests: u64,
-    /// Time after the first request at which it is warm at the latest, in milliseconds.
+    /// Time in milliseconds after the first request by which it is warm regardless of their number.
     #[serde(default = "never")]
     pub cold_ms: u64,
-    /// How many times longer the first request takes.
+    /// Factor on the service time of the first request of a cold upstream.
     #[serde(default = "one")]
     pub cold_factor: f64,
-    /// Works on when a caller closes its connection, and closes its own end after the answer.
+    /// Completes a request even if the caller closes its end of the connection, then closes its own
+    /// end after the response.
     #[serde(default)]
     pub ignores_cancel: bool,
 }
 
-/// What goes wrong, as `POST /fault` sets it; what is left out goes right.
+/// Body of `POST /fault`; a fault that is left out is inactive.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Another mean time of service, in milliseconds.
+    /// Replacement for the configured mean service time, in milliseconds.
     pub service_ms: Option<f64>,
-    /// Factor on the time of service.
+    /// Factor on the service time.
     pub slow_factor: f64,
-    /// Ratio of requests refused unrun.
+    /// Ratio of requests that are refused without running.
     pub shed: f64,
-    /// Ratio of answers that end before their declared end.
+    /// Ratio of responses that end before their declared length.
     pub truncate: f64,
-    /// Ratio of requests that are started and never answered; each holds its slot.
+    /// Ratio of requests that start but never get a response; each keeps its slot.
     pub hang: f64,
-    /// How old the words of `/load` and `/health` are, in milliseconds.
+    /// Age of what `/load` and `/health` report, in milliseconds.
     pub lag_ms: u64,
-    /// Fields that `/load` and `/health` tell instead of the truth.
-    pub lie: Lie,
-    /// Leaves: says so on each answer, and may be gone later.
+    /// Untrue values for `/load` and `/health` to report.
+    pub lie: LoadOverride,
+    /// Reports in each response that it is leaving, and may refuse new requests later.
     pub drain: Option<Drain>,
-    /// Starts cold once more when set.
+    /// Makes the upstream cold again at the moment this is set.
     pub cold: bool,
-    /// Works on after the caller's deadline, in place of ending there.
+    /// Continues past the caller's deadline instead of ending the request there.
     pub overruns: bool,
-    /// Dies when set, for good: connections close without an answer, new ones are refused, and what
-    /// runs ends.
+    /// Stops the upstream permanently: connections close without a response, new ones are refused,
+    /// and requests in flight are cancelled.
     pub dead: bool,
 }
 
-/// Untrue fields of `/load`.
+/// Values that replace the actual ones in the response to `/load`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Lie {
+pub struct LoadOverride {
     /// Slots.
     pub slots: Option<u32>,
     /// Requests being served.
     pub in_flight: Option<u64>,
-    /// Requests waiting.
+    /// Requests waiting for a slot.
     pub queued: Option<u64>,
     /// State.
     pub state: Option<State>,
 }
 
-/// How an upstream leaves.
+/// How an upstream drains.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drain {
-    /// When it refuses connections and new work, in milliseconds from now; else never.
+    /// Delay in milliseconds until it refuses connections and new requests; never if unset.
     pub refuse_after_ms: Option<u64>,
 }
 
@@ -115,7 +117,7 @@
             truncate: 0.0,
             hang: 0.0,
             lag_ms: 0,
-            lie: Lie::default(),
+            lie: LoadOverride::default(),
             drain: None,
             cold: false,
             overruns: false,
@@ -131,31 +133,31 @@
         let fields = text.split(',').map(|field| {
             let (key, value) = field
                 .split_once('=')
-                .ok_or_else(|| eyre!("`{field}` is not key=value"))?;
+                .ok_or_else(|| eyre!("`{field}` is not of the form key=value"))?;
             let number = serde_json::from_str(value).ok().filter(Value::is_number);
             Ok((key.to_owned(), number.unwrap_or_else(|| value.into())))
         });
         let fields = fields.collect::<eyre::Result<Map<_, _>>>()?;
-        serde_json::from_value(fields.into()).wrap_err_with(|| format!("in `{text}`"))
+        serde_json::from_value(fields.into()).wrap_err_with(|| format!("invalid upstream `{text}`"))
     }
 }
 
-/// Any free port of loopback.
+/// Default of `listen`: a free loopback port.
 fn any_port() -> String {
     "127.0.0.1:0".to_owned()
 }
 
-/// The jitter where none is given.
+/// Default of `jitter`.
 fn usual_jitter() -> f64 {
     0.25
 }
 
-/// The factor that changes nothing.
+/// Default of `cold_factor`: no slowdown.
 fn one() -> f64 {
     1.0
 }
 
-/// A time that doesn't come.
+/// Default of `cold_ms`: warm-up isn't limited by time.
 fn never() -> u64 {
     u64::MAX
 }
--- a/crates/standin/tests/link.rs
+++ b/crates/standin/tests/link.rs
@@ -1,4 +1,4 @@
-//! What a link does to its connections.
+//! Tests of links: delay, bandwidth and faults.
 
 use standin::link::{
     Kind,
@@ -27,13 +27,13 @@
     },
 };
 
-/// How long silence is listened to.
-const A_WHILE: Duration = Duration::from_millis(200);
-/// Longest time that something that must happen may take.
-const AMPLE: Duration = Duration::from_secs(30);
+/// Time without data after which a connection counts as silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout for events that must happen.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A relay with these further fields, to a server that sends back what it gets.
-async fn link(fields: &str) -> Arc<Relay> {
+/// Starts a relay with further configuration fields to an echo server.
+async fn start_relay(fields: &str) -> Arc<Relay> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -49,11 +49,12 @@
     Relay::start(spec).await.unwrap()
 }
 
+/// Connects to a relay.
 async fn connect(relay: &Relay) -> TcpStream {
     TcpStream::connect(relay.addr()).await.unwrap()
 }
 
-/// Whether a byte comes back.
+/// Returns whether a byte is echoed within `wait`.
 async fn echoes(stream: &mut TcpStream, wait: Duration) -> bool {
     let echo = async {
         stream.write_all(b"x").await?;
@@ -63,14 +64,14 @@
 }
 
 #[actix_web::test]
-async fn delays_each_way_without_a_cap() {
+async fn delay_applies_per_direction_without_limiting_throughput() {
     let delay = Duration::from_millis(100);
-    let relay = link(",delay_us=100000").await;
+    let relay = start_relay(",delay_us=100000").await;
     let mut stream = connect(&relay).await;
     let start = Instant::now();
-    assert!(echoes(&mut stream, AMPLE).await);
+    assert!(echoes(&mut stream, EVENT_TIMEOUT).await);
     assert!(start.elapsed() >= 2 * delay);
-    // One chunk after the other would take 200 times the delay each way.
+    // Relaying one chunk at a time would take 200 times the delay in each direction.
     let start = Instant::now();
     for _ in 0..200 {
         stream.write_all(&[7; 5000]).await.unwrap();
@@ -88,31 +89,31 @@
 }
 
 #[actix_web::test]
-async fn width_is_shared() {
-    let relay = link(",bytes_per_s=1000000").await;
+async fn bandwidth_is_shared_by_connections() {
+    let relay = start_relay(",bytes_per_s=1000000").await;
     let start = Instant::now();
-    let carry = || async {
+    let transfer = || async {
         let mut stream = connect(&relay).await;
         stream.write_all(&[7; 200_000]).await.unwrap();
         stream.shutdown().await.unwrap();
         stream.read_to_end(&mut Vec::new()).await.unwrap();
     };
-    tokio::join!(carry(), carry());
+    tokio::join!(transfer(), transfer());
     assert!(start.elapsed() >= Duration::from_millis(400));
 }
 
 #[actix_web::test]
-async fn cut_closes_refuses_and_heals() {
-    let relay = link("").await;
+async fn cut_closes_and_refuses_until_cleared() {
+    let relay = start_relay("").await;
     let mut old = connect(&relay).await;
-    assert!(echoes(&mut old, AMPLE).await);
+    assert!(echoes(&mut old, EVENT_TIMEOUT).await);
     relay.set_fault(Kind::Cut);
-    let end = timeout(AMPLE, old.read_u8()).await.unwrap();
+    let end = timeout(EVENT_TIMEOUT, old.read_u8()).await.unwrap();
     assert!(end.is_err());
     let refused = |e: std::io::Error| e.kind() == ErrorKind::ConnectionRefused;
-    let mut steps = 0..6000;
+    let mut polls = 0..6000;
     while !TcpStream::connect(relay.addr()).await.is_err_and(refused) {
-        assert!(steps.next().is_some(), "still accepts");
+        assert!(polls.next().is_some(), "still accepts");
         sleep(Duration::from_millis(5)).await;
     }
     relay.set_fault(Kind::None);
@@ -121,53 +122,58 @@
             Ok(stream) => break stream,
             Err(_) => sleep(Duration::from_millis(5)).await,
         }
-        assert!(steps.next().is_some(), "still refuses");
+        assert!(polls.next().is_some(), "still refuses");
     };
-    assert!(echoes(&mut new, AMPLE).await);
+    assert!(echoes(&mut new, EVENT_TIMEOUT).await);
 }
 
-macro_rules! silences {
+macro_rules! silence_cases {
     ($($name:ident: $kind:ident => new works $new:literal;)*) => { $(
         #[actix_web::test]
         async fn $name() {
-            let relay = link("").await;
+            let relay = start_relay("").await;
             let mut old = connect(&relay).await;
-            assert!(echoes(&mut old, AMPLE).await);
+            assert!(echoes(&mut old, EVENT_TIMEOUT).await);
             relay.set_fault(Kind::$kind);
-            assert!(!echoes(&mut old, A_WHILE).await);
+            assert!(!echoes(&mut old, SILENCE_TIMEOUT).await);
             let mut new = connect(&relay).await;
-            let wait = if $new { AMPLE } else { A_WHILE };
+            let wait = if $new { EVENT_TIMEOUT } else { SILENCE_TIMEOUT };
             assert_eq!(echoes(&mut new, wait).await, $new);
             relay.set_fault(Kind::None);
-            assert!(!echoes(&mut old, A_WHILE).await, "silence is for good");
-            assert!(timeout(A_WHILE, old.read_u8()).await.is_err(), "and sends no end");
+            assert!(!echoes(&mut old, SILENCE_TIMEOUT).await, "silence must be permanent");
+            assert!(
+                timeout(SILENCE_TIMEOUT, old.read_u8()).await.is_err(),
+                "a silent connection must stay open"
+            );
             let mut newer = connect(&relay).await;
-            assert!(echoes(&mut newer, AMPLE).await);
+            assert!(echoes(&mut newer, EVENT_TIMEOUT).await);
             assert!(relay.counters().swallowed_bytes >= 2);
         }
     )* };
 }
 
-silences! {
+silence_cases! {
     silent_old: SilentOld => new works true;
     blackhole: Blackhole => new works false;
 }
 
-// Symptom: on a line gone silent one end saw the other's reset, so the fault looked like a cut.
-// Sequence: silence, then the near end closes with unread bytes, which resets its connection.
-// Cause: the relay's own error closed both ends.
+// If one end of a silent connection closes with unread data, its connection is reset. The resulting
+// error in the relay used to close the other end as well, so silence looked like a cut.
 #[actix_web::test]
-async fn silence_hides_the_other_ends_reset() {
+async fn silent_connection_hides_reset_of_other_end() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
     let relay = Relay::start(format!("to={to}").parse().unwrap())
         .await
         .unwrap();
-    let near = connect(&relay).await;
-    let (mut far, _) = listener.accept().await.unwrap();
-    far.write_all(b"unread").await.unwrap();
-    timeout(AMPLE, near.readable()).await.unwrap().unwrap();
+    let client = connect(&relay).await;
+    let (mut server, _) = listener.accept().await.unwrap();
+    server.write_all(b"unread").await.unwrap();
+    timeout(EVENT_TIMEOUT, client.readable())
+        .await
+        .unwrap()
+        .unwrap();
     relay.set_fault(Kind::SilentOld);
-    drop(near);
-    assert!(timeout(A_WHILE, far.read_u8()).await.is_err());
+    drop(client);
+    assert!(timeout(SILENCE_TIMEOUT, server.read_u8()).await.is_err());
 }
