--- a/crates/rig/examples/measure/main.rs
+++ b/crates/rig/examples/measure/main.rs
@@ -1,13 +1,14 @@
-//! Measures scene files under policies with real processes and prints a table.
+//! Measures scenes under several policies with real processes, and prints a table.
 //!
-//! `measure [--policies P,…] [--earlier FOLDER] SCENE…`, where a scene is a file as in `scenes/` that
-//! names a user; `measure/scenes.sh` builds what it needs and runs all scenes of docs/MEASURES.md.
-//! Each run brings up a system of that user's size, warms it, runs the scene and judges it. Runs of
-//! one scene follow each other, so that their figures compare; the machine's load average goes with
-//! each, since a busy machine shows in all of them.
+//! Usage: `measure [--policies P,…] [--earlier FOLDER] SCENE…`, where a scene is a file like those
+//! in `scenes/` that names a user. `measure/scenes.sh` builds the binaries and runs all scenes of
+//! docs/MEASURES.md. Each run starts a system of that user's size, warms it, runs the scene and
+//! judges it. The runs of a scene follow each other directly, so that their results are comparable.
+//! Each row includes the machine's load average, because other work on the machine affects all
+//! results.
 //!
-//! [`user`] has the sizes, [`run`] one run, [`table`] the figures of a run, [`inspect`] details on
-//! demand.
+//! [`user`] defines the systems, [`run`] performs one run, [`table`] formats its results, and
+//! [`inspect`] prints details on demand.
 
 mod inspect;
 mod run;
@@ -37,26 +38,26 @@
     /// Scene files.
     #[arg(required = true)]
     scenes: Vec<PathBuf>,
-    /// Policies in place of those that each scene names.
+    /// Policies to use in place of those that each scene names.
     #[arg(long, value_delimiter = ',')]
     policies: Vec<Policy>,
-    /// Folder of an earlier commit's `jasmined`, measured under our policy beside this one's.
+    /// Folder of an earlier commit's `jasmined`, measured in addition under the policy `ours`.
     #[arg(long)]
     earlier: Option<PathBuf>,
     /// Print the slowest requests of this class and region, as CLASS/REGION.
     #[arg(long)]
     slowest: Option<String>,
-    /// Print what the entries of the region in question hold, once a second.
+    /// Print the shares of the entries in the scene's focus region, once a second.
     #[arg(long)]
     shares: bool,
-    /// Print each run's whole report.
+    /// Print the full report of each run.
     #[arg(long)]
     reports: bool,
 }
 
 fn main() -> eyre::Result<()> {
     let cli = Cli::parse();
-    // All files are read before the first run, which may be minutes long.
+    // Reads all files before the first run, so that errors show before runs that take minutes.
     let plans = cli.scenes.iter().map(|path| Ok((name(path), read(path)?)));
     let plans = plans.collect::<eyre::Result<Vec<_>>>()?;
     println!("{}", table::HEAD);
@@ -66,6 +67,7 @@
     Ok(())
 }
 
+/// Name of a scene: its file's name without the extension.
 fn name(path: &Path) -> String {
     path.file_stem()
         .unwrap_or_default()
@@ -79,7 +81,7 @@
     Plan::read(&file, &text).map_err(|findings| eyre!("{findings}"))
 }
 
-/// Runs one scene under all policies and prints its rows.
+/// Runs one scene with all contenders and prints its rows.
 fn measure(cli: &Cli, name: &str, plan: &Plan) -> eyre::Result<()> {
     let mut rows = Vec::new();
     for contender in contenders(cli, plan) {
@@ -90,8 +92,8 @@
         if cli.reports {
             println!("{}", outcome.trial.report);
         }
-        if let Some(wanted) = &cli.slowest {
-            inspect::print_slowest(&outcome.trial.driven.callers, wanted);
+        if let Some(class_region) = &cli.slowest {
+            inspect::print_slowest(&outcome.trial.driven.callers, class_region);
         }
         rows.push(row);
     }
@@ -99,6 +101,7 @@
     Ok(())
 }
 
+/// The policies and daemon builds to compare in a scene.
 fn contenders(cli: &Cli, plan: &Plan) -> Vec<Contender> {
     let policies = if cli.policies.is_empty() {
         &plan.policies
--- a/crates/rig/examples/measure/run.rs
+++ b/crates/rig/examples/measure/run.rs
@@ -1,4 +1,4 @@
-//! One run: a system from nothing, its warm-up, the scene with its kills, and the verdict.
+//! One run: starts a system, warms it up, runs the scene with its kills, and judges the result.
 
 use crate::{
     inspect,
@@ -24,27 +24,27 @@
 };
 use steer::Policy;
 
-/// Time for allotments to settle before the warm-up, in which they follow the load.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Pause between two looks at shares.
-const LOOK: Duration = Duration::from_secs(1);
+/// Time for the initial allotments before the warm-up, during which they follow the load.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Interval at which the shares are printed.
+const SHARES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is measured.
+/// Policy and daemon build under measurement.
 pub(crate) struct Contender {
     pub(crate) policy: Policy,
-    /// Folder of an earlier commit's `jasmined`.
+    /// Folder of an earlier commit's `jasmined`, if not this build's.
     pub(crate) daemon_folder: Option<PathBuf>,
 }
 
-/// What a run gave.
+/// Result of a run.
 pub(crate) struct Outcome {
     pub(crate) trial: Trial,
-    /// Mean number of runnable tasks of the last minute, before and after the run.
+    /// Load average of the machine over one minute, before and after the run.
     pub(crate) load_average: [f64; 2],
 }
 
 /// Runs a scene once.
-pub(crate) fn run(plan: &Plan, contender: &Contender, shares: bool) -> eyre::Result<Outcome> {
+pub(crate) fn run(plan: &Plan, contender: &Contender, print_shares: bool) -> eyre::Result<Outcome> {
     let user = plan
         .user
         .as_deref()
@@ -52,24 +52,24 @@
     let mut layout = user::layout(user).ok_or_else(|| eyre!("unknown user `{user}`"))?;
     layout.policy = contender.policy.as_str();
     layout.daemon_folder.clone_from(&contender.daemon_folder);
-    let mut rig = Rig::start(layout).map_err(|why| eyre!("{why}"))?;
+    let mut rig = Rig::start(layout).map_err(|error| eyre!("{error}"))?;
     check_kills(plan, &rig)?;
-    sleep(SETTLE);
+    sleep(SETTLE_TIME);
     if plan.warm_up_ms > 0 {
         rig.run(&plan.warm_up(), |_| {});
         rig.clear_records();
     }
     let before = load_average()?;
     let trial = rig.run(&plan.scene, |rig| {
-        if shares {
-            look_at_shares(rig, plan);
+        if print_shares {
+            print_shares_until_end(rig, plan);
         }
         kill(rig, plan);
     });
-    if !trial.not_done.is_empty() {
+    if !trial.ineffective_events.is_empty() {
         return Err(eyre!(
-            "the scene was not run: {}",
-            trial.not_done.join("; ")
+            "events of the scene had no effect: {}",
+            trial.ineffective_events.join("; ")
         ));
     }
     Ok(Outcome {
@@ -78,36 +78,39 @@
     })
 }
 
+/// Checks that all instances to kill exist.
 fn check_kills(plan: &Plan, rig: &Rig) -> eyre::Result<()> {
     let mut instances = plan.kills.iter().flat_map(|kill| &kill.instances);
     let unknown = instances.find(|id| !rig.daemons.contains_key(&***id));
     unknown.map_or(Ok(()), |id| {
-        Err(eyre!("`kills` names no instance by `{id}`"))
+        Err(eyre!("`kills` names an unknown instance `{id}`"))
     })
 }
 
-/// Kills instances at their times.
+/// Kills the plan's instances at their times.
 fn kill(rig: &mut Rig, plan: &Plan) {
     let start = Instant::now();
     let mut kills = plan.kills.clone();
     kills.sort_by_key(|kill| kill.at_ms);
     for kill in kills {
-        let at = start + Duration::from_millis(kill.at_ms);
-        sleep(at.saturating_duration_since(Instant::now()));
+        let kill_at = start + Duration::from_millis(kill.at_ms);
+        sleep(kill_at.saturating_duration_since(Instant::now()));
         for id in &kill.instances {
             rig.kill(id);
         }
     }
 }
 
-fn look_at_shares(rig: &Rig, plan: &Plan) {
+/// Prints the shares once a second until the scene ends.
+fn print_shares_until_end(rig: &Rig, plan: &Plan) {
     let start = Instant::now();
     while start.elapsed() < plan.scene.duration() {
-        sleep(LOOK);
+        sleep(SHARES_INTERVAL);
         inspect::print_shares(rig, plan.focus.as_deref());
     }
 }
 
+/// Load average over the last minute.
 fn load_average() -> eyre::Result<f64> {
     let path = "/proc/loadavg";
     let text = fs::read_to_string(path).wrap_err(path)?;
--- a/crates/rig/examples/measure/table.rs
+++ b/crates/rig/examples/measure/table.rs
@@ -1,4 +1,4 @@
-//! The table's rows, from a run's report and records.
+//! The table's rows, computed from a run's report and records.
 
 use crate::run::{
     Contender,
@@ -27,12 +27,12 @@
 least headroom %, s below | drain ms | retries each | queued | broken | load |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// Figures of one run.
+/// Results of one run.
 pub(crate) struct Row {
     scene: String,
     contender: String,
     is_baseline: bool,
-    /// Of quick lookups, in the region in question if the scene names one.
+    /// Latencies of quick lookups, only in the focus region if the scene names one.
     quick: Latency,
     others: Vec<Latency>,
     whole_pct: f64,
@@ -45,7 +45,7 @@
     queued: u64,
     broken: BTreeMap<String, usize>,
     load_average: [f64; 2],
-    back: Option<Back>,
+    recovery: Option<Recovery>,
 }
 
 /// Latencies of one class.
@@ -56,10 +56,10 @@
     p999_us: u64,
 }
 
-/// Quick lookups that ran in a region before it was drained and after it took its load back.
-struct Back {
-    warm_p99_us: u64,
-    back_p99_us: u64,
+/// Latencies of quick lookups that ran in a region before its drain and while its load returns.
+struct Recovery {
+    p99_before_us: u64,
+    p99_after_us: u64,
 }
 
 impl Row {
@@ -69,13 +69,13 @@
         let totals = |figure: fn(&load::Row) -> u64| report.classes.values().map(figure).sum();
         let offered: u64 = totals(|row| row.offered);
         let retries: u64 = totals(|row| row.retries + row.entry_retries);
-        let earlier = contender.daemon_folder.is_some();
+        let is_earlier = contender.daemon_folder.is_some();
         Self {
             scene: scene.to_owned(),
             contender: format!(
                 "{}{}",
                 contender.policy,
-                if earlier { ", earlier" } else { "" }
+                if is_earlier { ", earlier" } else { "" }
             ),
             is_baseline: contender.policy != Policy::LeastLoaded,
             quick: match &plan.focus {
@@ -90,18 +90,22 @@
             refused: totals(|row| row.refused),
             unknown: totals(|row| row.unknown + row.unanswered + row.failed),
             least_headroom_pct: least_headroom_pct(report, quick),
-            seconds_below: report.headroom.values().map(|it| it.seconds_below).sum(),
+            seconds_below: report
+                .headroom
+                .values()
+                .map(|headroom| headroom.seconds_below)
+                .sum(),
             drain_ms: report.drains.iter().map(|drain| drain.took_ms).max(),
             retries_per_request: retries as f64 / offered.max(1) as f64,
             queued: report.uses.values().map(|used| used.queued).sum(),
             broken: broken(report),
             load_average: outcome.load_average,
-            back: back(plan, outcome),
+            recovery: recovery(plan, outcome),
         }
     }
 }
 
-/// Least mean headroom of a second, over the regions of a service.
+/// Smallest mean headroom in any second and region of a service.
 fn least_headroom_pct(report: &Report, service: &str) -> f64 {
     let pools = report.headroom.iter();
     let pools = pools.filter(|(pool, _)| pool.split('/').next() == Some(service));
@@ -110,7 +114,7 @@
     means.fold(100.0, f64::min)
 }
 
-/// Broken promises by kind; what queued has a column of its own.
+/// Number of broken promises by kind, without queueing, which has its own column.
 fn broken(report: &Report) -> BTreeMap<String, usize> {
     let mut kinds = BTreeMap::new();
     for violation in &report.violations {
@@ -134,40 +138,41 @@
     }
 }
 
-fn back(plan: &Plan, outcome: &Outcome) -> Option<Back> {
+/// Compares latencies before the drain and after the return of the load, if the scene has both.
+fn recovery(plan: &Plan, outcome: &Outcome) -> Option<Recovery> {
     let region = plan.focus.as_ref()?;
     let back_at_ms = plan.back_at_ms?;
-    let leaves = plan
+    let drains = plan
         .scene
         .events
         .iter()
         .filter(|event| !event.leaves.is_empty());
-    let left_at_ms = leaves.map(|event| event.at_ms).min().unwrap_or(back_at_ms);
+    let drained_at_ms = drains.map(|event| event.at_ms).min().unwrap_or(back_at_ms);
     let trial = &outcome.trial;
     let prefix = format!("{region}-");
-    let here = trial
+    let local_runs = trial
         .runs
         .iter()
         .filter(|run| run.upstream.starts_with(&prefix));
-    let here: BTreeSet<&str> = here.map(|run| &*run.id).collect();
+    let local_ids: BTreeSet<&str> = local_runs.map(|run| &*run.id).collect();
     let callers = trial.driven.callers.iter();
-    let first_us = callers.clone().map(|it| it.scheduled_us).min()?;
+    let first_us = callers.clone().map(|caller| caller.scheduled_us).min()?;
     let quick = callers.filter(|caller| {
         caller.class == plan.scene.classes[0].name
             && caller.told == Told::Done
-            && here.contains(&*caller.id)
+            && local_ids.contains(&*caller.id)
     });
     let quick: Vec<&CallerRecord> = quick.collect();
     let p99_us = |range_ms: Range<u64>| {
-        let within = quick.iter().filter(|caller| {
+        let in_range = quick.iter().filter(|caller| {
             let at_ms = (caller.scheduled_us - first_us) / 1_000;
             range_ms.contains(&at_ms)
         });
-        p99_us(within.map(|caller| caller.finished_us - caller.scheduled_us))
+        p99_us(in_range.map(|caller| caller.finished_us - caller.scheduled_us))
     };
-    Some(Back {
-        warm_p99_us: p99_us(0..left_at_ms),
-        back_p99_us: p99_us(back_at_ms..plan.scene.duration_ms),
+    Some(Recovery {
+        p99_before_us: p99_us(0..drained_at_ms),
+        p99_after_us: p99_us(back_at_ms..plan.scene.duration_ms),
     })
 }
 
@@ -178,8 +183,8 @@
     latencies_us.get(index).copied().unwrap_or(0)
 }
 
-/// Prints our p99 of quick lookups against the best baseline's, and that of a cold region against
-/// its warm one.
+/// Prints the ratio of our p99 of quick lookups to the best baseline's, and for a region that
+/// returns from a drain, the ratio to its p99 before.
 pub(crate) fn print_ratios(scene: &str, rows: &[Row]) {
     let baselines = rows.iter().filter(|row| row.is_baseline);
     let best = baselines.min_by_key(|row| row.quick.p99_us);
@@ -193,25 +198,25 @@
         }
     }
     for row in rows {
-        if let Some(back) = &row.back {
-            let ratio = back.back_p99_us as f64 / back.warm_p99_us.max(1) as f64;
+        if let Some(recovery) = &row.recovery {
+            let ratio = recovery.p99_after_us as f64 / recovery.p99_before_us.max(1) as f64;
             println!(
                 "back: {scene}, {}: p99 {} ms warm, {} ms while load comes back, ratio {ratio:.2}",
                 row.contender,
-                ms(back.warm_p99_us),
-                ms(back.back_p99_us)
+                format_ms(recovery.p99_before_us),
+                format_ms(recovery.p99_after_us)
             );
         }
     }
 }
 
-fn ms(us: u64) -> String {
+fn format_ms(us: u64) -> String {
     format!("{:.1}", us as f64 / 1e3)
 }
 
 impl fmt::Display for Latency {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [p50, p99, p999] = [self.p50_us, self.p99_us, self.p999_us].map(ms);
+        let [p50, p99, p999] = [self.p50_us, self.p99_us, self.p999_us].map(format_ms);
         write!(f, "{p50} / {p99} / {p999}")
     }
 }
--- a/crates/rig/examples/measure/user.rs
+++ b/crates/rig/examples/measure/user.rs
@@ -1,4 +1,4 @@
-//! The two users' systems, at the sizes of their brief.
+//! Layouts of the two users' systems, at the sizes that their requirements give.
 
 use rig::{
     ClassLayout,
@@ -6,13 +6,14 @@
     RegionLayout, //
 };
 
-/// Entries in each region: nine in all, as both users have 8 to 12.
+/// Entries in each region: nine in all, because both users have 8 to 12.
 const ENTRIES: usize = 3;
-/// Requests after which an upstream's caches are warm, and how much longer the first takes.
+/// Requests after which an upstream's caches are warm.
 const COLD_REQUESTS: u64 = 200;
+/// Factor by which a cold upstream's first request takes longer.
 const COLD_FACTOR: f64 = 4.0;
 
-/// A user's layout, by name; the configuration is the one of `examples/`.
+/// Layout of the user with this name, with the configuration from `examples/`.
 pub(crate) fn layout(user: &str) -> Option<Layout> {
     match user {
         "kilima" => Some(kilima()),
@@ -62,7 +63,7 @@
 fn quick(name: &'static str, upstreams: usize, slots: u32) -> ClassLayout {
     ClassLayout {
         name,
-        upstreams_dealt: Some(upstreams),
+        upstreams_total: Some(upstreams),
         slots,
         service_ms: 40.0,
         cold_requests: COLD_REQUESTS,
@@ -74,7 +75,7 @@
 fn filings(name: &'static str, upstreams: usize, slots: u32) -> ClassLayout {
     ClassLayout {
         name,
-        upstreams_dealt: Some(upstreams),
+        upstreams_total: Some(upstreams),
         slots,
         service_ms: 60.0,
         ..ClassLayout::orders()
@@ -84,7 +85,7 @@
 fn downloads(name: &'static str, upstreams: usize, slots: u32) -> ClassLayout {
     ClassLayout {
         name,
-        upstreams_dealt: Some(upstreams),
+        upstreams_total: Some(upstreams),
         slots,
         service_ms: 150.0,
         ..ClassLayout::binders()
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests of a test, one at a time.
+//! Blocking HTTP requests of a test.
 
 use awc::{
     http::Method,
@@ -14,31 +14,31 @@
     time::Duration, //
 };
 
-/// Longest wait for an answer.
+/// Longest wait for a response.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Status and body of an answer.
+/// Status and body of a response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status; 0 when there was no answer.
+    /// Status; 0 without a response.
     pub status: u16,
-    /// Body as JSON; null when it is none, text when it is no JSON.
+    /// Body as JSON; a string with its text, or with the error, if it is not JSON.
     pub body: Value,
 }
 
-/// Sends `request` as it stands on a connection of its own; gives the answer's status, 0 without
-/// one, and its whole text.
+/// Sends `request` verbatim on a new connection. Returns the response's status, 0 without one, and
+/// its whole text.
 pub fn send_raw(addr: &str, request: &str) -> (u16, String) {
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     if let Ok(mut stream) = TcpStream::connect(addr) {
         stream
             .set_read_timeout(Some(TIMEOUT))
             .expect("a timeout can be set");
-        // A daemon that refuses early may close before all was written; its answer still counts.
+        // A daemon that refuses early may close before all is written; its response still counts.
         let _ = stream.write_all(request.as_bytes());
-        let _ = stream.read_to_end(&mut answer);
+        let _ = stream.read_to_end(&mut response);
     }
-    let text = String::from_utf8_lossy(&answer).into_owned();
+    let text = String::from_utf8_lossy(&response).into_owned();
     let status = text
         .split(' ')
         .nth(1)
@@ -46,13 +46,13 @@
     (status.unwrap_or(0), text)
 }
 
-/// Asks and waits.
-pub(crate) fn ask(method: Method, addr: &str, path: &str, body: Option<&Value>) -> Reply {
-    ask_with_key(method, addr, path, body, None)
+/// Sends a request and waits for the response.
+pub(crate) fn send(method: Method, addr: &str, path: &str, body: Option<&Value>) -> Reply {
+    send_with_key(method, addr, path, body, None)
 }
 
-/// Asks with the operators' key and waits.
-pub(crate) fn ask_with_key(
+/// Sends a request with the operators' key, if any, and waits for the response.
+pub(crate) fn send_with_key(
     method: Method,
     addr: &str,
     path: &str,
@@ -66,16 +66,16 @@
         if let Some(key) = key {
             request = request.bearer_auth(key);
         }
-        let sent = match body {
+        let result = match body {
             Some(body) => request.send_json(body).await,
             None => request.send().await,
         };
-        match sent {
-            Ok(mut answer) => {
-                let bytes = answer.body().await.unwrap_or_default();
+        match result {
+            Ok(mut response) => {
+                let bytes = response.body().await.unwrap_or_default();
                 let text = || Value::String(String::from_utf8_lossy(&bytes).into_owned());
                 Reply {
-                    status: answer.status().as_u16(),
+                    status: response.status().as_u16(),
                     body: serde_json::from_slice(&bytes).unwrap_or_else(|_| text()),
                 }
             }
--- a/crates/rig/src/layout.rs
+++ b/crates/rig/src/layout.rs
@@ -1,4 +1,4 @@
-//! What a rig consists of, and the files that say so to the processes.
+//! Layout of a test system, and the configuration and settings files derived from it.
 
 use load::{
     CallerRegion,
@@ -14,66 +14,66 @@
     path::PathBuf, //
 };
 
-/// What a rig consists of.
+/// Layout of a test system.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// Regions, each with its entries.
     pub regions: Vec<RegionLayout>,
-    /// Classes, each with a service of its own and the same name.
+    /// Classes, each with its own service of the same name.
     pub classes: Vec<ClassLayout>,
-    /// Delay between regions each way; the relays stand between them even when it is zero.
+    /// One-way delay between regions; traffic passes through relays even when it is zero.
     pub between_regions_us: u64,
-    /// Terms of the daemons that differ from their defaults, as in `beat_ms`.
+    /// Entries of the settings' `terms` that differ from the defaults, such as `beat_ms`.
     pub terms: Vec<(&'static str, u64)>,
-    /// Bytes a second that may go from each region to each other.
+    /// Cap on the bytes per second from each region to each other region.
     pub cap_bytes_per_s: u64,
-    /// Way of choosing an upstream, as the daemons' settings name it.
+    /// Load-balancing policy, as named in the daemons' settings.
     pub policy: &'static str,
-    /// Key that operators must prove.
+    /// Key that operators have to present.
     pub operator_key: Option<&'static str>,
-    /// Whether each daemon reaches the platform by a relay of its own, which can be cut.
+    /// Whether each daemon reaches the platform through its own relay, which can be cut.
     pub platform_relays: bool,
-    /// Configuration to accept in place of the one that follows from the rest.
+    /// Configuration to accept in place of the derived one.
     pub config_text: Option<String>,
-    /// Folder of the `jasmined` to run, as one of an earlier commit; beside the test's own if none.
+    /// Folder of the `jasmined` to run, such as an earlier commit's; by default this build's.
     pub daemon_folder: Option<PathBuf>,
 }
 
 /// One region.
 #[derive(Clone, Debug)]
 pub struct RegionLayout {
-    /// Name.
+    /// Name of the region.
     pub name: &'static str,
-    /// Entries; they alternate between two failure domains.
+    /// Number of entries; they alternate between two failure domains.
     pub entries: usize,
 }
 
 /// One class and its service.
 #[derive(Clone, Debug)]
 pub struct ClassLayout {
-    /// Name of both.
+    /// Name of the class and of its service.
     pub name: &'static str,
     /// Whether a request may run more than once.
     pub idempotent: bool,
-    /// Rank; 0 is refused last.
+    /// Priority; 0 is shed last.
     pub priority: u8,
-    /// Upstreams in each region; they alternate between two failure domains.
+    /// Number of upstreams in each region; they alternate between two failure domains.
     pub upstreams_per_region: usize,
-    /// Upstreams of all regions together, dealt out evenly, in place of a number for each.
-    pub upstreams_dealt: Option<usize>,
-    /// Slots of each.
+    /// Total number of upstreams, spread evenly over the regions; overrides `upstreams_per_region`.
+    pub upstreams_total: Option<usize>,
+    /// Slots of each upstream.
     pub slots: u32,
-    /// Mean time of service.
+    /// Mean service time.
     pub service_ms: f64,
-    /// Time within which an entry must have answered.
+    /// Deadline of a request.
     pub deadline_ms: u64,
-    /// Headroom target.
+    /// Target headroom.
     pub headroom_pct: u8,
-    /// Requests that warm an upstream; 0 for one that is never cold.
+    /// Number of requests after which an upstream is warm; 0 if it is never cold.
     pub cold_requests: u64,
-    /// How many times longer the first request takes on a cold one.
+    /// Factor by which a cold upstream's first request takes longer.
     pub cold_factor: f64,
-    /// Whether upstreams work on when a request is given up on.
+    /// Whether upstreams continue a request whose connection was closed.
     pub ignores_cancel: bool,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Two regions of two entries, with quick lookups, filings and downloads.
+    /// Two regions of two entries each, with quick lookups, filings and downloads.
     pub fn two_regions() -> Self {
         let region = |name| RegionLayout { name, entries: 2 };
         Self {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Two regions whose work takes long, so that whatever ends an entry finds requests in flight.
+    /// Two regions with long service times, so that an entry always ends with requests in flight.
     pub fn long_work() -> Self {
         let mut layout = Self::two_regions();
         for class in &mut layout.classes {
@@ -124,7 +124,7 @@
         layout
     }
 
-    /// Two regions whose few slots are often all taken, so that a slot with two owners shows as a
+    /// Two regions whose few slots are often all in use, so that a slot with two owners shows as a
     /// queue at its upstream.
     pub fn tight() -> Self {
         let menu = ClassLayout {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The same, with upstreams that work on when a request is given up on.
+    /// As [`Layout::tight`], with upstreams that continue a request whose connection was closed.
     pub fn tight_without_cancel() -> Self {
         let mut layout = Self::tight();
         for class in &mut layout.classes {
@@ -149,7 +149,7 @@
         layout
     }
 
-    /// Terms that make lapses and silences short enough for a test.
+    /// Terms under which leases expire and silent peers are noticed fast enough for a test.
     pub fn quick_terms() -> Vec<(&'static str, u64)> {
         vec![
             ("lease_ms", 4_000),
@@ -164,12 +164,13 @@
         ]
     }
 
-    /// Block whose callers are at home in the region of this index.
+    /// Address block of the callers whose home is the region with this index.
     pub fn block(index: usize) -> String {
         format!("10.{}.0.0/16", index + 1)
     }
 
-    /// A load of `classes` for `duration_ms`, from callers at home in every region alike.
+    /// Scene with load of `classes` for `duration_ms`, spread evenly over the callers of all
+    /// regions.
     pub fn scene(&self, duration_ms: u64, classes: Vec<ClassLoad>) -> Scene {
         let regions = self.regions.iter().enumerate();
         Scene {
@@ -193,44 +194,44 @@
         }
     }
 
-    /// The operators' configuration.
+    /// The configuration that the operators accept.
     pub fn config(&self) -> String {
         if let Some(text) = &self.config_text {
             return text.clone();
         }
         let mut text = String::from("name: rig\nregions:\n");
-        let mut line = |line: String| text.push_str(&(line + "\n"));
+        let mut push_line = |line: String| text.push_str(&(line + "\n"));
         for region in &self.regions {
-            line(format!(
+            push_line(format!(
                 "  - {{id: {}, failure_domains: [{}]}}",
                 region.name,
                 DOMAINS.join(", ")
             ));
         }
-        line("services:".into());
+        push_line("services:".into());
         for class in &self.classes {
-            line(format!("  - {}", class.name));
+            push_line(format!("  - {}", class.name));
         }
-        line("classes:".into());
+        push_line("classes:".into());
         for class in &self.classes {
-            line(format!("  - {}", class.config()));
+            push_line(format!("  - {}", class.config()));
         }
         if self.regions.len() > 1 {
-            line("caps:".into());
+            push_line("caps:".into());
         }
         for from in &self.regions {
             for to in self.regions.iter().filter(|to| to.name != from.name) {
-                line(format!(
+                push_line(format!(
                     "  - {{from: {}, to: {}, bytes_per_s: {}, in_flight: 200, growth_per_s: 100}}",
                     from.name, to.name, self.cap_bytes_per_s
                 ));
             }
         }
-        line("blocks:".into());
+        push_line("blocks:".into());
         for index in 0..self.regions.len() {
             let mut order: Vec<&str> = self.regions.iter().map(|region| region.name).collect();
             order.rotate_left(index);
-            line(format!(
+            push_line(format!(
                 "  - {{block: {}, regions: [{}]}}",
                 Self::block(index),
                 order.join(", ")
@@ -239,13 +240,13 @@
         text
     }
 
-    /// All upstreams, as `standin-upstream` reads them.
+    /// Specification of all upstreams for `standin-upstream`.
     pub(crate) fn upstreams(&self) -> Vec<Value> {
-        let mut specs = Vec::new();
-        for (place, region) in self.regions.iter().enumerate() {
+        let mut upstreams = Vec::new();
+        for (region_index, region) in self.regions.iter().enumerate() {
             for class in &self.classes {
-                for index in 0..class.upstreams_in(place, self.regions.len()) {
-                    specs.push(json!({
+                for index in 0..class.upstreams_in(region_index, self.regions.len()) {
+                    upstreams.push(json!({
                         "id": format!("{}-{}-{index}", region.name, class.name),
                         "service": class.name,
                         "region": region.name,
@@ -260,7 +261,7 @@
                 }
             }
         }
-        specs
+        upstreams
     }
 }
 
@@ -272,7 +273,7 @@
             idempotent: true,
             priority: 0,
             upstreams_per_region: 3,
-            upstreams_dealt: None,
+            upstreams_total: None,
             slots: 9,
             service_ms: 10.0,
             deadline_ms: 5_000,
@@ -306,12 +307,12 @@
         }
     }
 
-    /// Upstreams in the region of this index.
-    fn upstreams_in(&self, region: usize, regions: usize) -> usize {
-        let Some(dealt) = self.upstreams_dealt else {
+    /// Number of upstreams in the region with this index.
+    fn upstreams_in(&self, region_index: usize, region_count: usize) -> usize {
+        let Some(total) = self.upstreams_total else {
             return self.upstreams_per_region;
         };
-        dealt / regions + usize::from(region < dealt % regions)
+        total / region_count + usize::from(region_index < total % region_count)
     }
 
     fn config(&self) -> String {
@@ -323,12 +324,12 @@
     }
 }
 
-/// Failure domain of the entry or upstream of this index.
+/// Failure domain of the entry or upstream with this index.
 pub(crate) fn domain(index: usize) -> &'static str {
     DOMAINS[index % DOMAINS.len()]
 }
 
-/// Settings of one daemon, in YAML.
+/// Settings file of one daemon, in YAML.
 pub(crate) fn settings(
     daemon: &crate::Daemon,
     platform: &str,
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,20 +1,21 @@
-//! Test support: real binaries on loopback, with faults; never shipped.
+//! Test support: runs the real binaries on loopback and injects faults. Never shipped.
 //!
-//! A [`Layout`] says how many regions, entries and upstreams there are; [`Rig::start`] brings up
-//! `standin-platform`, `standin-upstream`, `standin-link` where regions are apart, and a `jasmined`
-//! for each entry, makes a configuration the one in force and waits until all are ready. Faults of
-//! processes are signals to a process that the rig started, by its id; faults of stand-ins go by
-//! HTTP. [`Rig::run`] drives a scene of `load` while a fault happens and gives the judge's verdict.
+//! A [`Layout`] describes the regions, entries and upstreams of a system. [`Rig::start`] starts
+//! `standin-platform`, `standin-upstream`, `standin-link` if there are relays, and one `jasmined`
+//! per entry, puts a configuration in force and waits until all daemons are ready. Faults of
+//! daemons are signals to a process that the rig started, by its id; faults of stand-ins are set
+//! over HTTP. [`Rig::run`] drives a scene of `load` while a fault is injected, and judges the
+//! recorded evidence.
 //!
-//! Invariants: every process is a child whose handle the rig holds, killed when the rig is dropped;
-//! nothing is ended by name. Waits have generous bounds and end as soon as what they wait for is
-//! there, so no verdict rests on a short time.
+//! Invariants: every process is a child whose handle the rig owns, and is killed when the rig is
+//! dropped; no process is killed by name. Waits have generous limits and end as soon as their
+//! condition holds, so no verdict depends on a short timeout.
 
 mod http;
 mod layout;
+mod permit;
 mod process;
 mod rig;
-mod turn;
 
 pub use http::{
     send_raw,
@@ -25,14 +26,14 @@
     Layout,
     RegionLayout, //
 };
+pub use permit::{
+    exclusive_test_permit,
+    test_permit_for,
+    turn,
+    TestPermit, //
+};
 pub use rig::{
     Daemon,
     Rig,
     Trial, //
 };
-pub use turn::{
-    turn,
-    turn_alone,
-    turn_for,
-    Turn, //
-};
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a test starts, with their handles.
+//! Child processes of a test.
 
 use nix::{
     sys::signal::{
@@ -38,56 +38,57 @@
     },
 };
 
-/// Ports that are tried for listeners: below those that the kernel gives to outgoing connections,
-/// so that none takes a port between the trial and its use.
+/// First port of the range for listeners. The range lies below the kernel's ephemeral ports, so
+/// that no outgoing connection takes a port between the check and its use.
 const FIRST_PORT: u16 = 10_000;
-const PORTS: u16 = 22_000;
-/// Ports between the first ones of two processes with neighbouring ids.
-const PORTS_APART: u32 = 397;
-/// Pause between two looks at a process that should end.
-const LOOK: Duration = Duration::from_millis(20);
+/// Number of ports in the range.
+const PORT_COUNT: u16 = 22_000;
+/// Distance between the starting ports of two test processes with consecutive ids.
+const PORT_STRIDE: u32 = 397;
+/// Interval at which a process is polled for its exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A process, killed when dropped.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub(crate) struct Process {
     child: Child,
-    /// Kept open, or the process would fail to write.
+    /// Kept open: the process's writes would fail otherwise.
     _stdout: Option<BufReader<ChildStdout>>,
 }
 
 impl Process {
-    /// Starts a binary of this workspace, from another folder if one is named; its log goes to a
-    /// file.
+    /// Starts a binary of this workspace, from `folder` if given, with its output appended to
+    /// `log`.
     pub(crate) fn start(
         program: &str,
         folder: Option<&Path>,
         args: &[String],
         log: &Path,
     ) -> Result<Self, String> {
-        let path = binary(program, folder)?;
+        let path = binary_path(program, folder)?;
         Self::spawn(&path, args, log, None)
     }
 
-    /// Starts a stand-in and reads where it listens, by name, until `last` has come.
-    pub(crate) fn announced(
+    /// Starts a stand-in and reads its listener addresses, by name, up to that of `last`.
+    pub(crate) fn start_with_addresses(
         program: &str,
         args: &[String],
         log: &Path,
         last: &str,
     ) -> Result<(Self, BTreeMap<String, String>), String> {
-        let path = binary(program, None)?;
+        let path = binary_path(program, None)?;
         let mut process = Self::spawn(&path, args, log, Some(Stdio::piped()))?;
         let stdout = process.child.stdout.take();
-        let mut lines = BufReader::new(stdout.ok_or("the process has no output")?);
+        let mut lines = BufReader::new(stdout.ok_or("stdout of the process is not piped")?);
         let mut addresses = BTreeMap::new();
         while !addresses.contains_key(last) {
             let mut line = String::new();
-            let read = lines.read_line(&mut line).map_err(|e| e.to_string())?;
-            if read == 0 {
-                return Err(format!("{program} ended early, see {}", log.display()));
+            let read_bytes = lines.read_line(&mut line).map_err(|e| e.to_string())?;
+            if read_bytes == 0 {
+                return Err(format!("{program} exited early, see {}", log.display()));
             }
-            let words: Vec<&str> = line.split_whitespace().collect();
-            match words[..] {
+            let fields: Vec<&str> = line.split_whitespace().collect();
+            match fields[..] {
                 ["listening", name, addr] => addresses.insert(name.to_owned(), addr.to_owned()),
                 ["listening", addr] => addresses.insert(String::new(), addr.to_owned()),
                 _ => None,
@@ -103,12 +104,12 @@
         log: &Path,
         stdout: Option<Stdio>,
     ) -> Result<Self, String> {
-        let failed = |error| format!("{}: {error}", log.display());
-        let opened = File::options().create(true).append(true).open(log);
-        let log = opened.map_err(failed)?;
+        let log_error = |error| format!("{}: {error}", log.display());
+        let file = File::options().create(true).append(true).open(log);
+        let log = file.map_err(log_error)?;
         let stdout = match stdout {
             Some(stdout) => stdout,
-            None => log.try_clone().map_err(failed)?.into(),
+            None => log.try_clone().map_err(log_error)?.into(),
         };
         let child = Command::new(path)
             .args(args)
@@ -123,36 +124,36 @@
         })
     }
 
-    /// Sends a signal, unless the process has ended and its id may be another's.
+    /// Sends a signal, unless the process has exited and its id may have been reused.
     pub(crate) fn signal(&mut self, signal: Signal) {
-        if self.ended().is_some() {
+        if self.exit_status().is_some() {
             return;
         }
-        let id = i32::try_from(self.child.id()).expect("ids of processes fit");
-        // Fails only if the process ended in between, which is as good.
+        let id = i32::try_from(self.child.id()).expect("a process id fits into an i32");
+        // Fails only if the process has exited in the meantime, which needs no signal.
         let _ = signal::kill(Pid::from_raw(id), signal);
     }
 
-    /// How it ended, if it did.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Exit status, if the process has exited.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end.
+    /// Waits for the exit, up to `limit`.
     pub(crate) fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
-        let end = Instant::now() + limit;
-        while Instant::now() < end {
-            if let Some(status) = self.ended() {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
+            if let Some(status) = self.exit_status() {
                 return Some(status);
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         None
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and reaps it.
     pub(crate) fn kill(&mut self) {
-        // Fails only if it ended.
+        // Fails only if the process has exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -164,12 +165,12 @@
     }
 }
 
-/// Path of a binary in a folder, or else beside the test's own.
-fn binary(program: &str, folder: Option<&Path>) -> Result<PathBuf, String> {
-    let own = env::current_exe().map_err(|error| error.to_string())?;
-    // Tests run from `target/<profile>/deps`, binaries are one above.
-    let beside = own.parent().and_then(Path::parent);
-    let folder = folder.or(beside).unwrap_or(Path::new("."));
+/// Path of a binary in `folder`, or by default in the folder of this build's binaries.
+fn binary_path(program: &str, folder: Option<&Path>) -> Result<PathBuf, String> {
+    let test_binary = env::current_exe().map_err(|error| error.to_string())?;
+    // Tests run from `target/<profile>/deps`; binaries are in its parent.
+    let default_folder = test_binary.parent().and_then(Path::parent);
+    let folder = folder.or(default_folder).unwrap_or(Path::new("."));
     let path = folder.join(program);
     if path.is_file() {
         return Ok(path);
@@ -180,15 +181,15 @@
     ))
 }
 
-/// An address on loopback with a free port, given out once by this process.
+/// Loopback address with a free port; each port is handed out once per process.
 pub(crate) fn free_addr() -> String {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    // Tests of several binaries run side by side: each begins elsewhere.
-    let base = std::process::id().wrapping_mul(PORTS_APART) % u32::from(PORTS);
+    // Test processes run concurrently, so each starts at another port.
+    let base = std::process::id().wrapping_mul(PORT_STRIDE) % u32::from(PORT_COUNT);
     loop {
         let offset = u32::from(NEXT.fetch_add(1, Ordering::Relaxed));
-        let within = u16::try_from((base + offset) % u32::from(PORTS)).unwrap_or(0);
-        let port = FIRST_PORT + within;
+        let index = u16::try_from((base + offset) % u32::from(PORT_COUNT)).unwrap_or(0);
+        let port = FIRST_PORT + index;
         if TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return format!("127.0.0.1:{port}");
         }
--- a/crates/rig/src/rig.rs
+++ b/crates/rig/src/rig.rs
@@ -1,9 +1,9 @@
-//! The rig: brings everything up, breaks it on request, takes it down.
+//! The rig: starts a system, injects faults into it and shuts it down.
 
 use crate::{
     http::{
-        ask,
-        ask_with_key,
+        send,
+        send_with_key,
         Reply, //
     },
     layout::{
@@ -57,32 +57,32 @@
     },
 };
 
-/// Bound on waits for things that take well under a tenth of it.
-const GENEROUS: Duration = Duration::from_secs(60);
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Limit on waits for conditions that take well under a tenth of it.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One daemon's place and addresses.
+/// Identity and addresses of one daemon.
 #[derive(Clone, Debug)]
 pub struct Daemon {
-    /// Instance.
+    /// Id of the instance.
     pub id: String,
     /// Region.
     pub region: String,
     /// Failure domain.
     pub domain: String,
-    /// Callers' address.
+    /// Address for callers.
     pub callers: String,
-    /// Peers' address.
+    /// Address for peers.
     pub peers: String,
-    /// Operators' address.
+    /// Address for operators.
     pub operator: String,
 }
 
-/// A running system with its stand-ins.
+/// A running system: daemons, stand-ins and relays.
 #[derive(Debug)]
 pub struct Rig {
-    /// What it was made from.
+    /// Layout that the system was built from.
     pub layout: Layout,
     /// All daemons, by instance.
     pub daemons: BTreeMap<String, Daemon>,
@@ -90,53 +90,54 @@
     platform: String,
     upstreams: String,
     links: Option<String>,
-    /// Relays' names by the regions that they connect.
+    /// Names of the relays by the pair of regions, source first.
     relays: BTreeMap<(String, String), Vec<String>>,
     running: BTreeMap<String, Process>,
     disturbed: Vec<Disturbed>,
     leaving: Vec<Leaving>,
-    /// What the layout's configuration promises.
+    /// Limits that the configuration in force sets, for the judge.
     limits: Limits,
     _stand_ins: Vec<Process>,
 }
 
-/// What a run under load gave.
+/// Outcome of a run under load.
 #[derive(Debug)]
 pub struct Trial {
-    /// Figures and violations.
+    /// Statistics and violations.
     pub report: Report,
     /// Callers' records and events.
     pub driven: Driven,
-    /// What upstreams ran.
+    /// Requests that upstreams ran.
     pub runs: Vec<Run>,
-    /// What the scene's events did not do; none of the figures shows the scene then.
-    pub not_done: Vec<String>,
+    /// Events of the scene that had no effect. If there are any, no statistic is valid for the
+    /// scene.
+    pub ineffective_events: Vec<String>,
 }
 
 impl Trial {
-    /// Checks that something was asked, that no promise was broken, and that at least `least_done`
-    /// of the requests were answered `done`.
+    /// Checks that requests were sent, that no promise was broken and that a share of at least
+    /// `min_done` of the requests ended as `done`.
     ///
     /// # Panics
     ///
-    /// With the report, if not.
-    pub fn assert_kept(&self, least_done: f64) {
+    /// Panics with the report otherwise.
+    pub fn assert_promises_kept(&self, min_done: f64) {
         let report = &self.report;
         assert!(report.requests > 0, "nothing was asked");
         assert!(report.violations.is_empty(), "\n{report}");
         let done = report.done_ratio();
-        assert!(done >= least_done, "only {done:.4} done\n{report}");
+        assert!(done >= min_done, "only a share of {done:.4} done\n{report}");
     }
 }
 
 impl Rig {
-    /// Brings up a layout, accepts its configuration and waits until all daemons are ready.
+    /// Starts a system, accepts its configuration and waits until all daemons are ready.
     ///
     /// # Errors
     ///
-    /// What did not come up, and where its log is.
+    /// Returns which process failed, and where its log is.
     pub fn start(layout: Layout) -> Result<Self, String> {
-        let mut rig = Self::stand_ins(layout)?;
+        let mut rig = Self::start_stand_ins(layout)?;
         for id in rig.daemons.keys().cloned().collect::<Vec<_>>() {
             rig.start_daemon(&id)?;
         }
@@ -149,29 +150,30 @@
         Ok(rig)
     }
 
-    /// Brings up all but the daemons, and writes their settings.
-    fn stand_ins(layout: Layout) -> Result<Self, String> {
+    /// Starts all processes but the daemons, and writes the daemons' settings.
+    fn start_stand_ins(layout: Layout) -> Result<Self, String> {
         let dir = new_dir()?;
-        let daemons = place(&layout);
-        let list = dir.join("list.json");
-        write(&list, &listed(&daemons).to_string())?;
-        let args = ["--list".to_owned(), list.display().to_string()];
+        let daemons = assign_addresses(&layout);
+        let list_path = dir.join("list.json");
+        write_file(&list_path, &instance_list(&daemons).to_string())?;
+        let args = ["--list".to_owned(), list_path.display().to_string()];
         let log = dir.join("platform.log");
-        let (process, mut addresses) = Process::announced("standin-platform", &args, &log, "")?;
+        let (process, mut addresses) =
+            Process::start_with_addresses("standin-platform", &args, &log, "")?;
         let mut stand_ins = vec![process];
         let platform = addresses.remove("").unwrap_or_default();
 
-        let spec = dir.join("upstreams.json");
-        write(&spec, &Value::from(layout.upstreams()).to_string())?;
+        let spec_path = dir.join("upstreams.json");
+        write_file(&spec_path, &Value::from(layout.upstreams()).to_string())?;
         let args = [
             "--spec".to_owned(),
-            spec.display().to_string(),
+            spec_path.display().to_string(),
             "--platform".to_owned(),
             format!("http://{platform}"),
         ];
         let log = dir.join("upstreams.log");
         let (process, mut addresses) =
-            Process::announced("standin-upstream", &args, &log, "control")?;
+            Process::start_with_addresses("standin-upstream", &args, &log, "control")?;
         stand_ins.push(process);
         let upstreams = addresses.remove("control").unwrap_or_default();
 
@@ -194,14 +196,15 @@
         Ok(rig)
     }
 
-    /// Starts a relay from each region to each address of a daemon elsewhere, and those to the
-    /// platform if they are asked for.
+    /// Starts a relay from each region to each address of a daemon in another region, and one from
+    /// each daemon to the platform if the layout asks for them. Returns the relays' addresses by
+    /// name.
     fn start_links(&mut self) -> Result<BTreeMap<String, String>, String> {
         let mut args = Vec::new();
         for from in &self.layout.regions {
             for daemon in self.daemons.values().filter(|d| d.region != from.name) {
                 for addr in [&daemon.callers, &daemon.peers] {
-                    let name = relay(from.name, addr);
+                    let name = relay_name(from.name, addr);
                     let delay_us = self.layout.between_regions_us;
                     args.push("--relay".to_owned());
                     args.push(format!("name={name},to={addr},delay_us={delay_us}"));
@@ -212,7 +215,7 @@
         }
         if self.layout.platform_relays {
             for daemon in self.daemons.values() {
-                let name = platform_relay(&daemon.id);
+                let name = platform_relay_name(&daemon.id);
                 args.push("--relay".to_owned());
                 args.push(format!("name={name},to={}", self.platform));
             }
@@ -221,7 +224,8 @@
             return Ok(BTreeMap::new());
         }
         let log = self.dir.join("links.log");
-        let (process, addresses) = Process::announced("standin-link", &args, &log, "control")?;
+        let (process, addresses) =
+            Process::start_with_addresses("standin-link", &args, &log, "control")?;
         self._stand_ins.push(process);
         self.links = addresses.get("control").cloned();
         Ok(addresses)
@@ -229,27 +233,27 @@
 
     fn write_settings(&self, links: &BTreeMap<String, String>) -> Result<(), String> {
         for daemon in self.daemons.values() {
-            let away = self.daemons.values().filter(|d| d.region != daemon.region);
-            let dial: Vec<(String, String)> = away
-                .flat_map(|other| [&other.callers, &other.peers])
+            let remote = self.daemons.values().filter(|d| d.region != daemon.region);
+            let dial: Vec<(String, String)> = remote
+                .flat_map(|daemon| [&daemon.callers, &daemon.peers])
                 .filter_map(|addr| {
-                    let dialled = links.get(&relay(&daemon.region, addr))?;
+                    let dialled = links.get(&relay_name(&daemon.region, addr))?;
                     Some((addr.clone(), dialled.clone()))
                 })
                 .collect();
-            let platform = links.get(&platform_relay(&daemon.id));
+            let platform = links.get(&platform_relay_name(&daemon.id));
             let platform = platform.unwrap_or(&self.platform);
             let text = settings(daemon, platform, &dial, &self.layout);
-            write(&self.dir.join(format!("{}.yaml", daemon.id)), &text)?;
+            write_file(&self.dir.join(format!("{}.yaml", daemon.id)), &text)?;
         }
         Ok(())
     }
 
-    /// Starts a daemon, or starts it anew after its end.
+    /// Starts a daemon, also again after it has exited.
     ///
     /// # Errors
     ///
-    /// When its binary is missing.
+    /// Returns an error if the binary is missing.
     pub fn start_daemon(&mut self, id: &str) -> Result<(), String> {
         let settings = self.dir.join(format!("{id}.yaml"));
         let log = self.dir.join(format!("{id}.log"));
@@ -260,54 +264,54 @@
         Ok(())
     }
 
-    /// Waits until a daemon says that it is ready.
+    /// Waits until a daemon reports that it is ready.
     ///
     /// # Errors
     ///
-    /// When it ended or never was.
+    /// Returns an error if the daemon exits or does not become ready in time.
     pub fn wait_ready(&mut self, id: &str) -> Result<(), String> {
         let callers = self.daemons[id].callers.clone();
-        let end = Instant::now() + GENEROUS;
-        while Instant::now() < end {
-            if ask(Method::GET, &callers, "/v1/ready", None).status == 200 {
+        let deadline = Instant::now() + WAIT_LIMIT;
+        while Instant::now() < deadline {
+            if send(Method::GET, &callers, "/v1/ready", None).status == 200 {
                 return Ok(());
             }
-            if let Some(status) = self.running.get_mut(id).and_then(Process::ended) {
+            if let Some(status) = self.running.get_mut(id).and_then(Process::exit_status) {
                 let log = self.dir.join(format!("{id}.log"));
                 let log = fs::read_to_string(log).unwrap_or_default();
-                return Err(format!("{id} ended early: {status}\n{log}"));
+                return Err(format!("{id} exited early: {status}\n{log}"));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        Err(format!("{id} was not ready within {GENEROUS:?}"))
+        Err(format!("{id} was not ready within {WAIT_LIMIT:?}"))
     }
 
-    /// Makes a configuration the one in force, by whichever daemon takes it.
+    /// Puts a configuration in force through the first daemon that accepts it; returns its version.
     ///
     /// # Errors
     ///
-    /// The last refusal.
+    /// Returns the last refusal.
     pub fn accept(&self, text: &str) -> Result<u64, String> {
         let accept_id = format!("rig-{}", unix_us());
         let body = json!({"accept_id": accept_id, "author": "rig", "text": text});
-        let end = Instant::now() + GENEROUS;
+        let deadline = Instant::now() + WAIT_LIMIT;
         loop {
-            let mut last = String::new();
+            let mut refusal = String::new();
             for id in self.daemons.keys() {
                 let reply = self.operator(id, "/op/v1/accept", Some(&body));
                 if reply.status == 200 {
                     return reply.body["version"].as_u64().ok_or(reply.body.to_string());
                 }
-                last = format!("{} {}", reply.status, reply.body);
+                refusal = format!("{} {}", reply.status, reply.body);
             }
-            if Instant::now() > end {
-                return Err(format!("not accepted: {last}"));
+            if Instant::now() > deadline {
+                return Err(format!("configuration not accepted: {refusal}"));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Asks a daemon's operator port; posts where there is a body.
+    /// Sends a request to a daemon's operator port: POST with a body, else GET.
     pub fn operator(&self, id: &str, path: &str, body: Option<&Value>) -> Reply {
         let method = if body.is_some() {
             Method::POST
@@ -315,46 +319,46 @@
             Method::GET
         };
         let key = self.layout.operator_key;
-        ask_with_key(method, &self.daemons[id].operator, path, body, key)
+        send_with_key(method, &self.daemons[id].operator, path, body, key)
     }
 
-    /// Kills a daemon without notice.
+    /// Kills a daemon by SIGKILL.
     pub fn kill(&mut self, id: &str) {
-        self.disturb(id, None);
+        self.mark_disturbed(id, None);
         if let Some(mut process) = self.running.remove(id) {
             process.kill();
         }
     }
 
-    /// Freezes a daemon for a time.
+    /// Stops a daemon by SIGSTOP for `time`.
     pub fn freeze(&mut self, id: &str, time: Duration) {
         self.freeze_while(id, || thread::sleep(time));
     }
 
-    /// Freezes a daemon while something else goes on.
-    pub fn freeze_while<T>(&mut self, id: &str, meanwhile: impl FnOnce() -> T) -> T {
-        self.disturb(id, None);
+    /// Stops a daemon by SIGSTOP while `action` runs.
+    pub fn freeze_while<T>(&mut self, id: &str, action: impl FnOnce() -> T) -> T {
+        self.mark_disturbed(id, None);
         let index = self.disturbed.len() - 1;
         if let Some(process) = self.running.get_mut(id) {
             process.signal(Signal::SIGSTOP);
         }
-        let done = meanwhile();
+        let result = action();
         if let Some(process) = self.running.get_mut(id) {
             process.signal(Signal::SIGCONT);
         }
         self.disturbed[index].to_us = Some(unix_us());
-        done
+        result
     }
 
-    /// Asks a daemon to stop, and waits for its end.
+    /// Asks a daemon to stop by SIGTERM, and waits for its exit.
     pub fn terminate(&mut self, id: &str) -> Option<ExitStatus> {
         let mut process = self.running.remove(id)?;
         process.signal(Signal::SIGTERM);
-        process.wait(GENEROUS)
+        process.wait(WAIT_LIMIT)
     }
 
-    /// Excuses cuts and silences at an entry from now on.
-    fn disturb(&mut self, id: &str, to_us: Option<UnixUs>) {
+    /// Tells the judge to excuse cut and unanswered requests at an entry from now on.
+    fn mark_disturbed(&mut self, id: &str, to_us: Option<UnixUs>) {
         self.disturbed.push(Disturbed {
             entry: self.daemons[id].callers.as_str().into(),
             from_us: unix_us(),
@@ -362,37 +366,38 @@
         });
     }
 
-    /// Excuses cuts and silences at all entries, where the fault itself breaks what callers use.
-    pub fn disturb_all(&mut self) {
+    /// Tells the judge to excuse cut and unanswered requests at all entries, for faults that break
+    /// the callers' connections themselves.
+    pub fn mark_all_disturbed(&mut self) {
         for id in self.daemons.keys().cloned().collect::<Vec<_>>() {
-            self.disturb(&id, None);
+            self.mark_disturbed(&id, None);
         }
     }
 
-    /// Sets the platform's faults, as in `{"table":{"kind":"down"}}`.
+    /// Sets the platform's faults, such as `{"table":{"kind":"down"}}`.
     pub fn fault_platform(&self, faults: &Value) {
-        let reply = ask(Method::POST, &self.platform, "/fault", Some(faults));
+        let reply = send(Method::POST, &self.platform, "/fault", Some(faults));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// Sets an upstream's faults, as in `{"slow_factor":4}`.
+    /// Sets an upstream's faults, such as `{"slow_factor":4}`.
     pub fn fault_upstream(&self, id: &str, faults: &Value) {
         let path = format!("/fault?id={id}");
-        let reply = ask(Method::POST, &self.upstreams, &path, Some(faults));
+        let reply = send(Method::POST, &self.upstreams, &path, Some(faults));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// Forgets what upstreams ran so far, as after a run that only warmed them.
+    /// Clears the upstreams' records of requests that ran, as after a warm-up.
     pub fn clear_records(&self) {
         for upstream in self.layout.upstreams() {
             let id = upstream["id"].as_str().unwrap_or_default();
             let path = format!("/record/clear?id={id}");
-            let reply = ask(Method::POST, &self.upstreams, &path, None);
+            let reply = send(Method::POST, &self.upstreams, &path, None);
             assert_eq!(reply.status, 200, "{}", reply.body);
         }
     }
 
-    /// Notes for the judge that an upstream leaves from now on.
+    /// Tells the judge that an upstream is leaving from now on.
     pub fn note_leaving(&mut self, id: &str) {
         self.leaving.push(Leaving {
             upstream: id.into(),
@@ -402,62 +407,62 @@
         });
     }
 
-    /// Sets the fault of all relays between two regions, both ways.
-    pub fn fault_links(&self, one: &str, other: &str, kind: &str) {
+    /// Sets the fault of all relays between two regions, in both directions.
+    pub fn fault_links(&self, region: &str, other: &str, kind: &str) {
         let links = self.links.as_deref().unwrap_or_default();
-        for pair in [(one, other), (other, one)] {
+        for pair in [(region, other), (other, region)] {
             let pair = (pair.0.to_owned(), pair.1.to_owned());
             for name in self.relays.get(&pair).into_iter().flatten() {
                 let fault = json!({"name": name, "kind": kind});
-                let reply = ask(Method::POST, links, "/fault", Some(&fault));
+                let reply = send(Method::POST, links, "/fault", Some(&fault));
                 assert_eq!(reply.status, 200, "{}", reply.body);
             }
         }
     }
 
-    /// Sets the fault of the relay from a daemon to the platform.
+    /// Sets the fault of the relay between a daemon and the platform.
     pub fn fault_platform_relay(&self, id: &str, kind: &str) {
         let links = self.links.as_deref().unwrap_or_default();
-        let fault = json!({"name": platform_relay(id), "kind": kind});
-        let reply = ask(Method::POST, links, "/fault", Some(&fault));
+        let fault = json!({"name": platform_relay_name(id), "kind": kind});
+        let reply = send(Method::POST, links, "/fault", Some(&fault));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// What the relays between regions carried so far, by name, as the stand-in counts it.
+    /// Counters of the relays' traffic so far, by relay, as `standin-link` counts it.
     ///
     /// The relay from a region to a daemon's callers' port is named `<region>><address>`.
     pub fn link_counters(&self) -> Value {
         let links = self.links.as_deref().unwrap_or_default();
-        let reply = ask(Method::GET, links, "/counters", None);
+        let reply = send(Method::GET, links, "/counters", None);
         assert_eq!(reply.status, 200, "{}", reply.body);
         reply.body
     }
 
-    /// Puts an upstream on the platform's list that a test serves itself.
+    /// Adds an upstream that the test itself serves to the platform's list.
     pub fn list_upstream(&self, upstream: &Value) {
         let id = upstream["id"].as_str().unwrap_or_default();
         let path = format!("/list/upstreams/{id}");
-        let reply = ask(Method::PUT, &self.platform, &path, Some(upstream));
+        let reply = send(Method::PUT, &self.platform, &path, Some(upstream));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
 
-    /// Addresses for a scene; its events may name `platform`, `upstreams` and `operator`, which is
-    /// a daemon of the last region.
+    /// Addresses for a scene. Its events may name the targets `platform`, `upstreams` and
+    /// `operator`; the last is the operator port of a daemon in the last region.
     pub fn sites(&self) -> Sites {
         let mut sites = Sites::default();
         for daemon in self.daemons.values() {
             let region: ByteString = daemon.region.as_str().into();
-            let known = sites.daemons.entry(region).or_default();
-            known.push(daemon.callers.as_str().into());
+            let addrs = sites.daemons.entry(region).or_default();
+            addrs.push(daemon.callers.as_str().into());
         }
         let last = self.layout.regions.last().map_or("", |region| region.name);
-        let operator = self.daemons.values().find(|daemon| daemon.region == last);
+        let operator_daemon = self.daemons.values().find(|daemon| daemon.region == last);
         for (name, addr) in [
             ("platform", &self.platform),
             ("upstreams", &self.upstreams),
             (
                 "operator",
-                operator.map_or(&self.platform, |it| &it.operator),
+                operator_daemon.map_or(&self.platform, |daemon| &daemon.operator),
             ),
         ] {
             sites.targets.insert(name.into(), addr.as_str().into());
@@ -465,33 +470,38 @@
         sites
     }
 
-    /// Regions of the entries by their callers' addresses.
+    /// Regions of the entries, by their addresses for callers.
     fn entries(&self) -> BTreeMap<ByteString, ByteString> {
         let daemons = self.daemons.values();
         daemons
-            .map(|it| (it.callers.as_str().into(), it.region.as_str().into()))
+            .map(|daemon| {
+                (
+                    daemon.callers.as_str().into(),
+                    daemon.region.as_str().into(),
+                )
+            })
             .collect()
     }
 
-    /// Requests that upstreams have run so far.
+    /// Number of requests that upstreams have run so far.
     pub fn ran(&self) -> usize {
         let controls = [self.upstreams.as_str().into()];
         let gathered = gather(&self.platform, &controls).expect("the stand-ins answer");
         gathered.runs.len()
     }
 
-    /// Drives a scene, lets the fault happen meanwhile, and judges.
+    /// Drives a scene, calls `fault` meanwhile, and judges the evidence.
     pub fn run(&mut self, scene: &Scene, fault: impl FnOnce(&mut Self)) -> Trial {
         let load = {
             let (scene, sites) = (scene.clone(), self.sites());
             thread::spawn(move || drive(&scene, &sites))
         };
         fault(self);
-        let driven = load.join().expect("the load does not panic");
+        let driven = load.join().expect("the load driver does not panic");
         let controls = [self.upstreams.as_str().into()];
-        // The truth is read with the platform well.
-        let well = json!({"kind": "none"});
-        self.fault_platform(&json!({"table": well, "objects": well, "list": well}));
+        // Clears the platform's faults: they would affect reading the evidence.
+        let no_fault = json!({"kind": "none"});
+        self.fault_platform(&json!({"table": no_fault, "objects": no_fault, "list": no_fault}));
         let gathered = gather(&self.platform, &controls).expect("the stand-ins answer");
         assert!(gathered.missing.is_empty(), "{:?}", gathered.missing);
         let evidence = Evidence {
@@ -511,7 +521,7 @@
         let report = Report::new(&evidence, violations);
         Trial {
             report,
-            not_done: not_done(&driven.events, &evidence.upstreams),
+            ineffective_events: not_done(&driven.events, &evidence.upstreams),
             driven,
             runs: evidence.runs,
         }
@@ -524,13 +534,13 @@
             eprintln!("logs are kept in {}", self.dir.display());
             return;
         }
-        // What stays behind is a folder of logs.
+        // On failure, only a folder of logs is left behind.
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-/// Gives each daemon of a layout its place and addresses.
-fn place(layout: &Layout) -> BTreeMap<String, Daemon> {
+/// Assigns an id, a failure domain and addresses to each daemon of a layout.
+fn assign_addresses(layout: &Layout) -> BTreeMap<String, Daemon> {
     let mut daemons = BTreeMap::new();
     for region in &layout.regions {
         for index in 0..region.entries {
@@ -549,8 +559,8 @@
     daemons
 }
 
-/// The platform's list of instances.
-fn listed(daemons: &BTreeMap<String, Daemon>) -> Value {
+/// List of instances for the platform.
+fn instance_list(daemons: &BTreeMap<String, Daemon>) -> Value {
     let instances = daemons.values().map(|daemon| {
         json!({
             "id": daemon.id, "region": daemon.region, "failure_domain": daemon.domain,
@@ -562,20 +572,20 @@
 }
 
 /// Name of the relay from a region to an address.
-fn relay(from: &str, addr: &str) -> String {
+fn relay_name(from: &str, addr: &str) -> String {
     format!("{from}>{addr}")
 }
 
 /// Name of the relay from a daemon to the platform.
-fn platform_relay(id: &str) -> String {
+fn platform_relay_name(id: &str) -> String {
     format!("{id}>platform")
 }
 
-fn write(path: &PathBuf, text: &str) -> Result<(), String> {
+fn write_file(path: &PathBuf, text: &str) -> Result<(), String> {
     fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// A new folder for this rig's files.
+/// Creates a folder for this rig's files.
 fn new_dir() -> Result<PathBuf, String> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let index = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Faults against promises: real binaries, real load, and the judge's verdict.
+//! Promises under faults: real binaries under load, checked by the judge.
 //!
-//! Each row brings up a system, drives load at it, lets a fault happen and has the judge compare
-//! what callers were told with what upstreams ran. A row passes when no promise was broken and the
-//! share of requests answered `done` reaches the row's. Verdicts rest on records and generous
-//! bounds, never on a short time.
+//! Each row starts a system, drives load, injects a fault and lets the judge compare the outcomes
+//! that callers got with the requests that upstreams ran. A row passes if no promise was broken and
+//! the share of requests that ended as `done` is at least the row's. Verdicts depend on records and
+//! generous limits, never on a short timeout.
 
 use load::{
     Burst,
@@ -14,8 +14,8 @@
     Work, //
 };
 use rig::{
+    test_permit_for,
     turn,
-    turn_for,
     Layout,
     Rig,
     Trial, //
@@ -26,10 +26,10 @@
     time::Duration, //
 };
 
-/// Share that a single fault must leave answered, of requests that have capacity.
-const SINGLE: f64 = 0.99;
-/// Time before the fault, in which all is well.
-const WELL: Duration = Duration::from_secs(2);
+/// Smallest share of `done` under a single fault, if the capacity suffices for all requests.
+const SINGLE_FAULT: f64 = 0.99;
+/// Time for the system to settle under load before the fault.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 fn class(name: &'static str, rate_per_s: f64, work: Work, filing: FilingWay) -> ClassLoad {
     ClassLoad {
@@ -40,12 +40,12 @@
         bytes: 1_000,
         filing,
         tries: 6,
-        // A caller of idempotent work does not wait its whole time for one silent entry.
+        // A caller of idempotent work doesn't wait for a silent entry until its deadline.
         attempt_ms: (filing == FilingWay::None).then_some(700),
     }
 }
 
-/// Ten seconds of quick lookups, filings by ticket and downloads, far below the capacity.
+/// Ten seconds of quick lookups, filings by ticket and downloads at a rate far below the capacity.
 fn scene(layout: &Layout) -> Scene {
     let mut classes = vec![class("menu", 100.0, Work::Bytes, FilingWay::None)];
     if layout.classes.len() > 1 {
@@ -57,8 +57,8 @@
     layout.scene(10_000, classes)
 }
 
-/// The scene with filings by key in place of tickets.
-fn keyed(layout: &Layout) -> Scene {
+/// The scene with filings by key instead of by ticket.
+fn filings_by_key(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     for class in &mut scene.classes {
         if class.filing == FilingWay::Ticket {
@@ -68,8 +68,8 @@
     scene
 }
 
-/// The scene with callers who repeat each filing, with the same ticket, before it can be over.
-fn impatient(layout: &Layout) -> Scene {
+/// The scene with callers that repeat each filing, with the same ticket, before it can complete.
+fn early_repeats(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     for class in &mut scene.classes {
         if class.filing != FilingWay::None {
@@ -79,10 +79,10 @@
     scene
 }
 
-/// The scene with callers who repeat each filing, with the same key and anywhere.
-fn impatient_keyed(layout: &Layout) -> Scene {
+/// The scene with callers that repeat each filing, with the same key and at any entry.
+fn early_repeats_by_key(layout: &Layout) -> Scene {
     let filing = FilingWay::Key;
-    let mut scene = impatient(layout);
+    let mut scene = early_repeats(layout);
     for class in &mut scene.classes {
         if class.filing == FilingWay::Ticket {
             class.filing = filing;
@@ -91,8 +91,8 @@
     scene
 }
 
-/// The scene with callers who ask once: whatever the system can do itself it must not leave to them.
-fn once(layout: &Layout) -> Scene {
+/// The scene with callers that don't retry, so that only the system's own retries count.
+fn single_try(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     for class in &mut scene.classes {
         class.tries = 1;
@@ -101,7 +101,7 @@
     scene
 }
 
-/// Quick lookups that take about two thirds of a tight layout's slots, with peaks above them.
+/// Quick lookups that use about two thirds of a tight layout's slots, with peaks above all of them.
 fn heavy(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     scene.classes[0].rate_per_s = 180.0;
@@ -109,13 +109,13 @@
 }
 
 /// More quick lookups than a tight layout can serve.
-fn crowd(layout: &Layout) -> Scene {
+fn overload(layout: &Layout) -> Scene {
     let mut scene = heavy(layout);
     scene.classes[0].rate_per_s = 400.0;
     scene
 }
 
-/// The scene with a burst in one region of several times what it can serve.
+/// The scene with a burst in one region that exceeds its capacity several times.
 fn burst(layout: &Layout) -> Scene {
     let mut scene = heavy(layout);
     scene.bursts.push(Burst {
@@ -128,9 +128,9 @@
     scene
 }
 
-/// A crowd of callers who wait long for one entry, and do not ask again.
-fn patient_crowd(layout: &Layout) -> Scene {
-    let mut scene = crowd(layout);
+/// An overload by callers that wait long for one entry and don't retry.
+fn patient_overload(layout: &Layout) -> Scene {
+    let mut scene = overload(layout);
     for class in &mut scene.classes {
         class.deadline_ms = 12_000;
         class.attempt_ms = None;
@@ -139,9 +139,9 @@
     scene
 }
 
-/// The scene with callers who go away before their answer can come, and ask once more.
-fn going_away(layout: &Layout) -> Scene {
-    let mut scene = crowd(layout);
+/// An overload by callers that disconnect before a response can arrive, and retry once.
+fn disconnecting(layout: &Layout) -> Scene {
+    let mut scene = overload(layout);
     for class in &mut scene.classes {
         class.attempt_ms = Some(30);
         class.tries = 2;
@@ -150,7 +150,7 @@
 }
 
 /// The scene without filings.
-fn idempotent(layout: &Layout) -> Scene {
+fn without_filings(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     scene
         .classes
@@ -158,200 +158,211 @@
     scene
 }
 
-fn assert_kept(trial: &Trial, least_done: f64) {
+/// As [`Trial::assert_promises_kept`], and lists some of the requests that did not end as `done`.
+fn assert_promises_kept(trial: &Trial, min_done: f64) {
     let report = &trial.report;
     println!("{report}");
     assert!(report.requests > 0, "nothing was asked");
     assert!(report.violations.is_empty(), "\n{report}");
     let done = report.done_ratio();
-    let others: Vec<String> = not_done(trial).take(5).collect();
+    let failures: Vec<String> = not_done(trial).take(5).collect();
     assert!(
-        done >= least_done,
-        "only {done:.4} done\n{}",
-        others.join("\n")
+        done >= min_done,
+        "only a share of {done:.4} done\n{}",
+        failures.join("\n")
     );
 }
 
-/// What callers were told who were not told `done`, with all their tries.
+/// Descriptions of the requests that did not end as `done`, with all their tries.
 fn not_done(trial: &Trial) -> impl Iterator<Item = String> + '_ {
     let callers = trial.driven.callers.iter();
-    let others = callers.filter(|caller| caller.told != Told::Done);
-    others.map(|caller| {
+    let failures = callers.filter(|caller| caller.told != Told::Done);
+    failures.map(|caller| {
         let tries: Vec<String> = caller.tries.iter().map(ToString::to_string).collect();
         format!("{caller}\n{}", tries.join("\n"))
     })
 }
 
-fn try_row(layout: Layout, scene: fn(&Layout) -> Scene, least_done: f64, fault: fn(&mut Rig)) {
+fn run_row(layout: Layout, scene: fn(&Layout) -> Scene, min_done: f64, fault: fn(&mut Rig)) {
     let scene = scene(&layout);
-    let _turn = turn_for(&scene);
+    let _permit = test_permit_for(&scene);
     let mut rig = Rig::start(layout).unwrap();
     let trial = rig.run(&scene, |rig| {
-        sleep(WELL);
+        sleep(SETTLE_TIME);
         fault(rig);
     });
-    assert_kept(&trial, least_done);
+    assert_promises_kept(&trial, min_done);
 }
 
 macro_rules! rows {
-    ($($(#[$doc:meta])* $name:ident: $layout:ident, $scene:ident, $least:expr, $fault:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $layout:ident, $scene:ident, $min_done:expr, $fault:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
-            try_row(Layout::$layout(), $scene, $least, $fault);
+            run_row(Layout::$layout(), $scene, $min_done, $fault);
         }
     )*};
 }
 
-fn platform(rig: &Rig, part: &str, fault: serde_json::Value) {
+/// Sets the fault of one part of the platform: table, objects or list.
+fn fault_platform_part(rig: &Rig, part: &str, fault: serde_json::Value) {
     rig.fault_platform(&json!({ part: fault }));
 }
 
 rows! {
-    /// Symptom: none; without a fault every request is answered. Shows that the rows below fail
-    /// for their faults only.
-    nothing_wrong: two_regions, once, 1.0, |_| {};
-
-    /// Symptom: a filing runs twice. Sequence: the caller gives up waiting, closes the connection
-    /// and sends the same ticket again while the first one runs. Cause: a repeat is told from a new
-    /// filing only by what the entry remembers.
-    filings_repeated_by_ticket: two_regions, impatient, 0.8, |_| {};
-
-    /// Symptom and cause as above. Sequence: the same key goes to different entries, of which none
-    /// remembers what the other did; only the table does.
-    filings_repeated_by_key: two_regions, impatient_keyed, 0.8, |_| {};
-
-    /// Symptom: a filing runs twice. Sequence: as above, while half of the answers to claims are
-    /// lost after they took effect. Cause: whoever does not know whether the claim is its own must
-    /// read it back before it sends anything.
-    filings_repeated_by_key_with_lost_answers: two_regions, impatient_keyed, 0.8, |rig| {
-        platform(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
+    /// Symptom: none; without a fault, every request is answered. Shows that the rows below fail
+    /// only because of their faults.
+    nothing_wrong: two_regions, single_try, 1.0, |_| {};
+
+    /// Symptom: a filing runs twice. Sequence: the caller times out, closes the connection and
+    /// sends the same ticket again while the first copy runs. Cause: only the entry's memory
+    /// distinguishes a copy from a new filing.
+    filings_repeated_by_ticket: two_regions, early_repeats, 0.8, |_| {};
+
+    /// Symptom: a filing runs twice. Sequence: copies with the same key go to different entries.
+    /// Cause: entries share no memory, so only the table distinguishes a copy from a new filing.
+    filings_repeated_by_key: two_regions, early_repeats_by_key, 0.8, |_| {};
+
+    /// Symptom: a filing runs twice. Sequence: as above, while half of the table's responses to
+    /// claims are lost after the claims took effect. Cause: an entry that doesn't know whether its
+    /// claim succeeded has to read it back before it sends the filing.
+    filings_repeated_by_key_with_lost_answers: two_regions, early_repeats_by_key, 0.8, |rig| {
+        fault_platform_part(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
     };
 
-    /// Symptom: a filing runs twice. Sequence: as above, while the table is down: claims can't be
-    /// made, and a filing by key must be refused rather than run on trust.
-    filings_repeated_by_key_with_the_table_down: two_regions, impatient_keyed, 0.8, |rig| {
-        platform(rig, "table", json!({"kind": "down"}));
+    /// Symptom: a filing runs twice. Sequence: copies with the same key go to different entries
+    /// while the table is down. Cause: without a claim, a filing by key must be refused.
+    filings_repeated_by_key_with_the_table_down: two_regions, early_repeats_by_key, 0.8, |rig| {
+        fault_platform_part(rig, "table", json!({"kind": "down"}));
     };
 
-    /// Symptom: callers of one entry get reset connections. Sequence: one entry is killed while it
-    /// carries requests. Cause: a process dies without notice; look-up answers name it until its
-    /// silence is noticed, and its filings stay unknown.
-    entry_killed: long_work, scene, SINGLE, |rig| rig.kill("arusha-0");
+    /// Symptom: callers of one entry get connection resets. Sequence: the entry is killed with
+    /// requests in flight. Cause: look-up results name a dead entry until its silence is noticed,
+    /// and the outcomes of its filings stay unknown.
+    entry_killed: long_work, scene, SINGLE_FAULT, |rig| rig.kill("arusha-0");
 
-    /// Symptom: an entry wakes and acts on slots that others were given. Sequence: it is frozen for
-    /// longer than its lease and then wakes. Cause: a holder can't notice that time passed.
-    entry_frozen_past_its_lease: two_regions, scene, SINGLE, |rig| {
+    /// Symptom: a resumed entry uses slots that others have been given. Sequence: it is frozen for
+    /// longer than its lease and then resumed. Cause: a frozen process doesn't notice that time
+    /// passes.
+    entry_frozen_past_its_lease: two_regions, scene, SINGLE_FAULT, |rig| {
         rig.freeze("arusha-0", Duration::from_secs(5));
     };
 
-    /// Symptom: requests wait for a table that does not answer. Sequence: table, objects and list
-    /// refuse everything for the rest of the run. Cause: the platform has outages.
-    platform_down: two_regions, once, SINGLE, |rig| {
+    /// Symptom: requests wait for the platform. Sequence: table, objects and list refuse all calls
+    /// for the rest of the run. Cause: the platform has outages, and requests must not depend on
+    /// it.
+    platform_down: two_regions, single_try, SINGLE_FAULT, |rig| {
         for part in ["table", "objects", "list"] {
-            platform(rig, part, json!({"kind": "down"}));
+            fault_platform_part(rig, part, json!({"kind": "down"}));
         }
     };
 
-    /// Symptom: requests wait for a table that never answers. Sequence: as above, but connections
-    /// stay open. Cause: an outage need not refuse.
-    platform_frozen: two_regions, once, SINGLE, |rig| {
+    /// Symptom: requests wait for the platform. Sequence: table, objects and list don't respond,
+    /// but their connections stay open. Cause: calls in an outage may hang instead of failing.
+    platform_frozen: two_regions, single_try, SINGLE_FAULT, |rig| {
         for part in ["table", "objects", "list"] {
-            platform(rig, part, json!({"kind": "freeze"}));
+            fault_platform_part(rig, part, json!({"kind": "freeze"}));
         }
     };
 
-    /// Symptom: leases lapse though their holders renew. Sequence: each call of the platform takes
-    /// a second. Cause: a renewal counts from before it was sent.
-    platform_slow: two_regions, once, SINGLE, |rig| {
+    /// Symptom: leases expire although their holders renew them. Sequence: each call to the
+    /// platform takes a second. Cause: a renewed lease runs from the time before the renewal was
+    /// sent.
+    platform_slow: two_regions, single_try, SINGLE_FAULT, |rig| {
         for part in ["table", "objects", "list"] {
-            platform(rig, part, json!({"kind": "slow", "delay_ms": 1000}));
+            fault_platform_part(rig, part, json!({"kind": "slow", "delay_ms": 1000}));
         }
     };
 
-    /// Symptom: a slot has two owners. Sequence: half of the table's answers are lost after their
-    /// commits took effect. Cause: the writer does not know whether it wrote.
-    answers_lost_after_the_effect: two_regions, once, SINGLE, |rig| {
-        platform(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
+    /// Symptom: a slot has two owners. Sequence: half of the table's responses are lost after the
+    /// commits took effect. Cause: the writer doesn't know whether its commit succeeded.
+    answers_lost_after_the_effect: two_regions, single_try, SINGLE_FAULT, |rig| {
+        fault_platform_part(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
     };
 
-    /// Symptom: a filing by key runs twice or is refused though it ran. Sequence: half of the
-    /// answers to claims are lost after they took effect. Cause: as above, for claims.
-    claims_with_lost_answers: two_regions, keyed, SINGLE, |rig| {
-        platform(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
+    /// Symptom: a filing by key runs twice or is refused although it ran. Sequence: half of the
+    /// table's responses are lost after claims took effect. Cause: the entry doesn't know whether
+    /// its claim succeeded.
+    claims_with_lost_answers: two_regions, filings_by_key, SINGLE_FAULT, |rig| {
+        fault_platform_part(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
     };
 
-    /// Symptom: an entry that stopped is still named. Sequence: the list stands still and an entry
-    /// is killed. Cause: the list lags; it is a hint only.
-    list_stale_and_entry_killed: two_regions, scene, SINGLE, |rig| {
-        platform(rig, "list", json!({"kind": "stale"}));
+    /// Symptom: look-ups still name a dead entry. Sequence: the list is no longer updated, and an
+    /// entry is killed. Cause: the list lags and is only a hint.
+    list_stale_and_entry_killed: two_regions, scene, SINGLE_FAULT, |rig| {
+        fault_platform_part(rig, "list", json!({"kind": "stale"}));
         rig.kill("moshi-1");
     };
 
-    /// Symptom: requests hang on the other region. Sequence: the link between the regions is cut
-    /// and stays so. Cause: regions lose each other for minutes.
-    regions_cut: two_regions, once, SINGLE, |rig| rig.fault_links("arusha", "moshi", "cut");
+    /// Symptom: requests wait for the other region. Sequence: the link between the regions is cut
+    /// for the rest of the run. Cause: regions can be partitioned for minutes.
+    regions_cut: two_regions, single_try, SINGLE_FAULT, |rig| rig.fault_links("arusha", "moshi", "cut");
 
     /// Symptom: requests hang on connections that look open. Sequence: all connections between the
-    /// regions go silent; new ones work. Cause: something between lost track of them.
-    old_connections_silent: two_regions, once, SINGLE, |rig| {
+    /// regions stop carrying data, while new ones work. Cause: a middlebox lost its connection
+    /// state.
+    old_connections_silent: two_regions, single_try, SINGLE_FAULT, |rig| {
         rig.fault_links("arusha", "moshi", "silent-old");
     };
 
-    /// Symptom: one upstream queues while others idle. Sequence: one becomes five times slower.
-    /// Cause: its slots free up later; whoever counts on its usual pace sends too much.
-    upstream_slow: two_regions, once, SINGLE, |rig| {
+    /// Symptom: requests queue at one upstream while others are idle. Sequence: the upstream
+    /// becomes five times slower. Cause: its slots are released later than its usual service time
+    /// suggests.
+    upstream_slow: two_regions, single_try, SINGLE_FAULT, |rig| {
         rig.fault_upstream("arusha-menu-0", &json!({"slow_factor": 5.0}));
     };
 
-    /// Symptom: an upstream that says that it is idle gets more than its slots. Sequence: one
-    /// becomes slow and reports an empty load and many slots. Cause: reports mislead.
-    upstream_lies_low: two_regions, once, SINGLE, |rig| {
+    /// Symptom: an upstream gets more requests than it has slots. Sequence: it becomes slow, and
+    /// reports no load and many slots. Cause: load reports can be wrong.
+    upstream_lies_low: two_regions, single_try, SINGLE_FAULT, |rig| {
         let lie = json!({"slots": 100, "in_flight": 0, "queued": 0, "state": "up"});
         rig.fault_upstream("arusha-menu-0", &json!({"slow_factor": 5.0, "lie": lie}));
     };
 
-    /// Symptom: callers are refused though others have room. Sequence: one upstream refuses half
-    /// of what it gets. Cause: upstreams shed; what they refuse has not run and can go elsewhere.
-    upstream_sheds: two_regions, once, 1.0, |rig| {
+    /// Symptom: callers are refused although other upstreams have free slots. Sequence: one
+    /// upstream of each of two classes refuses half of its requests. Cause: upstreams shed load; a
+    /// refused request has not run and can be sent to another upstream.
+    upstream_sheds: two_regions, single_try, 1.0, |rig| {
         rig.fault_upstream("arusha-orders-0", &json!({"shed": 0.5}));
         rig.fault_upstream("moshi-menu-0", &json!({"shed": 0.5}));
     };
 
-    /// Symptom: callers get half a page that looks whole. Sequence: an upstream's answers end
-    /// before their declared end. Cause: its process is cut off mid-answer.
-    answers_truncated: two_regions, idempotent, SINGLE, |rig| {
+    /// Symptom: callers get a truncated response that looks complete. Sequence: responses of an
+    /// upstream end before their declared length. Cause: the upstream dies in mid-response.
+    answers_truncated: two_regions, without_filings, SINGLE_FAULT, |rig| {
         for id in ["arusha-menu-0", "arusha-binders-0"] {
             rig.fault_upstream(id, &json!({"truncate": 0.3}));
         }
     };
 
-    /// Symptom: a caller gets the answer to an earlier request. Sequence: one upstream takes longer
-    /// than the callers' time, so that its answers come when nobody waits any more. Cause: a
-    /// connection with an answer outstanding is used again.
-    answers_late: two_regions, idempotent, SINGLE, |rig| {
+    /// Symptom: a caller gets the response to an earlier request. Sequence: the service time of one
+    /// upstream exceeds the callers' timeouts, so that its responses arrive after the requests were
+    /// abandoned. Cause: a connection with an outstanding response is reused.
+    answers_late: two_regions, without_filings, SINGLE_FAULT, |rig| {
         rig.fault_upstream("arusha-menu-0", &json!({"service_ms": 4000.0}));
         sleep(Duration::from_secs(2));
         rig.fault_upstream("arusha-menu-0", &json!({}));
     };
 
-    /// Symptom: a leaving upstream goes on getting work. Sequence: it says on its answers that it
-    /// leaves and refuses new work later. Cause: each entry learns that on its own, unless told.
-    upstream_leaves: two_regions, once, SINGLE, |rig| {
+    /// Symptom: a leaving upstream still gets requests. Sequence: its responses say that it is
+    /// leaving, and later it refuses new requests. Cause: unless entries inform each other, each
+    /// learns this only from the responses that it gets.
+    upstream_leaves: two_regions, single_try, SINGLE_FAULT, |rig| {
         rig.note_leaving("arusha-menu-0");
         rig.fault_upstream("arusha-menu-0", &json!({"drain": {"refuse_after_ms": 5000}}));
     };
 
-    /// Symptom: requests are cut. Sequence: an entry is asked to stop under load. Cause: callers
-    /// still hold look-up answers that name it, and it has requests in flight.
-    entry_stopped_as_planned: long_work, scene, SINGLE, |rig| {
+    /// Symptom: connections are closed in mid-request. Sequence: an entry is asked to stop under
+    /// load. Cause: cached look-up results still name it, and it has requests in flight.
+    entry_stopped_as_planned: long_work, scene, SINGLE_FAULT, |rig| {
         let status = rig.terminate("arusha-0").expect("the entry ends");
         assert!(status.success(), "{status}");
     };
 
-    /// Symptom: a stopped entry's filings are lost or run again. Sequence: every entry is stopped
-    /// as planned and started again, one after another. Cause: what an entry knows must outlive it.
-    every_entry_restarted: long_work, scene, SINGLE, |rig| {
+    /// Symptom: outcomes of a stopped entry's filings are lost, or the filings run again. Sequence:
+    /// all entries are stopped as planned and restarted, one after another. Cause: without a
+    /// hand-over, an entry's records are lost with its process.
+    every_entry_restarted: long_work, scene, SINGLE_FAULT, |rig| {
         for id in ["arusha-0", "arusha-1", "moshi-0", "moshi-1"] {
             let status = rig.terminate(id).expect("the entry ends");
             assert!(status.success(), "{id}: {status}");
@@ -361,98 +372,104 @@
     };
 
     /// Symptom: a killed entry's slots are given to others while its requests still run. Sequence:
-    /// the platform goes down, then an entry is killed. Cause: nobody can reclaim through the
-    /// table, and those left must get by with what they hold.
+    /// the table goes down, then an entry is killed. Cause: slots can be reclaimed only through the
+    /// table, so the other entries have to continue with the slots that they own.
     platform_down_and_entry_killed: two_regions, scene, 0.9, |rig| {
-        platform(rig, "table", json!({"kind": "down"}));
+        fault_platform_part(rig, "table", json!({"kind": "down"}));
         rig.kill("arusha-1");
     };
 
-    /// Symptom: an entry that was cut off and paused sends what it no longer owns. Sequence: the
-    /// table is frozen and one entry sleeps past its lease. Cause: both of the above at once.
+    /// Symptom: a resumed entry uses slots that it no longer owns. Sequence: the table is frozen,
+    /// and one entry is frozen for longer than its lease. Cause: it can neither renew its lease nor
+    /// notice that time passes.
     platform_frozen_and_entry_frozen: two_regions, scene, 0.9, |rig| {
-        platform(rig, "table", json!({"kind": "freeze"}));
+        fault_platform_part(rig, "table", json!({"kind": "freeze"}));
         rig.freeze("moshi-0", Duration::from_secs(5));
     };
 
-    /// Symptom: an upstream queues. Sequence: none but load with peaks above the slots. Shows that
-    /// the rows below fail for their faults only.
-    tight_nothing_wrong: tight, heavy, SINGLE, |_| {};
+    /// Symptom: requests queue at an upstream. Sequence: no fault, but load with peaks above the
+    /// slots. Shows that the rows below fail only because of their faults.
+    tight_nothing_wrong: tight, heavy, SINGLE_FAULT, |_| {};
 
-    /// Symptom: an upstream queues. Sequence: callers close their connections while the upstream
-    /// serves them. Cause: the entry gives the slot to the next request before the upstream has
-    /// seen that the first one is gone.
-    tight_callers_go_away: tight, going_away, 0.4, |_| {};
+    /// Symptom: requests queue at an upstream. Sequence: callers disconnect while the upstream
+    /// serves their requests. Cause: the entry reuses the slot before the upstream has noticed that
+    /// the first request was cancelled.
+    tight_callers_go_away: tight, disconnecting, 0.4, |_| {};
 
-    /// Symptom and sequence as above, with upstreams that work on until their answer is made.
-    /// Cause: the entry takes the end of its own side of a connection for the end of the work.
-    tight_callers_go_away_and_upstreams_work_on: tight_without_cancel, going_away, 0.2, |_| {};
+    /// Symptom and sequence as above, with upstreams that ignore cancellation. Cause: the entry
+    /// takes closing its connection to an upstream for the end of the work there.
+    tight_callers_go_away_and_upstreams_work_on: tight_without_cancel, disconnecting, 0.2, |_| {};
 
-    /// Symptom: an upstream queues, or callers wait for refusals. Sequence: a burst that no region
-    /// can serve. Cause: whoever hopes for a slot sends too much; what can't run is refused.
+    /// Symptom: requests queue at an upstream, or callers wait for refusals. Sequence: a burst
+    /// exceeds the capacity of all regions. Cause: requests are sent without a slot, or are not
+    /// refused at once when they can't run in time.
     tight_burst: tight, burst, 0.6, |_| {};
 
-    /// Symptom: an upstream queues. Sequence: a burst while the platform is down. Cause: slots
-    /// can't move through the table, and those who lack some must not help themselves.
+    /// Symptom: requests queue at an upstream. Sequence: a burst while the platform is down. Cause:
+    /// slots can't change owners without the table, and entries that need more must not use
+    /// those of others.
     tight_burst_with_the_platform_down: tight, burst, 0.6, |rig| {
         for part in ["table", "objects", "list"] {
-            platform(rig, part, json!({"kind": "down"}));
+            fault_platform_part(rig, part, json!({"kind": "down"}));
         }
     };
 
-    /// Symptom: an upstream queues. Sequence: an entry is killed and its slots go to others.
-    /// Cause: its requests still run there.
+    /// Symptom: requests queue at an upstream. Sequence: an entry is killed, and its slots are
+    /// given to others. Cause: its requests still run at the upstream.
     tight_entry_killed: tight, heavy, 0.9, |rig| rig.kill("arusha-0");
 
-    /// Symptom: an upstream queues. Sequence: an entry sleeps past its lease and wakes. Cause: it
-    /// still believes that its slots are its own.
+    /// Symptom: requests queue at an upstream. Sequence: an entry is frozen for longer than its
+    /// lease and then resumed. Cause: it still regards its former slots as its own.
     tight_entry_frozen: tight, heavy, 0.9, |rig| {
         rig.freeze("arusha-0", Duration::from_secs(6));
     };
 
-    /// Symptom and cause as above. Sequence: requests wait at the sleeping entry, which sends them
-    /// all when it wakes, while the others have all slots in use.
-    tight_entry_wakes_to_a_crowd: tight, patient_crowd, 0.3, |rig| {
+    /// Symptom and cause as above. Sequence: requests wait at the frozen entry, which sends them
+    /// all when it is resumed, while the others use all slots.
+    tight_entry_wakes_to_a_crowd: tight, patient_overload, 0.3, |rig| {
         rig.freeze("arusha-0", Duration::from_secs(6));
     };
 
-    /// Symptom: an upstream queues. Sequence: half of the table's answers are lost after their
-    /// effect, and an entry restarts. Cause: two entries believe in the same allotment.
+    /// Symptom: requests queue at an upstream. Sequence: half of the table's responses are lost
+    /// after the commits took effect, and an entry restarts. Cause: two entries use the same
+    /// allotment.
     tight_lost_answers_and_restart: tight, heavy, 0.9, |rig| {
-        platform(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
+        fault_platform_part(rig, "table", json!({"kind": "lost-answer", "ratio": 0.5}));
         let status = rig.terminate("arusha-0").expect("the entry ends");
         assert!(status.success(), "{status}");
         rig.start_daemon("arusha-0").unwrap();
         rig.wait_ready("arusha-0").unwrap();
     };
 
-    /// Symptom: an upstream queues. Sequence: it becomes slow and reports room that it lacks.
-    /// Cause: a report is believed where it says more.
+    /// Symptom: requests queue at an upstream. Sequence: it becomes slow, and reports free slots
+    /// that it lacks. Cause: a load report is allowed to raise the number of slots in use.
     tight_upstream_lies_low: tight, heavy, 0.9, |rig| {
         let lie = json!({"slots": 100, "in_flight": 0, "queued": 0, "state": "up"});
         rig.fault_upstream("arusha-menu-0", &json!({"slow_factor": 3.0, "lie": lie}));
     };
 
-    /// Symptom: callers wait for an upstream that never answers. Sequence: one of ten requests is
-    /// begun and never ended. Cause: its slot is lost, and only the caller's time ends the wait.
+    /// Symptom: callers wait for an upstream that doesn't respond. Sequence: it starts but never
+    /// ends one of ten requests. Cause: their slots are lost, and only the callers' timeouts end
+    /// the waits.
     tight_upstream_hangs: tight, heavy, 0.9, |rig| {
         rig.fault_upstream("arusha-menu-0", &json!({"hang": 0.1}));
     };
 
-    /// Symptom: callers of a region without entries get no answer. Sequence: both entries of one
-    /// region are killed at once. Cause: a whole region fails; its callers go to another.
+    /// Symptom: callers of a region without entries get no response. Sequence: both entries of one
+    /// region are killed at once. Cause: when a whole region fails, its callers have to use
+    /// another.
     region_without_entries: two_regions, scene, 0.8, |rig| {
         rig.kill("arusha-0");
         rig.kill("arusha-1");
     };
 }
 
-/// Symptom: two operators both believe that their configuration is in force. Sequence: both base
-/// theirs on the same version and send it to different daemons at once. Cause: accepting is a read
-/// and a write of the head, and another's write may come in between.
+/// Symptom: two operators each believe that their configuration is in force. Sequence: both are
+/// based on the same version and are sent to different daemons at once. Cause: accepting a
+/// configuration reads and then writes the head, and another write may come in between.
 #[test]
 fn operators_race() {
-    let _turn = turn();
+    let _permit = turn();
     let rig = Rig::start(Layout::two_regions()).unwrap();
     let base = rig.operator("arusha-0", "/op/v1/status", None).body["version"].clone();
     let texts = ["rig-one", "rig-two"].map(|name| {
@@ -460,22 +477,22 @@
             .config()
             .replace("name: rig", &format!("name: {name}"))
     });
-    let statuses = std::thread::scope(|scope| {
-        let accept = |id: &'static str, text: &'static str, body: String| {
+    let replies = std::thread::scope(|scope| {
+        let accept = |id: &'static str, author: &'static str, text: String| {
             let (rig, base) = (&rig, base.clone());
             scope.spawn(move || {
                 let body = json!({
-                    "accept_id": text, "author": text, "base_version": base, "text": body,
+                    "accept_id": author, "author": author, "base_version": base, "text": text,
                 });
                 rig.operator(id, "/op/v1/accept", Some(&body))
             })
         };
-        let [one, two] = texts.clone();
-        let one = accept("arusha-0", "one", one);
-        let two = accept("moshi-1", "two", two);
-        [one.join().unwrap(), two.join().unwrap()]
+        let [first_text, second_text] = texts.clone();
+        let first = accept("arusha-0", "one", first_text);
+        let second = accept("moshi-1", "two", second_text);
+        [first.join().unwrap(), second.join().unwrap()]
     });
-    let mut codes = statuses.clone().map(|reply| reply.status);
-    codes.sort_unstable();
-    assert_eq!(codes, [200, 409], "{statuses:?}");
+    let mut statuses = replies.clone().map(|reply| reply.status);
+    statuses.sort_unstable();
+    assert_eq!(statuses, [200, 409], "{replies:?}");
 }
