--- a/crates/ctl/examples/blocks.rs
+++ b/crates/ctl/examples/blocks.rs
@@ -93,7 +93,7 @@
         text: rig.layout.config(),
         blocks: Some(blocks.to_owned()),
     };
-    let daemon = rig.daemons["arusha-0"].operator.clone();
+    let daemon = rig.daemons["arusha-0"].operator_addr.clone();
     let sent_at = Instant::now();
     actix_rt::System::new().block_on(async move {
         let client = Client::new(vec![daemon], None, TIMEOUT);
@@ -113,7 +113,7 @@
 }
 
 fn version(rig: &Rig, id: &str) -> u64 {
-    let reply = rig.operator(id, "/op/v1/status", None);
+    let reply = rig.operator_request(id, "/op/v1/status", None);
     reply.body["version"].as_u64().unwrap_or(0)
 }
 
--- a/crates/ctl/examples/spread.rs
+++ b/crates/ctl/examples/spread.rs
@@ -33,7 +33,7 @@
     let region = |name| RegionLayout { name, entries };
     let rig = Rig::start(Layout {
         regions: ["arusha", "moshi", "dar"].map(region).to_vec(),
-        between_regions_us: 5_000,
+        inter_region_delay_us: 5_000,
         terms: Vec::new(),
         ..Layout::one_region()
     })
@@ -53,7 +53,7 @@
             "base_version": round + 1, "text": text,
         });
         let sent_at = Instant::now();
-        let reply = rig.operator("arusha-0", "/op/v1/accept", Some(&body));
+        let reply = rig.operator_request("arusha-0", "/op/v1/accept", Some(&body));
         assert_eq!(reply.status, 200, "{}", reply.body);
         let accepted_at = Instant::now();
         while !rig.daemons.keys().all(|id| version(&rig, id) == round + 2) {
@@ -70,6 +70,6 @@
 }
 
 fn version(rig: &Rig, id: &str) -> u64 {
-    let reply = rig.operator(id, "/op/v1/status", None);
+    let reply = rig.operator_request(id, "/op/v1/status", None);
     reply.body["version"].as_u64().unwrap_or(0)
 }
--- a/crates/ctl/src/command/explain.rs
+++ b/crates/ctl/src/command/explain.rs
@@ -33,7 +33,7 @@
             .for_each(|line| print_stderr(&line.to_string()));
     }
     match &args.id {
-        Some(id) => match logs.story(id) {
+        Some(id) => match logs.trace(id) {
             Ok(explanation) => Ok(Output::new(explanation.to_string(), &explanation)),
             Err(unknown_id) => Err(Failure::Refused(unknown_id.to_string())),
         },
--- a/crates/ctl/tests/routes.rs
+++ b/crates/ctl/tests/routes.rs
@@ -7,8 +7,8 @@
 use standin::platform::{
     self,
     Fault,
+    FaultKind,
     Faults,
-    Kind,
     ListContent, //
 };
 use std::{
@@ -66,7 +66,7 @@
     }
 
     /// Applies a fault to this ratio of the table's calls; with 0.5, of two calls the second.
-    fn set_fault(&self, kind: Kind, ratio: f64) {
+    fn set_fault(&self, kind: FaultKind, ratio: f64) {
         let table = Some(Fault {
             kind,
             ratio,
@@ -157,11 +157,11 @@
 fn a_lost_response_is_unknown_and_may_be_repeated() {
     let platform = Platform::start();
     let first = routes_file("lost.yaml", 1);
-    platform.set_fault(Kind::LostAnswer, 0.5);
+    platform.set_fault(FaultKind::LostAnswer, 0.5);
     platform
         .run(&["accept", first.path()])
         .expect(3, "run next: jasminectl routes accept ");
-    platform.set_fault(Kind::None, 1.0);
+    platform.set_fault(FaultKind::None, 1.0);
     platform
         .run(&["accept", first.path()])
         .expect(0, "version 1: in force already");
@@ -172,12 +172,12 @@
     let platform = Platform::start();
     let first = routes_file("outage.yaml", 1);
     for ratio in [1.0, 0.5] {
-        platform.set_fault(Kind::Down, ratio);
+        platform.set_fault(FaultKind::Down, ratio);
         platform
             .run(&["accept", first.path()])
             .expect(1, "the platform refused");
     }
-    platform.set_fault(Kind::None, 1.0);
+    platform.set_fault(FaultKind::None, 1.0);
     platform
         .run(&["accept", first.path()])
         .expect(0, "version 1: accepted");
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -84,7 +84,7 @@
 
 /// Runs `jasminectl` against one daemon of a rig.
 pub(crate) fn ctl_at(rig: &Rig, id: &str, args: &[&str]) -> RunResult {
-    let daemon = rig.daemons[id].operator.as_str();
+    let daemon = rig.daemons[id].operator_addr.as_str();
     ctl(&[&["--daemon", daemon, "--author", "tester"], args].concat())
 }
 
--- a/crates/ctl/tests/system.rs
+++ b/crates/ctl/tests/system.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use rig::{
-    turn,
+    test_permit,
     Layout,
     Rig, //
 };
@@ -42,13 +42,13 @@
 }
 
 fn version(rig: &Rig, id: &str) -> u64 {
-    let reply = rig.operator(id, "/op/v1/status", None);
+    let reply = rig.operator_request(id, "/op/v1/status", None);
     reply.body["version"].as_u64().unwrap_or(0)
 }
 
 /// Newest version in the platform's table.
 fn newest_version(rig: &Rig) -> u64 {
-    let reply = rig.operator("arusha-0", "/op/v1/history?limit=1", None);
+    let reply = rig.operator_request("arusha-0", "/op/v1/history?limit=1", None);
     let version = reply.body[0]["version"].as_u64();
     version.unwrap_or_else(|| panic!("{reply:?}"))
 }
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_configuration_is_compared_accepted_and_listed() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let file = config_named(&rig, "second");
     let ran = ctl_at(&rig, "arusha-0", &["diff", file.path()]).expect(0, "version 1");
@@ -117,7 +117,7 @@
 
 #[test]
 fn targets_and_drains_create_versions() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let at = |args: &[&str]| ctl_at(&rig, "arusha-0", args);
     at(&[
@@ -153,7 +153,7 @@
 /// daemon knows only its own requests, so the command has to query all daemons.
 #[test]
 fn requests_in_flight_are_counted_over_all_daemons() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     for index in 0..3 {
         rig.fault_upstream(
@@ -161,7 +161,7 @@
             &json!({"slow_factor": 400}),
         );
     }
-    let callers = rig.daemons["arusha-1"].callers.clone();
+    let callers = rig.daemons["arusha-1"].callers_addr.clone();
     let (response_sender, responses) = std::sync::mpsc::channel();
     let work = thread::spawn(move || {
         let mut stream = std::net::TcpStream::connect(callers).unwrap();
@@ -174,7 +174,7 @@
     // uses a slot.
     let in_flight = || {
         let used = |id: &str| {
-            let status = rig.operator(id, "/op/v1/status", None).body;
+            let status = rig.operator_request(id, "/op/v1/status", None).body;
             status["pools"][0]["slots"]["used"].as_u64()
         };
         let total: u64 = ["arusha-0", "arusha-1"].into_iter().filter_map(used).sum();
@@ -211,7 +211,7 @@
 /// other. Without a check of its base, the later accept would silently replace the earlier one.
 #[test]
 fn the_later_of_two_accepts_on_one_base_is_refused() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let [earlier, later] = ["one", "two"].map(|name| config_named(&rig, name));
     ctl_at(
@@ -233,14 +233,14 @@
 /// accept, and all but one lose the race; as drains commute, they are retried on the new version.
 #[test]
 fn concurrent_drains_all_come_into_force() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let targets = ["upstream:u1", "upstream:u2", "upstream:u3", "upstream:u4"];
     let children: Vec<_> = targets
         .iter()
         .enumerate()
         .map(|(index, target)| {
-            let daemon = &rig.daemons[&format!("arusha-{}", index % 2)].operator;
+            let daemon = &rig.daemons[&format!("arusha-{}", index % 2)].operator_addr;
             spawn_ctl(&["--daemon", daemon, "drain", "start", target, "--wait"])
         })
         .collect();
@@ -257,7 +257,7 @@
 /// accept id's row shows whether the change was accepted.
 #[test]
 fn a_lost_response_never_gives_a_false_outcome() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     for (index, ratio) in [0.3, 0.5, 0.6, 0.8, 1.0].into_iter().enumerate() {
         let id = format!("lost-{index}");
@@ -303,7 +303,7 @@
 /// the accept id's row, the repeat would be a new accept.
 #[test]
 fn a_repeat_reports_the_earlier_accept() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let file = config_named(&rig, "repeated");
     let accept = [
@@ -335,7 +335,7 @@
 /// version can be accepted then, which has to be reported within the client's timeout.
 #[test]
 fn an_outage_of_the_platform_is_reported_and_changes_nothing() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = one_region();
     let file = config_named(&rig, "outage");
     for kind in ["down", "freeze"] {
@@ -358,10 +358,10 @@
 /// daemon of the list can respond as well.
 #[test]
 fn a_dead_daemon_is_replaced_by_the_next_in_the_list() {
-    let _turn = turn();
+    let _turn = test_permit();
     let mut rig = one_region();
     let file = config_named(&rig, "next");
-    let daemons = ["arusha-0", "arusha-1"].map(|id| rig.daemons[id].operator.clone());
+    let daemons = ["arusha-0", "arusha-1"].map(|id| rig.daemons[id].operator_addr.clone());
     let addrs = daemons.join(",");
     rig.kill("arusha-0");
     let ran = ctl(&[
@@ -383,7 +383,7 @@
 /// not lapsed, it counts as not having confirmed.
 #[test]
 fn a_wait_names_the_daemons_that_have_not_confirmed() {
-    let _turn = turn();
+    let _turn = test_permit();
     let mut rig = Rig::start(Layout {
         terms: {
             let mut terms = Layout::quick_terms();
@@ -395,7 +395,7 @@
     })
     .unwrap();
     let file = config_named(&rig, "frozen");
-    let daemon = rig.daemons["arusha-0"].operator.clone();
+    let daemon = rig.daemons["arusha-0"].operator_addr.clone();
     let wait = [
         "--daemon",
         &daemon,
@@ -418,7 +418,7 @@
 /// is not the only source: heartbeats announce the version, and the peer has the body.
 #[test]
 fn a_daemon_cut_from_the_platform_adopts_through_its_peer() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = Rig::start(Layout {
         platform_relays: true,
         ..Layout::one_region()
@@ -443,7 +443,7 @@
 /// can get the body, the snapshot and the differences from its peers, and its lease from the table.
 #[test]
 fn a_new_daemon_gets_all_objects_from_peers() {
-    let _turn = turn();
+    let _turn = test_permit();
     let mut rig = one_region();
     let file = config_named(&rig, "store");
     for blocks in ["10.9.0.0/16 arusha\n10.8.0.0/16 arusha\n", "-10.8.0.0/16\n"] {
@@ -463,7 +463,7 @@
 /// it from that daemon.
 #[test]
 fn a_slow_platform_delays_only_the_accept() {
-    let _turn = turn();
+    let _turn = test_permit();
     let rig = Rig::start(Layout::two_regions()).unwrap();
     let slow = json!({"kind": "slow", "delay_ms": 1500});
     rig.fault_platform(&json!({"table": slow, "objects": slow}));
@@ -478,7 +478,7 @@
 
 #[test]
 fn commands_without_the_key_are_refused() {
-    let _turn = turn();
+    let _turn = test_permit();
     let key = "the-operators-key-of-the-rig";
     let rig = Rig::start(Layout {
         operator_key: Some(key),
--- a/crates/daemon/src/process/control/config/accept/edit.rs
+++ b/crates/daemon/src/process/control/config/accept/edit.rs
@@ -13,7 +13,7 @@
 use spec::{
     Config,
     DrainTarget,
-    Target, //
+    TargetUpdate, //
 };
 
 /// An operator's request to change one aspect of the configuration in force.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum EditChange {
     Drain(DrainAction, DrainTarget),
-    Target(ClassId, Target),
+    Target(ClassId, TargetUpdate),
 }
 
 impl From<DrainRequest> for Edit {
--- a/crates/daemon/src/process/control/config/accept/run.rs
+++ b/crates/daemon/src/process/control/config/accept/run.rs
@@ -15,13 +15,13 @@
     AcceptAction,
     AcceptEvent,
     AcceptOutcome,
-    Answer,
-    CommitAnswer,
+    CommitOutcome,
     Digest,
     Guards,
     Proposal,
     RowKey,
     RowValue, //
+    WriteOutcome,
 };
 
 impl Driver {
@@ -29,7 +29,7 @@
     pub(super) async fn run(&mut self, proposal: &Proposal) -> Result<AcceptOutcome, Refusal> {
         let (mut accept, mut action) = spec::Accept::start(proposal.clone(), Guards::ALL);
         loop {
-            let pause = accept.pause();
+            let pause = accept.backoff();
             if !pause.is_zero() {
                 actix_rt::time::sleep(pause).await;
             }
@@ -49,7 +49,7 @@
         }
     }
 
-    async fn store(&mut self, digest: Digest, bytes: Bytes) -> Answer<()> {
+    async fn store(&mut self, digest: Digest, bytes: Bytes) -> WriteOutcome<()> {
         let stored = self.platform.put(&digest.object_name(), bytes).await;
         self.answer("storing the configuration", stored)
     }
@@ -74,31 +74,35 @@
         &mut self,
         checks: Vec<spec::Check>,
         writes: Vec<spec::Write>,
-    ) -> Answer<CommitAnswer> {
+    ) -> WriteOutcome<CommitOutcome> {
         let txn = Txn {
             checks: checks.into_iter().map(to_check).collect(),
             writes: writes.into_iter().map(to_write).collect(),
         };
         let committed = self.platform.commit(txn).await;
         match self.answer("committing the version", committed) {
-            Answer::Done(plat::Commit::Committed { .. }) => Answer::Done(CommitAnswer::Committed),
-            Answer::Done(plat::Commit::Conflict { .. }) => Answer::Done(CommitAnswer::Conflict),
-            Answer::NotDone => Answer::NotDone,
-            Answer::Unknown => Answer::Unknown,
+            WriteOutcome::Done(plat::Commit::Committed { .. }) => {
+                WriteOutcome::Done(CommitOutcome::Committed)
+            }
+            WriteOutcome::Done(plat::Commit::Conflict { .. }) => {
+                WriteOutcome::Done(CommitOutcome::Conflict)
+            }
+            WriteOutcome::NotDone => WriteOutcome::NotDone,
+            WriteOutcome::Unknown => WriteOutcome::Unknown,
         }
     }
 
-    fn answer<T>(&mut self, what: &str, outcome: Outcome<T>) -> Answer<T> {
+    fn answer<T>(&mut self, what: &str, outcome: Outcome<T>) -> WriteOutcome<T> {
         let mut failed = |why: FailureReason| self.last_failure = format!("{what}: {why}");
         match outcome {
-            Outcome::Done(done) => Answer::Done(done),
+            Outcome::Done(done) => WriteOutcome::Done(done),
             Outcome::NotDone(why) => {
                 failed(why);
-                Answer::NotDone
+                WriteOutcome::NotDone
             }
             Outcome::Unknown(why) => {
                 failed(why);
-                Answer::Unknown
+                WriteOutcome::Unknown
             }
         }
     }
--- a/crates/daemon/src/process/control/config/adopt.rs
+++ b/crates/daemon/src/process/control/config/adopt.rs
@@ -110,7 +110,7 @@
             control.count_platform_call("head", read.is_ok());
             match read {
                 Ok(Some(head)) => control.offer(Source::Table, Offer::Head(head), ctx),
-                Ok(None) => control.offer(Source::Table, Offer::Nothing, ctx),
+                Ok(None) => control.offer(Source::Table, Offer::NoVersion, ctx),
                 // Retried; `tick_versions` decides whether the table counts as unreachable.
                 Err(_) => {}
             }
@@ -184,7 +184,7 @@
             .collect();
         for peer in known {
             self.versions.unreported_peers.remove(&peer);
-            self.offer(Source::Peer(peer), Offer::Nothing, ctx);
+            self.offer(Source::Peer(peer), Offer::NoVersion, ctx);
         }
     }
 
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,6 +1,6 @@
 //! Explains the course of a request and the likely cause of its failure from logs alone.
 //!
-//! Start with [`Logs`], which holds the lines of any number of processes. [`Logs::story`] returns the lines
+//! Start with [`Logs`], which holds the lines of any number of processes. [`Logs::trace`] returns the lines
 //! about one request in order, the changes of its entry's view around that time, and a [`Cause`].
 //! [`Logs::failures`] finds the causes of all failed requests and counts the requests by cause.
 //!
--- a/crates/explain/src/logs.rs
+++ b/crates/explain/src/logs.rs
@@ -189,7 +189,7 @@
     /// # Errors
     ///
     /// No line has this id. The error lists what is known of missing lines.
-    pub fn story(&self, id: &str) -> Result<RequestTrace, UnknownRequest> {
+    pub fn trace(&self, id: &str) -> Result<RequestTrace, UnknownRequest> {
         let has_id = |located: &&LocatedLine| located.line.event.request_id() == Some(id);
         let lines: Vec<&LocatedLine> = self.lines.iter().filter(has_id).collect();
         if lines.is_empty() {
--- a/crates/explain/tests/causes.rs
+++ b/crates/explain/tests/causes.rs
@@ -162,7 +162,7 @@
             #[test]
             fn $name() {
                 let logs = logs(&[$($event),*]);
-                let trace = logs.story("4f").expect("the log has the request's lines");
+                let trace = logs.trace("4f").expect("the log has the request's lines");
                 assert_eq!(trace.cause.fault, Fault::$fault, "{trace}");
                 let evidence = trace.cause.evidence.join("\n");
                 assert!(evidence.contains($evidence), "{trace}");
@@ -355,7 +355,7 @@
         ),
         (1, started),
     ]);
-    let unknown = logs.story("nowhere").expect_err("no line has the id");
+    let unknown = logs.trace("nowhere").expect_err("no line has the id");
     assert_eq!(unknown.ended_unplanned, ["moshi-1"]);
     assert_eq!(unknown.missing_lines, 3);
     let message = unknown.to_string();
@@ -364,7 +364,7 @@
         "{message}"
     );
     let empty = Logs::default()
-        .story("4f")
+        .trace("4f")
         .expect_err("no lines at all")
         .to_string();
     assert!(empty.contains("no lines of an entry"), "{empty}");
--- a/crates/load/src/bin/jasmine-load.rs
+++ b/crates/load/src/bin/jasmine-load.rs
@@ -13,23 +13,23 @@
 };
 use load::{
     drive,
+    failed_events,
     gather,
     hop,
     judge,
     leaving,
     look_up,
-    not_done,
-    Disturbed,
-    Driven,
+    Addresses, //
+    Disruption,
     Evidence,
     Gathered,
     HopLoad,
     Limits,
+    LoadRecords,
     LookupLoad,
     Plan,
     Report,
     Scene,
-    Sites, //
 };
 use std::{
     collections::BTreeMap,
@@ -240,7 +240,7 @@
     for missing in &gathered.missing {
         println!("no record from {missing}");
     }
-    let failed_events = not_done(&load_records.events, &gathered.upstreams);
+    let failed_events = failed_events(&load_records.events, &gathered.upstreams);
     let report = build_report(&scene, args, limits, &load_records, gathered);
     if let Some(path) = &args.records {
         write_records(path, &load_records)?;
@@ -255,8 +255,8 @@
     ))
 }
 
-fn addresses(args: &RunArgs) -> Sites {
-    let mut addresses = Sites::default();
+fn addresses(args: &RunArgs) -> Addresses {
+    let mut addresses = Addresses::default();
     for daemon in &args.daemons {
         let region = addresses.daemons.entry(daemon.name.clone()).or_default();
         region.push(daemon.addr.clone());
@@ -270,10 +270,10 @@
     scene: &Scene,
     args: &RunArgs,
     limits: Limits,
-    load_records: &Driven,
+    load_records: &LoadRecords,
     gathered: Gathered,
 ) -> Report {
-    let disturbed = args.disturbed.iter().map(|entry| Disturbed {
+    let disturbed = args.disturbed.iter().map(|entry| Disruption {
         entry: entry.clone(),
         from_us: 0,
         to_us: None,
@@ -284,7 +284,7 @@
         runs: gathered.runs,
         upstreams: gathered.upstreams,
         leaving: leaving(&load_records.events),
-        disturbed: disturbed.collect(),
+        disruptions: disturbed.collect(),
         links: Vec::new(),
         entries: entry_regions(args),
         limits,
@@ -313,7 +313,7 @@
     Limits::read(&name, &text).map_err(|findings| eyre!("{findings}"))
 }
 
-fn write_records(path: &Path, load_records: &Driven) -> eyre::Result<()> {
+fn write_records(path: &Path, load_records: &LoadRecords) -> eyre::Result<()> {
     let mut text = String::new();
     for caller in &load_records.callers {
         text.push_str(&serde_json::to_string(caller)?);
--- a/crates/load/src/caller/exchange.rs
+++ b/crates/load/src/caller/exchange.rs
@@ -15,7 +15,7 @@
         TryEnd, //
     },
     scene::{
-        FilingWay,
+        FilingMethod,
         Work, //
     },
 };
@@ -78,9 +78,9 @@
     fn next_number(&self, target: &Target) -> u32 {
         let last = self.tries.last().map_or(0, |last| last.number);
         let is_copy = match self.class.filing {
-            FilingWay::None => false,
-            FilingWay::Ticket => self.may_have_run && target.ticket.is_some(),
-            FilingWay::Key => true,
+            FilingMethod::None => false,
+            FilingMethod::Ticket => self.may_have_run && target.ticket.is_some(),
+            FilingMethod::Key => true,
         };
         if is_copy {
             last.max(1)
@@ -92,9 +92,9 @@
     /// Ticket or key to send with a try.
     fn filing(&self, target: &Target) -> Option<ByteString> {
         match self.class.filing {
-            FilingWay::None => None,
-            FilingWay::Ticket => target.ticket.clone(),
-            FilingWay::Key => Some(self.arrival.id.clone()),
+            FilingMethod::None => None,
+            FilingMethod::Ticket => target.ticket.clone(),
+            FilingMethod::Key => Some(self.arrival.id.clone()),
         }
     }
 
@@ -148,8 +148,8 @@
             return request;
         };
         let header = match self.class.filing {
-            FilingWay::Ticket => "Jasmine-Ticket",
-            FilingWay::None | FilingWay::Key => "Idempotency-Key",
+            FilingMethod::Ticket => "Jasmine-Ticket",
+            FilingMethod::None | FilingMethod::Key => "Idempotency-Key",
         };
         request.insert_header((header, filing.to_string()))
     }
--- a/crates/load/src/caller/mod.rs
+++ b/crates/load/src/caller/mod.rs
@@ -75,7 +75,7 @@
         state.run().await;
         let (class, region) = (state.class, state.region);
         CallerRecord {
-            told: state.result(),
+            result: state.result(),
             flaw: state.flaw,
             tries: state.tries,
             id: arrival.id.clone(),
--- a/crates/load/src/caller/request.rs
+++ b/crates/load/src/caller/request.rs
@@ -9,15 +9,15 @@
 };
 use crate::{
     record::{
+        CallerResult,
         Flaw,
-        Told,
         Try,
         TryEnd, //
     },
     scene::{
         CallerRegion,
         ClassLoad,
-        FilingWay, //
+        FilingMethod, //
     },
     schedule::Arrival, //
 };
@@ -112,7 +112,7 @@
 
     /// Chooses the target of the next try; none if no look-up succeeds before the deadline.
     async fn choose_target(&mut self) -> Option<Target> {
-        if self.class.filing == FilingWay::Ticket {
+        if self.class.filing == FilingMethod::Ticket {
             if self.may_have_run {
                 return self.pinned_target.clone();
             }
@@ -175,37 +175,37 @@
     }
 
     /// Result of the request, derived from its tries.
-    pub(super) fn result(&self) -> Told {
+    pub(super) fn result(&self) -> CallerResult {
         let any_ended = |end: TryEnd| self.tries.iter().any(|attempt| attempt.end == end);
         let not_run = any_ended(TryEnd::Answered(RunOutcome::NotRun));
         let unknown = any_ended(TryEnd::Answered(RunOutcome::Unknown));
         let interrupted = any_ended(TryEnd::Cut) || any_ended(TryEnd::TimedOut);
         let Some(last) = self.tries.last() else {
-            return Told::Unreached;
+            return CallerResult::Unreached;
         };
         match last.end {
             TryEnd::Answered(RunOutcome::Done) => {
                 let success = last.status.is_some_and(is_success);
                 if success {
-                    Told::Done
+                    CallerResult::Done
                 } else {
-                    Told::Failed
+                    CallerResult::Failed
                 }
             }
-            TryEnd::Unclaimed => Told::Failed,
-            TryEnd::Answered(RunOutcome::Unknown) => Told::Unknown,
+            TryEnd::Unclaimed => CallerResult::Failed,
+            TryEnd::Answered(RunOutcome::Unknown) => CallerResult::Unknown,
             // Once a filing may have run, later responses to copies of it don't settle its outcome.
-            _ if self.may_have_run && unknown => Told::Unknown,
+            _ if self.may_have_run && unknown => CallerResult::Unknown,
             TryEnd::Answered(RunOutcome::NotRun)
-                if self.may_have_run && self.class.filing != FilingWay::None =>
+                if self.may_have_run && self.class.filing != FilingMethod::None =>
             {
-                Told::Unknown
+                CallerResult::Unknown
             }
-            TryEnd::Answered(RunOutcome::NotRun) => Told::Refused,
-            TryEnd::Cut | TryEnd::TimedOut => Told::NoAnswer,
-            TryEnd::NotConnected if interrupted => Told::NoAnswer,
-            TryEnd::NotConnected if not_run => Told::Refused,
-            TryEnd::NotConnected => Told::Unreached,
+            TryEnd::Answered(RunOutcome::NotRun) => CallerResult::Refused,
+            TryEnd::Cut | TryEnd::TimedOut => CallerResult::NoAnswer,
+            TryEnd::NotConnected if interrupted => CallerResult::NoAnswer,
+            TryEnd::NotConnected if not_run => CallerResult::Refused,
+            TryEnd::NotConnected => CallerResult::Unreached,
         }
     }
 }
--- a/crates/load/src/drain.rs
+++ b/crates/load/src/drain.rs
@@ -24,7 +24,7 @@
     pub upstreams: Vec<UpstreamId>,
     /// Time to the last new work at these upstreams; zero if there was none.
     #[serde(rename = "took_ms")]
-    pub took_ms: u64,
+    pub duration_ms: u64,
     /// Requests that arrived at these upstreams in that time.
     pub arrived: u64,
 }
@@ -34,7 +34,7 @@
     let mut by_request_time: BTreeMap<UnixUs, Vec<&Leaving>> = BTreeMap::new();
     for leaving in &evidence.leaving {
         by_request_time
-            .entry(leaving.asked_us)
+            .entry(leaving.requested_us)
             .or_default()
             .push(leaving);
     }
@@ -51,7 +51,7 @@
             .iter()
             .map(|departed| departed.upstream.clone())
             .collect(),
-        took_ms: 0,
+        duration_ms: 0,
         arrived: 0,
     };
     for run in &evidence.runs {
@@ -64,7 +64,9 @@
         });
         if is_new {
             drain.arrived += 1;
-            drain.took_ms = drain.took_ms.max((run.arrived_us - requested_us) / 1_000);
+            drain.duration_ms = drain
+                .duration_ms
+                .max((run.arrived_us - requested_us) / 1_000);
         }
     }
     drain
@@ -77,7 +79,7 @@
             "drain of {} upstreams ({} first): last new work after {} ms, {} requests until then",
             drain.upstreams.len(),
             drain.upstreams.first().map_or("", |id| id),
-            drain.took_ms,
+            drain.duration_ms,
             drain.arrived
         )?;
     }
--- a/crates/load/src/drive.rs
+++ b/crates/load/src/drive.rs
@@ -45,7 +45,7 @@
 
 /// Addresses that a scene does not contain.
 #[derive(Clone, Debug, Default)]
-pub struct Sites {
+pub struct Addresses {
     /// Daemons that callers use for look-ups, by region.
     pub daemons: Daemons,
     /// Addresses of the events' targets, by name.
@@ -54,7 +54,7 @@
 
 /// Records of a scene's run.
 #[derive(Debug, Default)]
-pub struct Driven {
+pub struct LoadRecords {
     /// Records of all requests, sorted by scheduled time.
     pub callers: Vec<CallerRecord>,
     /// The events with their responses.
@@ -75,7 +75,7 @@
 }
 
 /// Runs a scene to the end of its last request.
-pub fn drive(scene: &Scene, sites: &Sites) -> Driven {
+pub fn drive(scene: &Scene, sites: &Addresses) -> LoadRecords {
     let scene = Arc::new(scene.clone());
     let daemons = Arc::new(sites.daemons.clone());
     let clock = Clock::starting_in(START_DELAY);
@@ -91,7 +91,7 @@
             thread::spawn(move || run_partition(scene, daemons, clock, partition))
         })
         .collect();
-    let mut load_records = Driven::default();
+    let mut load_records = LoadRecords::default();
     for thread in threads {
         let records = thread.join().expect("a thread of callers does not panic");
         load_records.callers.extend(records);
@@ -118,7 +118,7 @@
         }
         leaving.extend(record.event.leaves.iter().map(|upstream| Leaving {
             upstream: upstream.clone(),
-            asked_us: record.sent_us,
+            requested_us: record.sent_us,
             since_us: record.answered_us,
             until_us: None,
         }));
@@ -130,7 +130,7 @@
 ///
 /// Without this check, a scene that misspells an upstream's id would pass, although its fault was
 /// never injected.
-pub fn not_done(
+pub fn failed_events(
     events: &[EventRecord],
     upstreams: &BTreeMap<UpstreamId, UpstreamFacts>,
 ) -> Vec<String> {
@@ -201,7 +201,7 @@
     }
 }
 
-fn run_events(scene: &Scene, sites: &Sites, clock: Clock) -> Vec<EventRecord> {
+fn run_events(scene: &Scene, sites: &Addresses, clock: Clock) -> Vec<EventRecord> {
     let mut events = scene.events.clone();
     events.sort_by_key(|event| event.at_ms);
     let mut records = Vec::new();
@@ -219,7 +219,7 @@
     records
 }
 
-fn post(event: &Event, sites: &Sites) -> Result<u16, String> {
+fn post(event: &Event, sites: &Addresses) -> Result<u16, String> {
     let Some(address) = sites.targets.get(&event.target) else {
         return Err(format!("no address for target `{}`", event.target));
     };
--- a/crates/load/src/gather.rs
+++ b/crates/load/src/gather.rs
@@ -15,9 +15,9 @@
 use bytestring::ByteString;
 use serde::Deserialize;
 use standin::upstream::{
-    Ended,
-    Entry,
     Record, //
+    RecordEntry,
+    RequestOutcome,
 };
 use std::{
     collections::BTreeMap,
@@ -118,11 +118,11 @@
 }
 
 /// Converts an entry of an upstream's record.
-fn to_run(upstream: &UpstreamId, entry: Entry) -> Run {
+fn to_run(upstream: &UpstreamId, entry: RecordEntry) -> Run {
     let to_us = |ms: u64| ms.saturating_mul(1_000);
     let try_number = query_value(&entry.path, "try").and_then(|text| text.parse().ok());
     let response_bytes = match entry.outcome {
-        Ended::Ran => requested_bytes(&entry.path),
+        RequestOutcome::Ran => requested_bytes(&entry.path),
         _ => 0,
     };
     Run {
@@ -156,14 +156,14 @@
 }
 
 /// Name of the end of a run.
-fn end_name(ended: Ended) -> &'static str {
+fn end_name(ended: RequestOutcome) -> &'static str {
     match ended {
-        Ended::Running => "running",
-        Ended::Ran => "ran",
-        Ended::Cancelled => "cancelled",
-        Ended::Shed => "shed",
-        Ended::Truncated => Run::TRUNCATED,
-        Ended::Expired => "expired",
+        RequestOutcome::Running => "running",
+        RequestOutcome::Ran => "ran",
+        RequestOutcome::Cancelled => "cancelled",
+        RequestOutcome::Shed => "shed",
+        RequestOutcome::Truncated => Run::TRUNCATED,
+        RequestOutcome::Expired => "expired",
     }
 }
 
--- a/crates/load/src/judge.rs
+++ b/crates/load/src/judge.rs
@@ -9,14 +9,14 @@
     limits::Limits,
     record::{
         CallerRecord,
+        CallerResult,
         Run,
-        Told,
         Try,
         TryEnd,
         UnixUs,
         UpstreamFacts, //
     },
-    scene::FilingWay, //
+    scene::FilingMethod, //
 };
 use base::{
     FastMap,
@@ -44,7 +44,7 @@
     /// Upstreams that left, and when.
     pub leaving: Vec<Leaving>,
     /// Entries that the test killed or froze, and when.
-    pub disturbed: Vec<Disturbed>,
+    pub disruptions: Vec<Disruption>,
     /// Bytes that links carried, with their caps.
     pub links: Vec<LinkUse>,
     /// Region of each entry, by the entry's address for callers.
@@ -68,7 +68,7 @@
     /// The upstream.
     pub upstream: UpstreamId,
     /// When it was requested to leave.
-    pub asked_us: UnixUs,
+    pub requested_us: UnixUs,
     /// When the system could first detect it.
     pub since_us: UnixUs,
     /// When it returned, if it did.
@@ -79,7 +79,7 @@
 ///
 /// A planned stop is not listed: it must not break connections.
 #[derive(Clone, Debug)]
-pub struct Disturbed {
+pub struct Disruption {
     /// The entry's address for callers.
     pub entry: ByteString,
     /// Time of the kill or the start of the freeze.
@@ -235,7 +235,7 @@
 
     fn check_filing(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
         let runs = self.started_runs(&caller.id).count();
-        if caller.filing != FilingWay::None && runs > 1 {
+        if caller.filing != FilingMethod::None && runs > 1 {
             violations.push(self.violation(&caller.id, Breach::DoubledFiling { runs }));
         }
     }
@@ -271,7 +271,10 @@
     fn check_final_response(&self, caller: &CallerRecord, violations: &mut Vec<Violation>) {
         let elapsed_us = caller.finished_us.saturating_sub(caller.started_us);
         let late_us = elapsed_us.saturating_sub(caller.deadline_ms * 1_000);
-        let answered = !matches!(caller.told, Told::NoAnswer | Told::Unreached);
+        let answered = !matches!(
+            caller.result,
+            CallerResult::NoAnswer | CallerResult::Unreached
+        );
         if answered && late_us <= self.evidence.allowance_us {
             return;
         }
@@ -367,7 +370,7 @@
 
     /// Whether the test killed or froze a try's entry while the try was in flight.
     fn is_disrupted(&self, attempt: &Try) -> bool {
-        self.evidence.disturbed.iter().any(|disruption| {
+        self.evidence.disruptions.iter().any(|disruption| {
             disruption.entry == attempt.entry
                 && attempt.ended_us >= disruption.from_us
                 && disruption.to_us.is_none_or(|to| attempt.sent_us <= to)
@@ -399,7 +402,7 @@
     let number = caller.tries[index].number;
     let others = caller.tries.iter().enumerate();
     let mut others = others.filter(|(i, other)| *i != index && other.number == number);
-    caller.filing != FilingWay::Key
+    caller.filing != FilingMethod::Key
         || others.all(|(_, other)| {
             matches!(
                 other.end,
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -39,11 +39,11 @@
 pub use drain::DrainTime;
 pub use drive::{
     drive,
+    failed_events,
     leaving,
-    not_done,
-    Driven,
+    Addresses, //
     EventRecord,
-    Sites, //
+    LoadRecords,
 };
 pub use gather::{
     gather,
@@ -61,7 +61,7 @@
 pub use judge::{
     judge,
     Breach,
-    Disturbed,
+    Disruption,
     Evidence,
     Leaving,
     LinkUse,
@@ -80,9 +80,9 @@
 pub use record::{
     unix_us,
     CallerRecord,
+    CallerResult,
     Flaw,
     Run,
-    Told,
     Try,
     TryEnd,
     UnixUs,
@@ -90,7 +90,7 @@
 };
 pub use report::{
     Report,
-    Row,
+    RequestFigures,
     SlotUsage, //
 };
 pub use scene::{
@@ -98,7 +98,7 @@
     CallerRegion,
     ClassLoad,
     Event,
-    FilingWay,
+    FilingMethod,
     Kill,
     Plan,
     Scene,
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -2,7 +2,7 @@
 //!
 //! Times are microseconds since the Unix epoch. Both sides run on one machine and share its clock.
 
-use crate::scene::FilingWay;
+use crate::scene::FilingMethod;
 use base::{
     ClassId,
     RegionId,
@@ -36,7 +36,7 @@
     /// Region of the caller.
     pub region: RegionId,
     /// How the request is kept from running twice.
-    pub filing: FilingWay,
+    pub filing: FilingMethod,
     /// When it was scheduled to start.
     pub scheduled_us: UnixUs,
     /// When it started.
@@ -47,7 +47,7 @@
     pub deadline_ms: u64,
     /// Result that the caller knows.
     #[serde(rename = "told")]
-    pub told: Told,
+    pub result: CallerResult,
     /// Flaw of the final response.
     pub flaw: Option<Flaw>,
     /// All tries, in order.
@@ -57,7 +57,7 @@
 /// Result of a request, as its caller knows it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum CallerResult {
     /// An upstream's response with a success status.
     Done,
     /// An upstream's response with a failure status, or a response without an outcome.
@@ -203,14 +203,14 @@
             self.region,
             self.class,
             match self.filing {
-                FilingWay::None => "",
-                FilingWay::Ticket => " (by ticket)",
-                FilingWay::Key => " (by key)",
+                FilingMethod::None => "",
+                FilingMethod::Ticket => " (by ticket)",
+                FilingMethod::Key => " (by key)",
             },
             self.scheduled_us,
             self.finished_us.saturating_sub(self.started_us) / 1_000,
             self.deadline_ms,
-            self.told,
+            self.result,
         )?;
         match &self.flaw {
             Some(flaw) => write!(f, ", {flaw:?}"),
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -15,8 +15,8 @@
     },
     record::{
         CallerRecord,
+        CallerResult,
         Run,
-        Told,
         UnixUs,
         UpstreamFacts, //
     },
@@ -50,11 +50,11 @@
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// Figures by class.
-    pub classes: BTreeMap<String, Row>,
+    pub classes: BTreeMap<String, RequestFigures>,
     /// Figures by the callers' region.
-    pub regions: BTreeMap<String, Row>,
+    pub regions: BTreeMap<String, RequestFigures>,
     /// Figures by class and region, as `class/region`.
-    pub class_regions: BTreeMap<String, Row>,
+    pub class_regions: BTreeMap<String, RequestFigures>,
     /// Use of the upstreams' slots by region and service, as `region/service`.
     pub uses: BTreeMap<String, SlotUsage>,
     /// Headroom over time, as `service/region`.
@@ -71,7 +71,7 @@
 
 /// Figures of a group of requests.
 #[derive(Debug, Serialize)]
-pub struct Row {
+pub struct RequestFigures {
     /// Requests that arrived.
     pub offered: u64,
     /// Answered by an upstream with a success status.
@@ -147,7 +147,7 @@
     }
 }
 
-impl Row {
+impl RequestFigures {
     fn new() -> Self {
         Self {
             offered: 0,
@@ -170,18 +170,18 @@
         self.offered += 1;
         self.entry_retries += entry_retries;
         self.retries += (caller.tries.len() as u64).saturating_sub(1);
-        match caller.told {
-            Told::Done => {
+        match caller.result {
+            CallerResult::Done => {
                 self.done += 1;
                 // Measured from the scheduled time, so that the latency includes the delay of a
                 // request that the driver sent late.
                 let latency_us = caller.finished_us.saturating_sub(caller.scheduled_us);
                 self.latency_us.saturating_record(latency_us);
             }
-            Told::Failed => self.failed += 1,
-            Told::Refused => self.refused += 1,
-            Told::Unknown => self.unknown += 1,
-            Told::NoAnswer | Told::Unreached => self.unanswered += 1,
+            CallerResult::Failed => self.failed += 1,
+            CallerResult::Refused => self.refused += 1,
+            CallerResult::Unknown => self.unknown += 1,
+            CallerResult::NoAnswer | CallerResult::Unreached => self.unanswered += 1,
         }
     }
 
@@ -217,14 +217,14 @@
     callers: &[CallerRecord],
     retries_by_id: &FastMap<&str, u64>,
     key: impl Fn(&CallerRecord) -> String,
-) -> BTreeMap<String, Row> {
+) -> BTreeMap<String, RequestFigures> {
     let mut rows = BTreeMap::new();
     for caller in callers {
         let entry_retries_of_request = retries_by_id.get(&*caller.id).copied().unwrap_or(0);
-        let row = rows.entry(key(caller)).or_insert_with(Row::new);
+        let row = rows.entry(key(caller)).or_insert_with(RequestFigures::new);
         row.add(caller, entry_retries_of_request);
     }
-    rows.values_mut().for_each(Row::finish);
+    rows.values_mut().for_each(RequestFigures::finish);
     rows
 }
 
@@ -317,7 +317,11 @@
     }
 }
 
-fn write_rows(f: &mut fmt::Formatter<'_>, name: &str, rows: &BTreeMap<String, Row>) -> fmt::Result {
+fn write_rows(
+    f: &mut fmt::Formatter<'_>,
+    name: &str,
+    rows: &BTreeMap<String, RequestFigures>,
+) -> fmt::Result {
     writeln!(
         f,
         "{name:<16}{:>9}{:>9}{:>8}{:>9}{:>9}{:>12}{:>10}{:>10}{:>10}{:>9}{:>9}",
--- a/crates/load/src/scene.rs
+++ b/crates/load/src/scene.rs
@@ -80,7 +80,7 @@
     /// Size of the response to request, or of the body to send.
     pub bytes: u64,
     /// How the request is kept from running twice.
-    pub filing: FilingWay,
+    pub filing: FilingMethod,
     /// Maximum number of tries of a request, without look-ups.
     pub tries: u32,
     /// Timeout after which a try of idempotent work is abandoned and retried at another entry.
@@ -101,7 +101,7 @@
 /// How a request is kept from running twice.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FilingWay {
+pub enum FilingMethod {
     /// Not at all: the work is idempotent.
     #[default]
     None,
--- a/crates/load/src/scene/read.rs
+++ b/crates/load/src/scene/read.rs
@@ -6,7 +6,7 @@
     CallerRegion,
     ClassLoad,
     Event,
-    FilingWay,
+    FilingMethod,
     Plan,
     Scene,
     Work, //
@@ -133,14 +133,14 @@
     let filing = map
         .optional("filing")
         .choice(&[
-            ("none", FilingWay::None),
-            ("ticket", FilingWay::Ticket),
-            ("key", FilingWay::Key),
+            ("none", FilingMethod::None),
+            ("ticket", FilingMethod::Ticket),
+            ("key", FilingMethod::Key),
         ])
         .unwrap_or_default();
     let tries = map.optional("tries").integer(1..=MAX_TRIES, "");
     let attempt_ms = map.optional("attempt_ms").integer(1..=MAX_TIME_MS, "ms");
-    if filing != FilingWay::None && work.is_some_and(|work| work != Work::Echo) {
+    if filing != FilingMethod::None && work.is_some_and(|work| work != Work::Echo) {
         work_field.report("of a filing must be echo");
     }
     Some(ClassLoad {
--- a/crates/load/tests/client.rs
+++ b/crates/load/tests/client.rs
@@ -2,12 +2,12 @@
 
 use load::{
     drive,
+    Addresses,
     CallerRegion,
+    CallerResult,
     ClassLoad,
-    FilingWay,
+    FilingMethod,
     Scene,
-    Sites,
-    Told,
     TryEnd,
     Work, //
 };
@@ -57,7 +57,7 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-fn result_of(work: Work, response: &'static str) -> (Told, TryEnd) {
+fn result_of(work: Work, response: &'static str) -> (CallerResult, TryEnd) {
     let scene = Scene {
         seed: 1,
         duration_ms: 100,
@@ -77,14 +77,14 @@
             deadline_ms: 2_000,
             work,
             bytes: 100,
-            filing: FilingWay::None,
+            filing: FilingMethod::None,
             tries: 1,
             attempt_ms: None,
         }],
         bursts: Vec::new(),
         events: Vec::new(),
     };
-    let mut addresses = Sites::default();
+    let mut addresses = Addresses::default();
     addresses
         .daemons
         .insert("arusha".into(), vec![serve(response).into()]);
@@ -93,7 +93,7 @@
         .callers
         .first()
         .expect("the seed gives an arrival");
-    (caller.told, caller.tries[0].end)
+    (caller.result, caller.tries[0].end)
 }
 
 macro_rules! cut_responses {
@@ -101,7 +101,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(result_of($work, $response), (Told::NoAnswer, $end));
+            assert_eq!(result_of($work, $response), (CallerResult::NoAnswer, $end));
         }
     )*};
 }
--- a/crates/load/tests/events.rs
+++ b/crates/load/tests/events.rs
@@ -1,8 +1,8 @@
 //! Events of a scene: which of them had no effect, and which upstreams left by them.
 
 use load::{
+    failed_events,
     leaving,
-    not_done,
     Event,
     EventRecord,
     UpstreamFacts, //
@@ -32,7 +32,7 @@
         slots: 1,
         max_queued: 0,
     };
-    not_done(&[record], &[("u1".into(), facts)].into())
+    failed_events(&[record], &[("u1".into(), facts)].into())
 }
 
 macro_rules! events {
@@ -55,7 +55,11 @@
 fn leaving_starts_at_the_response_and_is_requested_before() {
     let departure = leaving(&[event("u1", Ok(200))]).remove(0);
     assert_eq!(
-        (&*departure.upstream, departure.asked_us, departure.since_us),
+        (
+            &*departure.upstream,
+            departure.requested_us,
+            departure.since_us
+        ),
         ("u1", 10, 20)
     );
     assert!(leaving(&[event("u1", Ok(503))]).is_empty());
--- a/crates/load/tests/judge.rs
+++ b/crates/load/tests/judge.rs
@@ -4,14 +4,14 @@
     judge,
     Breach,
     CallerRecord,
-    Disturbed,
+    CallerResult,
+    Disruption,
     Evidence,
-    FilingWay,
+    FilingMethod,
     Flaw,
     Leaving,
     LinkUse,
     Run,
-    Told,
     Try,
     TryEnd,
     UpstreamFacts, //
@@ -41,21 +41,21 @@
     }
 }
 
-fn caller(filing: bool, told: Told, ends: &[TryEnd]) -> CallerRecord {
+fn caller(filing: bool, result: CallerResult, ends: &[TryEnd]) -> CallerRecord {
     CallerRecord {
         id: "a1".into(),
         class: "orders".into(),
         region: "arusha".into(),
         filing: if filing {
-            FilingWay::Ticket
+            FilingMethod::Ticket
         } else {
-            FilingWay::None
+            FilingMethod::None
         },
         scheduled_us: START_US,
         started_us: START_US,
         finished_us: START_US + 10_000,
         deadline_ms: 100,
-        told,
+        result,
         flaw: None,
         tries: (1..).zip(ends).map(|(n, end)| attempt(n, *end)).collect(),
     }
@@ -107,12 +107,12 @@
 }
 
 fn done(filing: bool) -> CallerRecord {
-    caller(filing, Told::Done, &[TryEnd::Answered(Done)])
+    caller(filing, CallerResult::Done, &[TryEnd::Answered(Done)])
 }
 
 /// A filing whose tries are all copies of one request.
-fn copies(filing: FilingWay, ends: &[TryEnd]) -> CallerRecord {
-    let mut caller = caller(true, Told::Done, ends);
+fn copies(filing: FilingMethod, ends: &[TryEnd]) -> CallerRecord {
+    let mut caller = caller(true, CallerResult::Done, ends);
     caller.filing = filing;
     caller.tries.iter_mut().for_each(|copy| copy.number = 1);
     caller
@@ -173,7 +173,7 @@
 fn with_leaving(evidence: Evidence, until_us: Option<u64>) -> Evidence {
     let leaving = Leaving {
         upstream: "u1".into(),
-        asked_us: START_US,
+        requested_us: START_US,
         since_us: START_US,
         until_us,
     };
@@ -184,13 +184,13 @@
 }
 
 fn with_disturbed(evidence: Evidence, from_us: u64) -> Evidence {
-    let disturbed = Disturbed {
+    let disturbed = Disruption {
         entry: ENTRY.into(),
         from_us,
         to_us: None,
     };
     Evidence {
-        disturbed: vec![disturbed],
+        disruptions: vec![disturbed],
         ..evidence
     }
 }
@@ -210,7 +210,7 @@
 }
 
 fn refused(ends: &[TryEnd]) -> CallerRecord {
-    caller(true, Told::Refused, ends)
+    caller(true, CallerResult::Refused, ends)
 }
 
 const REFUSED: TryEnd = TryEnd::Answered(NotRun);
@@ -222,31 +222,31 @@
     filing_run_twice_by_one_try: evidence(done(true), vec![run(1), run(1)])
         => [Breach::DoubledFiling { runs: 2 }];
     filing_refused_then_run: evidence(
-        caller(true, Told::Done, &[REFUSED, TryEnd::Answered(Done)]),
+        caller(true, CallerResult::Done, &[REFUSED, TryEnd::Answered(Done)]),
         vec![refused_run(), run(2)],
     ) => [];
     filing_run_twice_with_unknown_outcome: evidence(
-        caller(true, Told::Unknown, &[UNKNOWN]),
+        caller(true, CallerResult::Unknown, &[UNKNOWN]),
         vec![run(1), run(1)],
     ) => [Breach::DoubledFiling { runs: 2 }];
     filing_with_a_stored_response: evidence(
-        copies(FilingWay::Ticket, &[UNKNOWN, TryEnd::Answered(Done)]),
+        copies(FilingMethod::Ticket, &[UNKNOWN, TryEnd::Answered(Done)]),
         vec![run(1)],
     ) => [];
     copy_by_ticket_refused_though_one_ran: evidence(
-        copies(FilingWay::Ticket, &[TryEnd::TimedOut, REFUSED]),
+        copies(FilingMethod::Ticket, &[TryEnd::TimedOut, REFUSED]),
         vec![run(1)],
     ) => [Breach::NotRunRan { try_number: 1 }];
     copy_by_key_refused_by_an_entry_unaware_of_the_run: evidence(
-        copies(FilingWay::Key, &[TryEnd::TimedOut, REFUSED]),
+        copies(FilingMethod::Key, &[TryEnd::TimedOut, REFUSED]),
         vec![run(1)],
     ) => [];
     copies_by_key_all_refused_though_one_ran: evidence(
-        copies(FilingWay::Key, &[TryEnd::NotConnected, REFUSED]),
+        copies(FilingMethod::Key, &[TryEnd::NotConnected, REFUSED]),
         vec![run(1)],
     ) => [Breach::NotRunRan { try_number: 1 }];
     copies_by_key_both_run: evidence(
-        copies(FilingWay::Key, &[TryEnd::TimedOut, TryEnd::Answered(Done)]),
+        copies(FilingMethod::Key, &[TryEnd::TimedOut, TryEnd::Answered(Done)]),
         vec![run(1), run(1)],
     ) => [Breach::DoubledFiling { runs: 2 }];
     idempotent_run_twice: evidence(done(false), vec![run(1), run(1)]) => [];
@@ -261,38 +261,38 @@
         => [Breach::NotWhole { flaw: "Length { expected: 2, received: 1 }".into() }];
     late_within_allowance: evidence(late_by(50_000), vec![run(1)]) => [];
     late: evidence(late_by(51_000), vec![run(1)]) => [Breach::NoFinalAnswer { late_ms: 51 }];
-    no_response: evidence(caller(false, Told::NoAnswer, &[TryEnd::TimedOut]), vec![run(1)])
+    no_response: evidence(caller(false, CallerResult::NoAnswer, &[TryEnd::TimedOut]), vec![run(1)])
         => [Breach::NoFinalAnswer { late_ms: 0 }];
     no_response_from_a_frozen_entry: with_disturbed(
-        evidence(caller(false, Told::NoAnswer, &[TryEnd::TimedOut]), vec![]),
+        evidence(caller(false, CallerResult::NoAnswer, &[TryEnd::TimedOut]), vec![]),
         START_US + 5_000,
     ) => [];
-    no_entry_reached: evidence(caller(false, Told::Unreached, &[]), vec![])
+    no_entry_reached: evidence(caller(false, CallerResult::Unreached, &[]), vec![])
         => [Breach::NoFinalAnswer { late_ms: 0 }];
     cut_though_retried: evidence(
-        caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
+        caller(false, CallerResult::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
         vec![run(1), run(2)],
     ) => [Breach::Cut { entry: ENTRY.into() }];
     cut_by_a_kill: with_disturbed(
         evidence(
-            caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
+            caller(false, CallerResult::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
             vec![run(1), run(2)],
         ),
         START_US + 5_000,
     ) => [];
     cut_before_the_kill: with_disturbed(
         evidence(
-            caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
+            caller(false, CallerResult::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
             vec![run(1), run(2)],
         ),
         START_US + 20_000,
     ) => [Breach::Cut { entry: ENTRY.into() }];
     cut_after_the_upstream_truncated_its_response: evidence(
-        caller(false, Told::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
+        caller(false, CallerResult::Done, &[TryEnd::Cut, TryEnd::Answered(Done)]),
         vec![truncated_run(), run(2)],
     ) => [];
     cut_at_its_deadline: evidence(
-        CallerRecord { deadline_ms: 10, ..caller(false, Told::Done, &[TryEnd::Cut]) },
+        CallerRecord { deadline_ms: 10, ..caller(false, CallerResult::Done, &[TryEnd::Cut]) },
         vec![run(1)],
     ) => [];
     work_within_the_bound: with_leaving(
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -3,15 +3,15 @@
 use base::RunOutcome::Done;
 use load::{
     CallerRecord,
+    CallerResult,
     DrainTime,
     Evidence,
-    FilingWay,
+    FilingMethod,
     Leaving,
     Limits,
     Report,
     Run,
     SecondHeadroom,
-    Told,
     Try,
     TryEnd,
     UpstreamFacts, //
@@ -53,12 +53,12 @@
         id: id.into(),
         class: "menu".into(),
         region: "arusha".into(),
-        filing: FilingWay::None,
+        filing: FilingMethod::None,
         scheduled_us: at_us,
         started_us: at_us,
         finished_us: at_us + 900_000,
         deadline_ms: 3_000,
-        told: Told::Done,
+        result: CallerResult::Done,
         flaw: None,
         tries: vec![attempt],
     }
@@ -185,7 +185,7 @@
     let us = |ms: u64| (START_MS + ms) * 1_000;
     let leaving = Leaving {
         upstream: "a0".into(),
-        asked_us: us(100),
+        requested_us: us(100),
         since_us: us(300),
         until_us: until_ms.map(us),
     };
@@ -197,11 +197,11 @@
 }
 
 macro_rules! drains {
-    ($($name:ident: until $until:expr, [$($run:expr),*] => $took_ms:expr, $arrived:expr;)*) => {$(
+    ($($name:ident: until $until:expr, [$($run:expr),*] => $duration_ms:expr, $arrived:expr;)*) => {$(
         #[test]
         fn $name() {
             let drain = drained($until, vec![$($run),*]);
-            assert_eq!((drain.took_ms, drain.arrived), ($took_ms, $arrived));
+            assert_eq!((drain.duration_ms, drain.arrived), ($duration_ms, $arrived));
         }
     )*};
 }
--- a/crates/model/src/spec/accept.rs
+++ b/crates/model/src/spec/accept.rs
@@ -17,13 +17,13 @@
     AcceptEvent,
     AcceptId,
     AcceptOutcome,
-    Answer,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     Digest,
     Guards,
     Proposal,
     Write, //
+    WriteOutcome,
 };
 use std::collections::BTreeSet;
 
@@ -73,7 +73,7 @@
         Some(after)
     }
 
-    fn commit(&mut self, commit: &PendingCommit) -> CommitAnswer {
+    fn commit(&mut self, commit: &PendingCommit) -> CommitOutcome {
         let answer = self.platform.commit(&commit.checks, &commit.writes);
         self.committers
             .resize(self.platform.heads().len(), commit.runner);
@@ -127,10 +127,10 @@
         AcceptAction::Store { digest, bytes } => {
             let mut after = state.clone();
             after.platform.store(digest, bytes);
-            let stored = AcceptEvent::Stored(Answer::Done(()));
+            let stored = AcceptEvent::Stored(WriteOutcome::Done(()));
             push("stores its object", after.deliver(index, stored));
             if let Some(down) = state.with_fault() {
-                let event = AcceptEvent::Stored(Answer::NotDone);
+                let event = AcceptEvent::Stored(WriteOutcome::NotDone);
                 push("can't store its object", down.deliver(index, event));
             }
         }
@@ -162,23 +162,26 @@
     let mut after = state.clone();
     let answer = after.commit(commit);
     let what = match answer {
-        CommitAnswer::Committed => "commits",
-        CommitAnswer::Conflict => "conflicts with another head",
+        CommitOutcome::Committed => "commits",
+        CommitOutcome::Conflict => "conflicts with another head",
     };
     let lossy = after.with_fault();
-    push(what, after.deliver(index, event(Answer::Done(answer))));
+    push(
+        what,
+        after.deliver(index, event(WriteOutcome::Done(answer))),
+    );
     if let Some(lossy) = lossy {
         let what = "commits, the answer is lost";
-        push(what, lossy.deliver(index, event(Answer::Unknown)));
+        push(what, lossy.deliver(index, event(WriteOutcome::Unknown)));
     }
     if let Some(down) = state.with_fault() {
         let mut late = down.clone();
         let what = "has its commit refused";
-        push(what, down.deliver(index, event(Answer::NotDone)));
+        push(what, down.deliver(index, event(WriteOutcome::NotDone)));
         late.late_commits.push(commit.clone());
         late.late_commits.sort();
         let what = "has its commit in flight, the answer is lost";
-        push(what, late.deliver(index, event(Answer::Unknown)));
+        push(what, late.deliver(index, event(WriteOutcome::Unknown)));
     }
 }
 
--- a/crates/model/src/spec/platform.rs
+++ b/crates/model/src/spec/platform.rs
@@ -7,7 +7,7 @@
     AcceptAction,
     AcceptEvent,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     Digest,
     Guards,
     Head,
@@ -47,19 +47,19 @@
     }
 
     /// Applies the writes if all checks hold.
-    pub fn commit(&mut self, checks: &[Check], writes: &[Write]) -> CommitAnswer {
+    pub fn commit(&mut self, checks: &[Check], writes: &[Write]) -> CommitOutcome {
         let holds = |check: &Check| {
             let row = self.rows.get(&check.key);
             row.map(|row| row.row_version) == check.row_version
         };
         if !checks.iter().all(holds) {
-            return CommitAnswer::Conflict;
+            return CommitOutcome::Conflict;
         }
         self.commits += 1;
         for write in writes {
             self.write(write);
         }
-        CommitAnswer::Committed
+        CommitOutcome::Committed
     }
 
     fn write(&mut self, write: &Write) {
--- a/crates/op/src/request.rs
+++ b/crates/op/src/request.rs
@@ -11,7 +11,7 @@
 };
 use spec::{
     DrainTarget,
-    Target, //
+    TargetUpdate, //
 };
 use std::time::Duration;
 
@@ -91,8 +91,8 @@
 
 impl TargetRequest {
     /// The requested changes to the targets of the class.
-    pub fn target(&self) -> Target {
-        Target {
+    pub fn target(&self) -> TargetUpdate {
+        TargetUpdate {
             latency_target: self.latency_ms.map(Duration::from_millis),
             headroom_pct: self.headroom_pct,
             deadline: self.deadline_ms.map(Duration::from_millis),
--- a/crates/op/tests/logs.rs
+++ b/crates/op/tests/logs.rs
@@ -56,25 +56,25 @@
     let mut responses = String::new();
     for index in 0..REQUESTS {
         responses += &exchange(
-            &daemon.callers,
+            &daemon.callers_addr,
             "GET /v1/lookup/menu?addr=10.1.0.9 HTTP/1.1",
         );
         responses += &exchange(
-            &daemon.callers,
+            &daemon.callers_addr,
             &format!("GET /v1/work/menu/{index} HTTP/1.1"),
         );
-        responses += &exchange(&daemon.callers, "GET /nothing HTTP/1.1");
+        responses += &exchange(&daemon.callers_addr, "GET /nothing HTTP/1.1");
     }
     let wrong_key = format!("GET /op/v1/status HTTP/1.1\r\nauthorization: Bearer {WRONG_KEY}");
-    let refused = exchange(&daemon.operator, &wrong_key);
+    let refused = exchange(&daemon.operator_addr, &wrong_key);
     assert!(refused.contains("unauthorized"), "{refused}");
     responses += &refused;
-    responses += &exchange(&daemon.operator, "GET /op/v1/status HTTP/1.1");
+    responses += &exchange(&daemon.operator_addr, "GET /op/v1/status HTTP/1.1");
     let unauthorized = format!("GET / HTTP/1.1\r\nauthorization: Bearer {WRONG_KEY}");
-    responses += &exchange(&daemon.peers, &unauthorized);
+    responses += &exchange(&daemon.peers_addr, &unauthorized);
     let drain = json!({"accept_id": "d", "author": "a", "action": "start",
         "target": {"kind": "upstream", "id": "arusha-menu-0"}});
-    let drained = rig.operator("arusha-0", "/op/v1/drain", Some(&drain));
+    let drained = rig.operator_request("arusha-0", "/op/v1/drain", Some(&drain));
     assert_eq!(drained.status, 200, "{drained:?}");
     for path in [
         "status",
@@ -86,10 +86,10 @@
         "burn",
         "x",
     ] {
-        let response = rig.operator("arusha-0", &format!("/op/v1/{path}"), None);
+        let response = rig.operator_request("arusha-0", &format!("/op/v1/{path}"), None);
         responses += &response.body.to_string();
     }
-    responses += &exchange(&daemon.callers, "GET /metrics HTTP/1.1");
+    responses += &exchange(&daemon.callers_addr, "GET /metrics HTTP/1.1");
     rig.terminate("arusha-0");
     rig.kill("arusha-1");
 
--- a/crates/op/tests/port.rs
+++ b/crates/op/tests/port.rs
@@ -23,7 +23,7 @@
 
 /// Sends a request on a new connection and returns the status and body of the response.
 fn send(rig: &Rig, head: &str, body: &[u8]) -> (u16, String) {
-    let mut stream = TcpStream::connect(&rig.daemons["arusha-0"].operator).unwrap();
+    let mut stream = TcpStream::connect(&rig.daemons["arusha-0"].operator_addr).unwrap();
     let head = format!(
         "{head}\r\nhost: a\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
         body.len()
@@ -128,7 +128,7 @@
             "{head}: no `{expected_text}` in {answer}"
         );
     }
-    let status = rig.operator("arusha-0", "/op/v1/status", None);
+    let status = rig.operator_request("arusha-0", "/op/v1/status", None);
     assert_eq!(status.body["version"], 1);
 }
 
@@ -149,7 +149,7 @@
     let body = accept(&rig, "again") + "-11.0.0.0/24\n";
     let (status, answer) = send(&rig, &head, body.as_bytes());
     assert_eq!(status, 200, "{answer}");
-    let status = rig.operator("arusha-0", "/op/v1/status", None);
+    let status = rig.operator_request("arusha-0", "/op/v1/status", None);
     assert_eq!(status.body["version"], 4);
 }
 
@@ -165,7 +165,7 @@
         table += &format!("11.{high}.{}.{}/32 arusha\n", low >> 8, low & 0xff);
     }
     let body = accept(&rig, "first") + &table;
-    let mut first = TcpStream::connect(&rig.daemons["arusha-0"].operator).unwrap();
+    let mut first = TcpStream::connect(&rig.daemons["arusha-0"].operator_addr).unwrap();
     let first_head = format!(
         "{head}\r\nhost: a\r\ncontent-length: {}\r\n\r\n",
         body.len()
--- a/crates/plat/tests/contract.rs
+++ b/crates/plat/tests/contract.rs
@@ -22,8 +22,8 @@
     platform::{
         self,
         Fault,
+        FaultKind, //
         Faults,
-        Kind, //
     }, //
 };
 use std::{
@@ -107,7 +107,7 @@
     );
 }
 
-async fn set_fault(addr: SocketAddr, kind: Kind) {
+async fn set_fault(addr: SocketAddr, kind: FaultKind) {
     let fault = Some(Fault {
         kind,
         delay_ms: 50,
@@ -170,15 +170,15 @@
 ///
 /// `effect` is whether the row `new` or the object `new` should exist afterwards. The deadline is
 /// short for a fault that sends no response and long for any other.
-async fn check(fault: Kind, call: Call, expected: CallResult, effect: bool) {
+async fn check(fault: FaultKind, call: Call, expected: CallResult, effect: bool) {
     let (addr, healthy_client) = start_platform().await;
     set_fault(addr, fault).await;
     let timeout = match fault {
-        Kind::Freeze => SHORT_TIMEOUT,
+        FaultKind::Freeze => SHORT_TIMEOUT,
         _ => LONG_TIMEOUT,
     };
     assert_eq!(run_call(call, &client(addr, timeout)).await, expected);
-    set_fault(addr, Kind::None).await;
+    set_fault(addr, FaultKind::None).await;
     let row = healthy_client.read(&["new".into()]).await.unwrap()[0].is_some();
     let object = healthy_client.get("new").await.unwrap().is_some();
     assert_eq!(row || object, effect);
@@ -189,7 +189,7 @@
     ($($name:ident: $fault:ident, $call:ident => $expected:ident, $effect:literal;)*) => { $(
         #[actix_web::test]
         async fn $name() {
-            check(Kind::$fault, Call::$call, CallResult::$expected, $effect).await;
+            check(FaultKind::$fault, Call::$call, CallResult::$expected, $effect).await;
         }
     )* };
 }
@@ -336,10 +336,10 @@
         client.put("../list", Bytes::new()).await,
         Outcome::NotDone(FailureReason::BadName)
     );
-    set_fault(addr, Kind::Stale).await;
+    set_fault(addr, FaultKind::Stale).await;
     send(addr, "DELETE", "/list/upstreams/u", "").await;
     assert_eq!(client.list().await.unwrap().upstreams[0].slots, 3);
-    set_fault(addr, Kind::None).await;
+    set_fault(addr, FaultKind::None).await;
     assert_eq!(client.list().await.unwrap().upstreams, vec![]);
 }
 
@@ -392,7 +392,7 @@
     let (a, b, c) = tokio::join!(client.read(&keys), client.read(&keys), client.read(&keys));
     assert!(a.is_ok() && b.is_ok() && c.is_ok());
     assert_eq!(relay.counters().connections, 3);
-    relay.set_fault(link::Kind::SilentOld);
+    relay.set_fault(link::FaultKind::SilentOld);
     let first = client.read(&keys).await;
     assert_eq!(first, Err(ReadError(FailureReason::Timeout)));
     assert!(client.read(&keys).await.is_ok());
--- a/crates/report/tests/system.rs
+++ b/crates/report/tests/system.rs
@@ -42,7 +42,7 @@
 
 /// One request, over a connection of its own.
 fn work(rig: &Rig, id: &str) {
-    let mut stream = TcpStream::connect(&rig.daemons[id].callers).unwrap();
+    let mut stream = TcpStream::connect(&rig.daemons[id].callers_addr).unwrap();
     let head = "GET /v1/work/menu/x HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     let mut answer = Vec::new();
@@ -60,7 +60,7 @@
         work(&rig, "arusha-0");
         work(&rig, "arusha-1");
     }
-    let daemon = rig.daemons["arusha-0"].operator.clone();
+    let daemon = rig.daemons["arusha-0"].operator_addr.clone();
     let json = |args: &[&str]| -> Value {
         let output = run(&[&["--daemon", &daemon, "--output", "json"], args].concat());
         assert!(output.status.success(), "{output:?}");
@@ -162,7 +162,7 @@
         ..Layout::one_region()
     })
     .unwrap();
-    let daemon = rig.daemons["arusha-0"].operator.clone();
+    let daemon = rig.daemons["arusha-0"].operator_addr.clone();
     let file =
         |name: &str| env::temp_dir().join(format!("jasmine-report-{}-{name}", process::id()));
     let (right, wrong) = (file("right"), file("wrong"));
--- a/crates/rig/examples/measure/inspect.rs
+++ b/crates/rig/examples/measure/inspect.rs
@@ -24,7 +24,7 @@
 pub(crate) fn print_shares(rig: &Rig, region: Option<&str>) {
     let daemons = rig.daemons.values();
     for daemon in daemons.filter(|daemon| region.is_none_or(|region| daemon.region == region)) {
-        let reply = rig.operator(&daemon.id, "/op/v1/shares", None);
+        let reply = rig.operator_request(&daemon.id, "/op/v1/shares", None);
         for pool in reply.body["pools"].as_array().into_iter().flatten() {
             let sum = |field: &str| -> u64 {
                 let resources = pool["resources"].as_array().into_iter().flatten();
@@ -81,7 +81,7 @@
     for caller in slow.iter().take(SLOWEST_PRINTED) {
         let at_ms = (caller.scheduled_us - first_us) / 1_000;
         let duration_ms = (caller.finished_us - caller.scheduled_us) / 1_000;
-        println!("  at {at_ms} ms took {duration_ms} ms: {:?}", caller.told);
+        println!("  at {at_ms} ms took {duration_ms} ms: {:?}", caller.result);
         for attempt in &caller.tries {
             let duration_ms = (attempt.ended_us - attempt.sent_us) / 1_000;
             println!(
--- a/crates/rig/examples/measure/table.rs
+++ b/crates/rig/examples/measure/table.rs
@@ -7,9 +7,9 @@
 use load::{
     Breach,
     CallerRecord,
+    CallerResult, //
     Plan,
     Report,
-    Told, //
 };
 use std::{
     collections::{
@@ -66,7 +66,8 @@
     pub(crate) fn new(scene: &str, plan: &Plan, contender: &Contender, outcome: &Outcome) -> Self {
         let report = &outcome.trial.report;
         let quick = &plan.scene.classes[0].name;
-        let totals = |figure: fn(&load::Row) -> u64| report.classes.values().map(figure).sum();
+        let totals =
+            |figure: fn(&load::RequestFigures) -> u64| report.classes.values().map(figure).sum();
         let offered: u64 = totals(|row| row.offered);
         let retries: u64 = totals(|row| row.retries + row.entry_retries);
         let is_earlier = contender.daemon_folder.is_some();
@@ -95,7 +96,7 @@
                 .values()
                 .map(|headroom| headroom.seconds_below)
                 .sum(),
-            drain_ms: report.drains.iter().map(|drain| drain.took_ms).max(),
+            drain_ms: report.drains.iter().map(|drain| drain.duration_ms).max(),
             retries_per_request: retries as f64 / offered.max(1) as f64,
             queued: report.uses.values().map(|used| used.queued).sum(),
             broken: broken(report),
@@ -128,8 +129,8 @@
 }
 
 impl Latency {
-    fn of(rows: &BTreeMap<String, load::Row>, key: &str) -> Self {
-        let figure = |figure: fn(&load::Row) -> u64| rows.get(key).map_or(0, figure);
+    fn of(rows: &BTreeMap<String, load::RequestFigures>, key: &str) -> Self {
+        let figure = |figure: fn(&load::RequestFigures) -> u64| rows.get(key).map_or(0, figure);
         Self {
             p50_us: figure(|row| row.p50_us),
             p99_us: figure(|row| row.p99_us),
@@ -159,7 +160,7 @@
     let first_us = callers.clone().map(|caller| caller.scheduled_us).min()?;
     let quick = callers.filter(|caller| {
         caller.class == plan.scene.classes[0].name
-            && caller.told == Told::Done
+            && caller.result == CallerResult::Done
             && local_ids.contains(&*caller.id)
     });
     let quick: Vec<&CallerRecord> = quick.collect();
--- a/crates/rig/examples/measure/user.rs
+++ b/crates/rig/examples/measure/user.rs
@@ -30,7 +30,7 @@
             filings("orders", 12, 6),
             downloads("binders", 12, 3),
         ],
-        between_regions_us: 55_000,
+        inter_region_delay_us: 55_000,
         config_text: Some(include_str!("../../../../examples/kilima.yaml").into()),
         terms: Vec::new(),
         ..Layout::two_regions()
@@ -45,7 +45,7 @@
             filings("workorders", 12, 6),
             downloads("logs", 12, 3),
         ],
-        between_regions_us: 12_000,
+        inter_region_delay_us: 12_000,
         config_text: Some(include_str!("../../../../examples/cascade.yaml").into()),
         terms: Vec::new(),
         ..Layout::two_regions()
--- a/crates/rig/src/layout.rs
+++ b/crates/rig/src/layout.rs
@@ -22,7 +22,7 @@
     /// Classes, each with its own service of the same name.
     pub classes: Vec<ClassLayout>,
     /// One-way delay between regions; traffic passes through relays even when it is zero.
-    pub between_regions_us: u64,
+    pub inter_region_delay_us: u64,
     /// Entries of the settings' `terms` that differ from the defaults, such as `beat_ms`.
     pub terms: Vec<(&'static str, u64)>,
     /// Cap on the bytes per second from each region to each other region.
@@ -89,7 +89,7 @@
                 entries: 2,
             }],
             classes: vec![ClassLayout::menu()],
-            between_regions_us: 0,
+            inter_region_delay_us: 0,
             terms: Self::quick_terms(),
             cap_bytes_per_s: 100_000_000,
             policy: "ours",
@@ -110,7 +110,7 @@
                 ClassLayout::orders(),
                 ClassLayout::binders(),
             ],
-            between_regions_us: 2_000,
+            inter_region_delay_us: 2_000,
             ..Self::one_region()
         }
     }
@@ -343,9 +343,9 @@
         daemon.id,
         daemon.region,
         daemon.domain,
-        daemon.callers,
-        daemon.peers,
-        daemon.operator,
+        daemon.callers_addr,
+        daemon.peers_addr,
+        daemon.operator_addr,
         layout.policy
     );
     if let Some(key) = layout.operator_key {
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -28,8 +28,8 @@
 };
 pub use permit::{
     exclusive_test_permit,
+    test_permit,
     test_permit_for,
-    turn,
     TestPermit, //
 };
 pub use rig::{
--- a/crates/rig/src/permit.rs
+++ b/crates/rig/src/permit.rs
@@ -32,7 +32,7 @@
 pub struct TestPermit(usize);
 
 /// Waits for a permit to run one system beside those of other tests.
-pub fn turn() -> TestPermit {
+pub fn test_permit() -> TestPermit {
     acquire(1)
 }
 
@@ -52,7 +52,7 @@
     if rate_per_s >= HEAVY_RATE_PER_S || !scene.bursts.is_empty() {
         acquire(max_systems().div_ceil(2))
     } else {
-        turn()
+        test_permit()
     }
 }
 
--- a/crates/rig/src/rig.rs
+++ b/crates/rig/src/rig.rs
@@ -20,20 +20,20 @@
 use bytestring::ByteString;
 use load::{
     drive,
+    failed_events,
     gather,
     judge,
     leaving,
-    not_done,
     unix_us,
-    Disturbed,
-    Driven,
+    Addresses,
+    Disruption,
     Evidence,
     Leaving,
     Limits,
+    LoadRecords,
     Report,
     Run,
     Scene,
-    Sites,
     UnixUs, //
 };
 use nix::sys::signal::Signal;
@@ -72,11 +72,11 @@
     /// Failure domain.
     pub domain: String,
     /// Address for callers.
-    pub callers: String,
+    pub callers_addr: String,
     /// Address for peers.
-    pub peers: String,
+    pub peers_addr: String,
     /// Address for operators.
-    pub operator: String,
+    pub operator_addr: String,
 }
 
 /// A running system: daemons, stand-ins and relays.
@@ -93,7 +93,7 @@
     /// Names of the relays by the pair of regions, source first.
     relays: BTreeMap<(String, String), Vec<String>>,
     running: BTreeMap<String, Process>,
-    disturbed: Vec<Disturbed>,
+    disturbed: Vec<Disruption>,
     leaving: Vec<Leaving>,
     /// Limits that the configuration in force sets, for the judge.
     limits: Limits,
@@ -106,7 +106,7 @@
     /// Statistics and violations.
     pub report: Report,
     /// Callers' records and events.
-    pub driven: Driven,
+    pub driven: LoadRecords,
     /// Requests that upstreams ran.
     pub runs: Vec<Run>,
     /// Events of the scene that had no effect. If there are any, no statistic is valid for the
@@ -203,9 +203,9 @@
         let mut args = Vec::new();
         for from in &self.layout.regions {
             for daemon in self.daemons.values().filter(|d| d.region != from.name) {
-                for addr in [&daemon.callers, &daemon.peers] {
+                for addr in [&daemon.callers_addr, &daemon.peers_addr] {
                     let name = relay_name(from.name, addr);
-                    let delay_us = self.layout.between_regions_us;
+                    let delay_us = self.layout.inter_region_delay_us;
                     args.push("--relay".to_owned());
                     args.push(format!("name={name},to={addr},delay_us={delay_us}"));
                     let pair = (from.name.to_owned(), daemon.region.clone());
@@ -235,7 +235,7 @@
         for daemon in self.daemons.values() {
             let remote = self.daemons.values().filter(|d| d.region != daemon.region);
             let dial: Vec<(String, String)> = remote
-                .flat_map(|daemon| [&daemon.callers, &daemon.peers])
+                .flat_map(|daemon| [&daemon.callers_addr, &daemon.peers_addr])
                 .filter_map(|addr| {
                     let dialled = links.get(&relay_name(&daemon.region, addr))?;
                     Some((addr.clone(), dialled.clone()))
@@ -270,7 +270,7 @@
     ///
     /// Returns an error if the daemon exits or does not become ready in time.
     pub fn wait_ready(&mut self, id: &str) -> Result<(), String> {
-        let callers = self.daemons[id].callers.clone();
+        let callers = self.daemons[id].callers_addr.clone();
         let deadline = Instant::now() + WAIT_LIMIT;
         while Instant::now() < deadline {
             if send(Method::GET, &callers, "/v1/ready", None).status == 200 {
@@ -298,7 +298,7 @@
         loop {
             let mut refusal = String::new();
             for id in self.daemons.keys() {
-                let reply = self.operator(id, "/op/v1/accept", Some(&body));
+                let reply = self.operator_request(id, "/op/v1/accept", Some(&body));
                 if reply.status == 200 {
                     return reply.body["version"].as_u64().ok_or(reply.body.to_string());
                 }
@@ -312,14 +312,14 @@
     }
 
     /// Sends a request to a daemon's operator port: POST with a body, else GET.
-    pub fn operator(&self, id: &str, path: &str, body: Option<&Value>) -> Reply {
+    pub fn operator_request(&self, id: &str, path: &str, body: Option<&Value>) -> Reply {
         let method = if body.is_some() {
             Method::POST
         } else {
             Method::GET
         };
         let key = self.layout.operator_key;
-        send_with_key(method, &self.daemons[id].operator, path, body, key)
+        send_with_key(method, &self.daemons[id].operator_addr, path, body, key)
     }
 
     /// Kills a daemon by SIGKILL.
@@ -359,8 +359,8 @@
 
     /// Tells the judge to excuse cut and unanswered requests at an entry from now on.
     fn mark_disturbed(&mut self, id: &str, to_us: Option<UnixUs>) {
-        self.disturbed.push(Disturbed {
-            entry: self.daemons[id].callers.as_str().into(),
+        self.disturbed.push(Disruption {
+            entry: self.daemons[id].callers_addr.as_str().into(),
             from_us: unix_us(),
             to_us,
         });
@@ -401,7 +401,7 @@
     pub fn note_leaving(&mut self, id: &str) {
         self.leaving.push(Leaving {
             upstream: id.into(),
-            asked_us: unix_us(),
+            requested_us: unix_us(),
             since_us: unix_us(),
             until_us: None,
         });
@@ -448,12 +448,12 @@
 
     /// Addresses for a scene. Its events may name the targets `platform`, `upstreams` and
     /// `operator`; the last is the operator port of a daemon in the last region.
-    pub fn sites(&self) -> Sites {
-        let mut sites = Sites::default();
+    pub fn sites(&self) -> Addresses {
+        let mut sites = Addresses::default();
         for daemon in self.daemons.values() {
             let region: ByteString = daemon.region.as_str().into();
             let addrs = sites.daemons.entry(region).or_default();
-            addrs.push(daemon.callers.as_str().into());
+            addrs.push(daemon.callers_addr.as_str().into());
         }
         let last = self.layout.regions.last().map_or("", |region| region.name);
         let operator_daemon = self.daemons.values().find(|daemon| daemon.region == last);
@@ -462,7 +462,7 @@
             ("upstreams", &self.upstreams),
             (
                 "operator",
-                operator_daemon.map_or(&self.platform, |daemon| &daemon.operator),
+                operator_daemon.map_or(&self.platform, |daemon| &daemon.operator_addr),
             ),
         ] {
             sites.targets.insert(name.into(), addr.as_str().into());
@@ -476,7 +476,7 @@
         daemons
             .map(|daemon| {
                 (
-                    daemon.callers.as_str().into(),
+                    daemon.callers_addr.as_str().into(),
                     daemon.region.as_str().into(),
                 )
             })
@@ -484,7 +484,7 @@
     }
 
     /// Number of requests that upstreams have run so far.
-    pub fn ran(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         let controls = [self.upstreams.as_str().into()];
         let gathered = gather(&self.platform, &controls).expect("the stand-ins answer");
         gathered.runs.len()
@@ -509,7 +509,7 @@
             runs: gathered.runs,
             upstreams: gathered.upstreams,
             leaving: [self.leaving.clone(), leaving(&driven.events)].concat(),
-            disturbed: self.disturbed.clone(),
+            disruptions: self.disturbed.clone(),
             links: Vec::new(),
             entries: self.entries(),
             limits: self.limits.clone(),
@@ -521,7 +521,7 @@
         let report = Report::new(&evidence, violations);
         Trial {
             report,
-            ineffective_events: not_done(&driven.events, &evidence.upstreams),
+            ineffective_events: failed_events(&driven.events, &evidence.upstreams),
             driven,
             runs: evidence.runs,
         }
@@ -549,9 +549,9 @@
                 id: id.clone(),
                 region: region.name.to_owned(),
                 domain: domain(index).to_owned(),
-                callers: free_addr(),
-                peers: free_addr(),
-                operator: free_addr(),
+                callers_addr: free_addr(),
+                peers_addr: free_addr(),
+                operator_addr: free_addr(),
             };
             daemons.insert(id, daemon);
         }
@@ -564,8 +564,8 @@
     let instances = daemons.values().map(|daemon| {
         json!({
             "id": daemon.id, "region": daemon.region, "failure_domain": daemon.domain,
-            "callers_addr": daemon.callers, "peers_addr": daemon.peers,
-            "operator_addr": daemon.operator, "state": "live",
+            "callers_addr": daemon.callers_addr, "peers_addr": daemon.peers_addr,
+            "operator_addr": daemon.operator_addr, "state": "live",
         })
     });
     json!({"instances": instances.collect::<Vec<_>>()})
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -7,15 +7,15 @@
 
 use load::{
     Burst,
+    CallerResult,
     ClassLoad,
-    FilingWay,
+    FilingMethod,
     Scene,
-    Told,
     Work, //
 };
 use rig::{
+    test_permit,
     test_permit_for,
-    turn,
     Layout,
     Rig,
     Trial, //
@@ -31,7 +31,7 @@
 /// Time for the system to settle under load before the fault.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-fn class(name: &'static str, rate_per_s: f64, work: Work, filing: FilingWay) -> ClassLoad {
+fn class(name: &'static str, rate_per_s: f64, work: Work, filing: FilingMethod) -> ClassLoad {
     ClassLoad {
         name: name.into(),
         rate_per_s,
@@ -41,16 +41,16 @@
         filing,
         tries: 6,
         // A caller of idempotent work doesn't wait for a silent entry until its deadline.
-        attempt_ms: (filing == FilingWay::None).then_some(700),
+        attempt_ms: (filing == FilingMethod::None).then_some(700),
     }
 }
 
 /// Ten seconds of quick lookups, filings by ticket and downloads at a rate far below the capacity.
 fn scene(layout: &Layout) -> Scene {
-    let mut classes = vec![class("menu", 100.0, Work::Bytes, FilingWay::None)];
+    let mut classes = vec![class("menu", 100.0, Work::Bytes, FilingMethod::None)];
     if layout.classes.len() > 1 {
-        classes.push(class("orders", 20.0, Work::Echo, FilingWay::Ticket));
-        let binders = class("binders", 10.0, Work::Chunked, FilingWay::None);
+        classes.push(class("orders", 20.0, Work::Echo, FilingMethod::Ticket));
+        let binders = class("binders", 10.0, Work::Chunked, FilingMethod::None);
         let bytes = 200_000;
         classes.push(ClassLoad { bytes, ..binders });
     }
@@ -61,8 +61,8 @@
 fn filings_by_key(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     for class in &mut scene.classes {
-        if class.filing == FilingWay::Ticket {
-            class.filing = FilingWay::Key;
+        if class.filing == FilingMethod::Ticket {
+            class.filing = FilingMethod::Key;
         }
     }
     scene
@@ -72,7 +72,7 @@
 fn early_repeats(layout: &Layout) -> Scene {
     let mut scene = scene(layout);
     for class in &mut scene.classes {
-        if class.filing != FilingWay::None {
+        if class.filing != FilingMethod::None {
             class.attempt_ms = Some(15);
         }
     }
@@ -81,10 +81,10 @@
 
 /// The scene with callers that repeat each filing, with the same key and at any entry.
 fn early_repeats_by_key(layout: &Layout) -> Scene {
-    let filing = FilingWay::Key;
+    let filing = FilingMethod::Key;
     let mut scene = early_repeats(layout);
     for class in &mut scene.classes {
-        if class.filing == FilingWay::Ticket {
+        if class.filing == FilingMethod::Ticket {
             class.filing = filing;
         }
     }
@@ -154,7 +154,7 @@
     let mut scene = scene(layout);
     scene
         .classes
-        .retain(|class| class.filing == FilingWay::None);
+        .retain(|class| class.filing == FilingMethod::None);
     scene
 }
 
@@ -176,7 +176,7 @@
 /// Descriptions of the requests that did not end as `done`, with all their tries.
 fn not_done(trial: &Trial) -> impl Iterator<Item = String> + '_ {
     let callers = trial.driven.callers.iter();
-    let failures = callers.filter(|caller| caller.told != Told::Done);
+    let failures = callers.filter(|caller| caller.result != CallerResult::Done);
     failures.map(|caller| {
         let tries: Vec<String> = caller.tries.iter().map(ToString::to_string).collect();
         format!("{caller}\n{}", tries.join("\n"))
@@ -469,9 +469,9 @@
 /// configuration reads and then writes the head, and another write may come in between.
 #[test]
 fn operators_race() {
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(Layout::two_regions()).unwrap();
-    let base = rig.operator("arusha-0", "/op/v1/status", None).body["version"].clone();
+    let base = rig.operator_request("arusha-0", "/op/v1/status", None).body["version"].clone();
     let texts = ["rig-one", "rig-two"].map(|name| {
         rig.layout
             .config()
@@ -484,7 +484,7 @@
                 let body = json!({
                     "accept_id": author, "author": author, "base_version": base, "text": text,
                 });
-                rig.operator(id, "/op/v1/accept", Some(&body))
+                rig.operator_request(id, "/op/v1/accept", Some(&body))
             })
         };
         let [first_text, second_text] = texts.clone();
--- a/crates/rig/tests/filings.rs
+++ b/crates/rig/tests/filings.rs
@@ -45,7 +45,7 @@
     let block = Layout::block(0).replace("0.0/16", "0.1");
     let path = format!("/v1/entries?class=orders&block={block}");
     let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    let (status, text) = send_raw(&rig.daemons[daemon].callers, &request);
+    let (status, text) = send_raw(&rig.daemons[daemon].callers_addr, &request);
     assert_eq!(status, 200, "{text}");
     let body = text
         .split("\r\n\r\n")
@@ -130,7 +130,7 @@
         assert_eq!((first.status, first.outcome.as_str()), (200, "done"), "{}", first.text);
         assert_eq!((second.status, &second.outcome, &second.body),
             (200, &first.outcome, &first.body), "{}", second.text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: an order runs more than once. Sequence: ten copies arrive concurrently. Cause:
@@ -149,14 +149,14 @@
             assert_eq!((&response.outcome, &response.body), (&responses[0].outcome, &responses[0].body));
         }
         assert_eq!(responses[0].outcome, "done", "{}", responses[0].text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: an order runs at two entries. Sequence: the caller uses the ticket of one entry at
     /// another. Cause: the other entry can't know whether the first one ran the order.
     another_entrys_ticket_does_not_run: |rig| {
         let entry = look_up(&rig, "arusha-0");
-        let addr = rig.daemons[other(&entry.instance)].callers.clone();
+        let addr = rig.daemons[other(&entry.instance)].callers_addr.clone();
         let entry_header = format!("jasmine-entry: {}", entry.addr);
         // The entry names the ticket's entry as soon as that is in its view.
         wait_for("the ticket's entry to be named", || {
@@ -164,10 +164,10 @@
             assert_eq!(response.outcome, "unknown", "{}", response.text);
             response.text.contains(&entry_header).then_some(())
         });
-        assert_eq!(rig.ran(), 0);
+        assert_eq!(rig.run_count(), 0);
         let response = file(&entry.addr, &ticket_header(&entry), "chalet", "rice");
         assert_eq!(response.outcome, "done", "{}", response.text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: the caller of a dead entry never learns whether the order ran. Sequence: the order
@@ -177,7 +177,7 @@
         let entry = look_up(&rig, "arusha-0");
         let first = file(&entry.addr, &ticket_header(&entry), "chalet", "rice");
         assert_eq!(first.outcome, "done", "{}", first.text);
-        let addr = rig.daemons[other(&entry.instance)].callers.clone();
+        let addr = rig.daemons[other(&entry.instance)].callers_addr.clone();
         // The other entry reads the table even while the ticket's entry is alive.
         let response = wait_for("the outcome in the table", || {
             let response = file(&addr, &ticket_header(&entry), "chalet", "rice");
@@ -187,7 +187,7 @@
         rig.kill(&entry.instance);
         let response = file(&addr, &ticket_header(&entry), "chalet", "rice");
         assert_eq!((response.outcome.as_str(), &response.body), ("done", &first.body), "{}", response.text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: an order filed again after a roll-out runs twice, or its outcome is unknown.
@@ -204,19 +204,19 @@
         assert_eq!(first.outcome, "done", "{}", first.text);
         let status = rig.terminate(&used.instance).expect("the entry ends");
         assert!(status.success(), "{status}");
-        let addr = rig.daemons[other(&used.instance)].callers.clone();
+        let addr = rig.daemons[other(&used.instance)].callers_addr.clone();
         let response = file(&addr, &ticket_header(&used), "chalet", "rice");
         assert_eq!((response.outcome.as_str(), &response.body), ("done", &first.body), "{}", response.text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
         let response = file(&addr, &ticket_header(&unused), "chalet", "beans");
         assert_eq!(response.outcome, "done", "{}", response.text);
-        assert_eq!(rig.ran(), 2);
+        assert_eq!(rig.run_count(), 2);
     }
 
     /// Symptom: an order with an idempotency key runs once at each entry. Sequence: it is filed at
     /// one entry and again, with the same key, at another. Cause: entries share no memory.
     a_key_runs_once_at_any_entry: |rig| {
-        let [addr, other_addr] = ["arusha-0", "moshi-1"].map(|id| rig.daemons[id].callers.clone());
+        let [addr, other_addr] = ["arusha-0", "moshi-1"].map(|id| rig.daemons[id].callers_addr.clone());
         let key = "idempotency-key: guest-7-dinner";
         let first = file(&addr, key, "chalet", "rice");
         assert_eq!(first.outcome, "done", "{}", first.text);
@@ -225,29 +225,29 @@
             (response.outcome == "done").then_some(response)
         });
         assert_eq!(second.body, first.body);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
         let reused = file(&other_addr, key, "chalet", "beans");
         assert_eq!((reused.status, reused.outcome.as_str()), (400, "not-run"), "{}", reused.text);
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: an order is refused although it ran, or runs although it was refused. Sequence: an
     /// order with a key is filed while the table is down, and again after the table has recovered.
     /// Cause: a claim whose write failed is treated as made.
     a_key_is_refused_while_the_table_is_down: |rig| {
-        let addr = rig.daemons["arusha-0"].callers.clone();
+        let addr = rig.daemons["arusha-0"].callers_addr.clone();
         let key = "idempotency-key: guest-8-dinner";
         rig.fault_platform(&json!({"table": {"kind": "down"}}));
         let refused = file(&addr, key, "chalet", "rice");
         assert_eq!((refused.status, refused.outcome.as_str()), (503, "not-run"), "{}", refused.text);
         assert!(refused.text.contains("retry-after: "), "{}", refused.text);
-        assert_eq!(rig.ran(), 0);
+        assert_eq!(rig.run_count(), 0);
         rig.fault_platform(&json!({"table": {"kind": "none"}}));
         wait_for("the key to be accepted", || {
             let response = file(&addr, key, "chalet", "rice");
             (response.outcome == "done").then_some(())
         });
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 
     /// Symptom: orders fail whenever the platform is down. Sequence: the whole platform is frozen,
@@ -261,6 +261,6 @@
         assert_eq!(response.outcome, "done", "{}", response.text);
         let no_fault = json!({"kind": "none"});
         rig.fault_platform(&json!({"table": no_fault, "objects": no_fault, "list": no_fault}));
-        assert_eq!(rig.ran(), 1);
+        assert_eq!(rig.run_count(), 1);
     }
 }
--- a/crates/rig/tests/input.rs
+++ b/crates/rig/tests/input.rs
@@ -235,13 +235,13 @@
 #[test]
 fn each_bad_request_gets_one_clear_answer_and_changes_nothing() {
     let rig = Rig::start(Layout::two_regions()).unwrap();
-    let addr = rig.daemons["arusha-0"].callers.as_str();
+    let addr = rig.daemons["arusha-0"].callers_addr.as_str();
     let mismatches: Vec<_> = rows()
         .iter()
         .filter_map(|row| mismatch(addr, row))
         .collect();
     assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
-    assert_eq!(rig.ran(), 0, "an upstream ran a request");
+    assert_eq!(rig.run_count(), 0, "an upstream ran a request");
     for reason in ["bad-request", "unknown-class", "ticket-refused"] {
         let name = format!("jasmine_own_answers_total{{reason=\"{reason}\"}}");
         assert!(counter(addr, &name) > 0, "{reason} is not counted");
@@ -271,9 +271,9 @@
 #[test]
 fn each_head_that_is_no_http_gets_one_clear_answer_and_is_counted() {
     let rig = Rig::start(Layout::two_regions()).unwrap();
-    let addr = rig.daemons["arusha-0"].callers.as_str();
+    let addr = rig.daemons["arusha-0"].callers_addr.as_str();
     check_malformed(addr, &refused_heads());
-    assert_eq!(rig.ran(), 0, "an upstream ran a request");
+    assert_eq!(rig.run_count(), 0, "an upstream ran a request");
     let (status, text) = send_raw(addr, &get("/v1/work/menu/today"));
     assert_eq!(status, 200, "{text}");
 }
@@ -284,7 +284,7 @@
 #[test]
 fn each_body_that_is_no_http_gets_one_clear_answer_and_is_counted() {
     let rig = Rig::start(Layout::two_regions()).unwrap();
-    let addr = rig.daemons["arusha-0"].callers.as_str();
+    let addr = rig.daemons["arusha-0"].callers_addr.as_str();
     let chunked = |line: &str, body: &str| {
         format!("{line} HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n{body}")
     };
@@ -323,17 +323,17 @@
 fn strangers_at_the_peers_port_get_one_clear_answer_and_are_counted() {
     let rig = Rig::start(Layout::two_regions()).unwrap();
     let daemon = &rig.daemons["arusha-0"];
-    let strangers = || counter(&daemon.callers, "jasmine_peer_strangers_total ");
+    let strangers = || counter(&daemon.callers_addr, "jasmine_peer_strangers_total ");
     let before = strangers();
     for request in ["HELLO\r\n\r\n", &get("/v1/live"), &post("/", "")] {
-        let (status, text) = send_raw(&daemon.peers, request);
+        let (status, text) = send_raw(&daemon.peers_addr, request);
         assert_eq!(status, 400, "{text}");
         assert!(text.ends_with("not a websocket handshake\n"), "{text}");
     }
     // The control loop updates the counters at its ticks.
     wait_for("the strangers to be counted", || strangers() == before + 3);
     let other_daemons = u64::try_from(rig.daemons.len() - 1).unwrap();
-    assert!(counter(&daemon.callers, "jasmine_peers ") <= other_daemons);
+    assert!(counter(&daemon.callers_addr, "jasmine_peers ") <= other_daemons);
 }
 
 /// Symptom: the caller of a good request gets no response, or one that says `not-run` although the
@@ -343,7 +343,7 @@
 #[test]
 fn what_follows_a_good_request_changes_nothing_about_its_answer() {
     let rig = Rig::start(Layout::two_regions()).unwrap();
-    let addr = rig.daemons["arusha-0"].callers.as_str();
+    let addr = rig.daemons["arusha-0"].callers_addr.as_str();
     let good = "GET /v1/work/menu/today HTTP/1.1\r\nhost: x\r\n\r\n";
     let (status, text) = send_raw(addr, &format!("{good}HELLO\r\n\r\n"));
     let (first, second) = text.split_at(text.rfind("HTTP/1.1 ").unwrap_or(0));
@@ -352,7 +352,7 @@
     assert!(!first.contains("not-run"), "{text}");
     assert!(second.starts_with("HTTP/1.1 400"), "{text}");
     assert!(second.contains("jasmine-outcome: not-run\r\n"), "{text}");
-    assert_eq!(rig.ran(), 1);
+    assert_eq!(rig.run_count(), 1);
 }
 
 /// Symptom: requests of callers that have disconnected keep their slots, and upstreams serve them
@@ -366,13 +366,13 @@
     layout.classes[0].service_ms = 600_000.0;
     let rig = Rig::start(layout).unwrap();
     let daemon = &rig.daemons["arusha-0"];
-    let active_requests = || counter(&daemon.callers, "jasmine_active_requests ");
-    let mut caller = TcpStream::connect(&daemon.callers).unwrap();
+    let active_requests = || counter(&daemon.callers_addr, "jasmine_active_requests ");
+    let mut caller = TcpStream::connect(&daemon.callers_addr).unwrap();
     caller
         .write_all(b"GET /v1/work/menu/today HTTP/1.1\r\nhost: x\r\n\r\n")
         .unwrap();
     wait_for("the request to be in flight", || {
-        active_requests() == 1 && rig.ran() == 1
+        active_requests() == 1 && rig.run_count() == 1
     });
     drop(caller);
     wait_for("the request to end", || active_requests() == 0);
@@ -387,7 +387,7 @@
     layout.terms.push(("ticket_ms", 1_000));
     let rig = Rig::start(layout).unwrap();
     let path = "/v1/entries?class=orders&block=10.1.0.1";
-    let (status, text) = send_raw(&rig.daemons["arusha-0"].callers, &get(path));
+    let (status, text) = send_raw(&rig.daemons["arusha-0"].callers_addr, &get(path));
     assert_eq!(status, 200, "{text}");
     let (_, body) = text
         .split_once("\r\n\r\n")
@@ -409,5 +409,5 @@
         assert_eq!(mismatch(addr, &row), None);
         assert_eq!(counter(addr, name), before + copy);
     }
-    assert_eq!(rig.ran(), 0, "an upstream ran a request");
+    assert_eq!(rig.run_count(), 0, "an upstream ran a request");
 }
--- a/crates/rig/tests/promises.rs
+++ b/crates/rig/tests/promises.rs
@@ -10,15 +10,15 @@
     unix_us,
     ClassLoad,
     Evidence,
-    FilingWay,
+    FilingMethod,
     LinkUse,
     Scene,
     Work, //
 };
 use rig::{
     send_raw,
+    test_permit,
     test_permit_for,
-    turn,
     ClassLayout,
     Layout,
     RegionLayout,
@@ -73,7 +73,7 @@
         deadline_ms: 3_000,
         work: Work::Bytes,
         bytes: 1_000,
-        filing: FilingWay::None,
+        filing: FilingMethod::None,
         tries: 6,
         attempt_ms: Some(700),
     }
@@ -101,7 +101,7 @@
     ClassLoad {
         name: "orders".into(),
         work: Work::Echo,
-        filing: FilingWay::Ticket,
+        filing: FilingMethod::Ticket,
         attempt_ms: None,
         ..menu(rate_per_s)
     }
@@ -110,7 +110,7 @@
 /// Filings by key whose callers soon send a copy to another entry.
 fn early_repeats_by_key() -> ClassLoad {
     ClassLoad {
-        filing: FilingWay::Key,
+        filing: FilingMethod::Key,
         attempt_ms: Some(60),
         ..orders(20.0)
     }
@@ -234,7 +234,7 @@
 
 /// Freezes an entry and resumes it when many requests have been waiting at it for a second.
 fn freeze_with_waiting_requests(rig: &mut Rig, id: &str, time: Duration) {
-    let addr = rig.daemons[id].callers.clone();
+    let addr = rig.daemons[id].callers_addr.clone();
     let callers = rig.freeze_while(id, || {
         sleep(time);
         let callers = send_concurrent_requests(&addr);
@@ -447,17 +447,17 @@
 /// callers use the other entry. Cause: entries have to inform each other of leaving upstreams.
 #[test]
 fn leaving_is_told_to_entries_that_saw_nothing() {
-    let _permit = turn();
+    let _permit = test_permit();
     let mut rig = Rig::start(Layout::two_regions()).unwrap();
     rig.fault_platform(&json!({"list": {"kind": "stale"}}));
     // Time for load samples from before the drain, which the load endpoint continues to report.
     sleep(SETTLE_TIME);
     rig.fault_upstream("arusha-menu-0", &json!({"drain": {}, "lag_ms": 60_000}));
     rig.note_leaving("arusha-menu-0");
-    let addr = rig.daemons["arusha-0"].callers.clone();
+    let addr = rig.daemons["arusha-0"].callers_addr.clone();
     await_responses(send_concurrent_requests(&addr));
     sleep(Duration::from_millis(3_500));
-    let addr = rig.daemons["arusha-1"].callers.clone();
+    let addr = rig.daemons["arusha-1"].callers_addr.clone();
     let scene = scene(&rig.layout, 3, vec![menu(100.0)]);
     let trial = rig.run(&scene, |_| await_responses(send_concurrent_requests(&addr)));
     trial.assert_promises_kept(SINGLE_FAULT);
@@ -512,7 +512,7 @@
 /// each entry's metering of its part of the cap limits the shift.
 #[test]
 fn a_shift_stays_under_its_cap() {
-    let _permit = turn();
+    let _permit = test_permit();
     let (links, trial) = fill_link(menu(350.0));
     let peak_rate = links.iter().map(|link| link.bytes_per_s).max();
     assert!(
@@ -529,7 +529,7 @@
 fn a_shift_goes_on_at_its_cap() {
     /// Seconds during which the shift may still grow.
     const GROWING: usize = 2;
-    let _permit = turn();
+    let _permit = test_permit();
     let (links, trial) = fill_link(single_try(menu(350.0)));
     let rates = links.iter().skip(GROWING).map(|link| link.bytes_per_s);
     assert!(
@@ -550,7 +550,7 @@
     let remote = rig.daemons.values().filter(|daemon| daemon.region == to);
     let bytes = |name: &str, field: &str| counters[name][field].as_u64().expect("a counter");
     remote
-        .map(|daemon| format!("{from}>{}", daemon.callers))
+        .map(|daemon| format!("{from}>{}", daemon.callers_addr))
         .map(|name| bytes(&name, "forward_bytes") + bytes(&name, "back_bytes"))
         .sum()
 }
@@ -562,7 +562,7 @@
 #[test]
 fn a_configuration_is_confirmed_by_twelve_daemons_within_five_seconds() {
     const WITHIN: Duration = Duration::from_secs(5);
-    let _permit = turn();
+    let _permit = test_permit();
     let region = |name| RegionLayout { name, entries: 4 };
     let layout = Layout {
         regions: vec![region("arusha"), region("moshi"), region("dar")],
@@ -577,7 +577,7 @@
     let accepted_at = Instant::now();
     let path = format!("/op/v1/confirmed?version={version}");
     let confirmed = loop {
-        let body = rig.operator("dar-3", &path, None).body;
+        let body = rig.operator_request("dar-3", &path, None).body;
         let count = body["confirmed"].as_array().map_or(0, Vec::len);
         if count == rig.daemons.len() {
             break accepted_at.elapsed();
@@ -587,7 +587,7 @@
     };
     println!("confirmed by 12 after {confirmed:?}");
     for id in rig.daemons.keys() {
-        let status = rig.operator(id, "/op/v1/status", None).body;
+        let status = rig.operator_request(id, "/op/v1/status", None).body;
         assert_eq!(status["version"].as_u64(), Some(version), "{id}: {status}");
     }
     assert!(confirmed <= WITHIN, "confirmed after {confirmed:?}");
@@ -600,7 +600,7 @@
 #[test]
 fn a_version_never_reverts() {
     const VERSIONS: usize = 12;
-    let _permit = turn();
+    let _permit = test_permit();
     let mut rig = Rig::start(Layout::two_regions()).unwrap();
     let watch = VersionWatch::start(&rig);
     rig.fault_platform(&json!({"table": {"kind": "lost-answer", "ratio": 0.3}}));
@@ -634,7 +634,7 @@
 #[test]
 fn stale_reads_of_the_head_revert_nothing() {
     const VERSIONS: usize = 6;
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(Layout::two_regions()).unwrap();
     let watch = VersionWatch::start(&rig);
     let mut last = 0;
@@ -656,13 +656,13 @@
 /// others can learn of it, and get its objects, only from their peers.
 #[test]
 fn entries_cut_off_from_the_platform_follow_their_peers() {
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(relayed_platform()).unwrap();
     let cut_off = rig.daemons.keys().filter(|id| *id != "arusha-0");
     cut_off.for_each(|id| rig.fault_platform_relay(id, "cut"));
     let text = rig.layout.config().replace("name: rig", "name: rig-two");
     let body = json!({"accept_id": "two", "author": "rig", "text": text});
-    let reply = rig.operator("arusha-0", "/op/v1/accept", Some(&body));
+    let reply = rig.operator_request("arusha-0", "/op/v1/accept", Some(&body));
     assert_eq!(reply.status, 200, "{}", reply.body);
     let version = reply.body["version"].as_u64().expect("a version");
     wait_for_version(&rig, version);
@@ -672,7 +672,7 @@
 fn wait_for_version(rig: &Rig, version: u64) {
     let started = Instant::now();
     let has_version = |id: &String| {
-        let status = rig.operator(id, "/op/v1/status", None);
+        let status = rig.operator_request(id, "/op/v1/status", None);
         status.body["version"].as_u64() == Some(version)
     };
     while !rig.daemons.keys().all(has_version) {
@@ -691,7 +691,7 @@
     fn start(rig: &Rig) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let watchers = rig.daemons.iter().map(|(id, daemon)| {
-            let (id, addr) = (id.clone(), daemon.operator.clone());
+            let (id, addr) = (id.clone(), daemon.operator_addr.clone());
             let stop = Arc::clone(&stop);
             thread::spawn(move || poll_versions(&id, &addr, &stop))
         });
@@ -740,13 +740,13 @@
 #[test]
 fn crossed_answers_reach_nobody() {
     const REQUESTS: usize = 600;
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(Layout::one_region()).unwrap();
     let crossing = Arc::new(Crossing::default());
     let upstream_crossing = Arc::clone(&crossing);
     let respond = move |_, id, path| Some(upstream_crossing.response_to(id, path));
     serve_listed_upstream(&rig, "menu", respond);
-    let entry = rig.daemons["arusha-0"].callers.clone();
+    let entry = rig.daemons["arusha-0"].callers_addr.clone();
     let started = Instant::now();
     let mut request_count = 0;
     while !crossing.serves_next_request(&entry, &mut request_count) {
@@ -909,7 +909,7 @@
 #[test]
 fn filings_go_on_connections_of_their_own() {
     const FILINGS: usize = 40;
-    let _permit = turn();
+    let _permit = test_permit();
     let orders = ClassLayout {
         upstreams_per_region: 0,
         ..ClassLayout::orders()
@@ -922,7 +922,7 @@
     .unwrap();
     let close_on_second = |nth, id, path| (nth == 0).then_some((id, path));
     serve_listed_upstream(&rig, "orders", close_on_second);
-    let entry = &rig.daemons["arusha-0"].callers;
+    let entry = &rig.daemons["arusha-0"].callers_addr;
     let file = |key: &str| {
         let request = format!(
             "POST /v1/work/orders/chalet HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
@@ -961,7 +961,7 @@
     const REQUESTS: u64 = 10;
     /// Twice the size of the request and its refusal at the two entries that are tried.
     const MAX_BYTES_PER_REQUEST: u64 = 2_400;
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(two_small_regions()).unwrap();
     for region in ["arusha", "moshi"] {
         for index in 0..2 {
@@ -975,7 +975,7 @@
     let send_refused_request = || {
         let request = "GET /v1/work/menu/bytes/100 HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
                        jasmine-deadline-ms: 3000\r\n\r\n";
-        let (status, text) = send_raw(&rig.daemons["arusha-0"].callers, request);
+        let (status, text) = send_raw(&rig.daemons["arusha-0"].callers_addr, request);
         assert_eq!(status, 503, "{text}");
     };
     // Wait until the entry knows that the other region has free slots.
@@ -1000,7 +1000,7 @@
 /// entry that stops accepting requests earlier refuses callers that still use it.
 #[test]
 fn a_planned_stop_refuses_nobody() {
-    let _permit = turn();
+    let _permit = test_permit();
     let mut rig = Rig::start(Layout::two_regions()).unwrap();
 
     let scene = scene(&rig.layout, 10, vec![menu(150.0)]);
@@ -1023,7 +1023,7 @@
 /// can relay the responses that their callers wait for.
 #[test]
 fn a_planned_stop_waits_for_long_requests() {
-    let _permit = turn();
+    let _permit = test_permit();
     let layout = Layout {
         classes: vec![ClassLayout {
             service_ms: 12_000.0,
@@ -1057,13 +1057,13 @@
 #[test]
 fn operators_race_at_a_slow_table() {
     const ROUNDS: usize = 8;
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(Layout::two_regions()).unwrap();
     rig.fault_platform(&json!({"table": {"kind": "slow", "delay_ms": 300}}));
     let mut total_accepted = 0;
     for round in 0..ROUNDS {
-        let base = rig.operator("arusha-0", "/op/v1/status", None).body["version"].clone();
-        let other = rig.operator("moshi-1", "/op/v1/status", None).body["version"].clone();
+        let base = rig.operator_request("arusha-0", "/op/v1/status", None).body["version"].clone();
+        let other = rig.operator_request("moshi-1", "/op/v1/status", None).body["version"].clone();
         if base != other {
             sleep(Duration::from_millis(500));
         }
@@ -1076,7 +1076,7 @@
             let body = json!({
                 "accept_id": author, "author": author, "base_version": base, "text": text,
             });
-            rig.operator(id, "/op/v1/accept", Some(&body))
+            rig.operator_request(id, "/op/v1/accept", Some(&body))
         };
         let replies = thread::scope(|scope| {
             let threads = ["arusha-0", "moshi-1"].map(|id| scope.spawn(move || accept(id)));
@@ -1104,17 +1104,17 @@
 fn silent_connections_are_retired_together() {
     const REQUESTS: usize = 14;
     const MAX_UNKNOWN: usize = 4;
-    let _permit = turn();
+    let _permit = test_permit();
     let rig = Rig::start(Layout::two_regions()).unwrap();
     let drain = json!({
         "accept_id": "drain", "author": "rig", "action": "start",
         "target": {"kind": "region", "id": "arusha"},
     });
-    let reply = rig.operator("arusha-0", "/op/v1/drain", Some(&drain));
+    let reply = rig.operator_request("arusha-0", "/op/v1/drain", Some(&drain));
     assert_eq!(reply.status, 200, "{}", reply.body);
     // Wait until both regions know that this one takes no requests.
     sleep(SETTLE_TIME);
-    let addr = rig.daemons["arusha-0"].callers.clone();
+    let addr = rig.daemons["arusha-0"].callers_addr.clone();
     for _ in 0..3 {
         await_responses(send_concurrent_requests(&addr));
     }
@@ -1147,9 +1147,9 @@
 #[test]
 fn requests_that_waited_at_a_paused_entry_get_a_claim() {
     const CALLERS: usize = 20;
-    let _permit = turn();
+    let _permit = test_permit();
     let mut rig = Rig::start(Layout::one_region()).unwrap();
-    let addr = rig.daemons["arusha-0"].callers.clone();
+    let addr = rig.daemons["arusha-0"].callers_addr.clone();
     let mut streams: Vec<TcpStream> = (0..CALLERS)
         .map(|_| TcpStream::connect(&addr).unwrap())
         .collect();
--- a/crates/rig/tests/steering.rs
+++ b/crates/rig/tests/steering.rs
@@ -8,10 +8,10 @@
     unix_us,
     Burst,
     CallerRegion,
+    CallerResult,
     ClassLoad,
-    FilingWay,
+    FilingMethod,
     Scene,
-    Told,
     UnixUs,
     Work, //
 };
@@ -69,7 +69,7 @@
             deadline_ms: 4_000,
             work: Work::Bytes,
             bytes: RESPONSE_BYTES,
-            filing: FilingWay::None,
+            filing: FilingMethod::None,
             tries: 6,
             attempt_ms: None,
         }],
@@ -87,7 +87,8 @@
     // An entry that forwards a request relays the response under its own name, so shifted requests
     // are found by the runs at the other region's upstreams.
     let callers = trial.driven.callers.iter();
-    let home_callers = callers.filter(|caller| caller.region == HOME && caller.told == Told::Done);
+    let home_callers =
+        callers.filter(|caller| caller.region == HOME && caller.result == CallerResult::Done);
     let answered_at_home = home_callers.filter(|caller| !caller.tries.iter().any(answered_away));
     let mut finished_us: Vec<UnixUs> = answered_at_home
         .filter(|caller| {
@@ -208,7 +209,7 @@
             "accept_id": action, "author": "rig", "action": action,
             "target": {"kind": "upstream", "id": "arusha-menu-0"},
         });
-        let reply = rig.operator("moshi-0", "/op/v1/drain", Some(&body));
+        let reply = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
         assert_eq!(reply.status, 200, "{}", reply.body);
     };
     let mut drain_end_us = 0;
@@ -257,7 +258,7 @@
             "accept_id": "drain", "author": "rig", "action": "start",
             "target": {"kind": "region", "id": HOME},
         });
-        let reply = rig.operator("moshi-0", "/op/v1/drain", Some(&body));
+        let reply = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
         assert_eq!(reply.status, 200, "{}", reply.body);
     });
     trial.assert_promises_kept(0.99);
--- a/crates/router/tests/explain.rs
+++ b/crates/router/tests/explain.rs
@@ -78,7 +78,7 @@
             Event::Request(ended) => ended.id == id,
             _ => false,
         });
-        ended.then(|| logs.story(id).expect("the request has lines"))
+        ended.then(|| logs.trace(id).expect("the request has lines"))
     });
     println!("{trace}");
     trace
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -15,8 +15,8 @@
 use route::keys;
 use standin::platform::{
     Fault,
+    FaultKind, //
     Faults,
-    Kind, //
 };
 use std::{
     net::SocketAddr,
@@ -43,7 +43,7 @@
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
 /// Sets a fault for all calls to the table and the list.
-fn set_fault(platform_addr: SocketAddr, kind: Kind) {
+fn set_fault(platform_addr: SocketAddr, kind: FaultKind) {
     let fault = Some(Fault {
         kind,
         delay_ms: 900,
@@ -96,7 +96,7 @@
 
 /// Guards against request handling that waits for the platform, and against a change feed that doesn't recover.
 /// Requests go on during an outage; after its end, an operator's next version of the routes is accepted.
-fn serves_during_outage(name: &str, kind: Kind) {
+fn serves_during_outage(name: &str, kind: FaultKind) {
     let system = System::start(name, FAST_UPSTREAMS);
     system.write_row(keys::ROUTES_KEY, ROUTES);
     system.wait_served_by(&["m-a", "m-b"]);
@@ -108,7 +108,7 @@
         served += 1;
         thread::sleep(Duration::from_millis(20));
     }
-    set_fault(system.platform_addr, Kind::None);
+    set_fault(system.platform_addr, FaultKind::None);
     system.write_row(keys::ROUTES_KEY, &next_routes(2));
     wait_until_served(&system, "/menus2/x");
     assert_eq!(get_status(&system, "/menus/x"), Some(404));
@@ -120,7 +120,7 @@
         $(
             #[test]
             fn $name() {
-                serves_during_outage(stringify!($name), Kind::$kind);
+                serves_during_outage(stringify!($name), FaultKind::$kind);
             }
         )*
     };
@@ -139,7 +139,7 @@
 #[test]
 fn started_while_the_platform_is_away() {
     let system = System::start_with("started-away", FAST_UPSTREAMS, |platform_addr| {
-        set_fault(platform_addr, Kind::Down);
+        set_fault(platform_addr, FaultKind::Down);
     });
     let start = Instant::now();
     while start.elapsed() < OUTAGE_DURATION {
@@ -155,7 +155,7 @@
         Some(503),
         "{readiness:?}"
     );
-    set_fault(system.platform_addr, Kind::None);
+    set_fault(system.platform_addr, FaultKind::None);
     system.write_row(keys::ROUTES_KEY, ROUTES);
     wait_until_served(&system, "/menus/x");
 }
--- a/crates/router/tests/store.rs
+++ b/crates/router/tests/store.rs
@@ -18,8 +18,8 @@
 use router::Store;
 use standin::platform::{
     Fault,
+    FaultKind, //
     Faults,
-    Kind, //
 };
 use std::{
     net::SocketAddr,
@@ -197,7 +197,7 @@
     fixture.write_row(keys::ROUTES_KEY, "first").await;
     fixture.list_upstream("m-1", ListedState::Live).await;
     let down = Some(Fault {
-        kind: Kind::Down,
+        kind: FaultKind::Down,
         ..Fault::default()
     });
     fixture
--- a/crates/spec/src/config.rs
+++ b/crates/spec/src/config.rs
@@ -102,7 +102,7 @@
 
 /// New targets of a class; a target that is `None` stays unchanged.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Target {
+pub struct TargetUpdate {
     /// Latency target.
     pub latency_target: Option<Duration>,
     /// Headroom in percent.
@@ -184,7 +184,7 @@
     /// # Errors
     ///
     /// If there is no such class, or the rules that the result violates.
-    pub fn with_target(&self, class: &str, target: &Target) -> Result<Self, Vec<Violation>> {
+    pub fn with_target(&self, class: &str, target: &TargetUpdate) -> Result<Self, Vec<Violation>> {
         let mut config = self.clone();
         let Some(class) = config.classes.iter_mut().find(|c| c.id == class) else {
             let known_classes = self.classes.iter().map(|class| &*class.id);
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -13,16 +13,16 @@
 //! [`Accept`] is the state machine that stores them and moves the head by compare-and-set:
 //!
 //! ```
-//! # use spec::{Accept, AcceptAction, AcceptEvent, Answer, CommitAnswer, Guards, Proposal};
+//! # use spec::{Accept, AcceptAction, AcceptEvent, CommitOutcome, Guards, Proposal, WriteOutcome};
 //! # fn drive(proposal: Proposal) -> spec::AcceptOutcome {
 //! let (mut accept, mut action) = Accept::start(proposal, Guards::ALL);
 //! loop {
-//!     // A driver waits for `accept.pause()` here, then sends the request to the platform.
+//!     // A driver waits for `accept.backoff()` here, then sends the request to the platform.
 //!     let event = match action {
-//!         AcceptAction::Store { .. } => AcceptEvent::Stored(Answer::Done(())),
+//!         AcceptAction::Store { .. } => AcceptEvent::Stored(WriteOutcome::Done(())),
 //!         AcceptAction::Read { keys } => AcceptEvent::Rows(Some(vec![None; keys.len()])),
 //!         AcceptAction::Commit { .. } => {
-//!             AcceptEvent::Commit(Answer::Done(CommitAnswer::Committed))
+//!             AcceptEvent::Commit(WriteOutcome::Done(CommitOutcome::Committed))
 //!         }
 //!         AcceptAction::Finish(outcome) => return outcome,
 //!     };
@@ -60,7 +60,7 @@
     Config,
     Drain,
     Region,
-    Target, //
+    TargetUpdate, //
 };
 pub use diff::{
     diff,
@@ -90,13 +90,12 @@
     AdoptAction,
     AdoptEvent,
     Adopted,
-    Answer,
     BlockChange,
     BlockObject,
     BlockReader,
     Body,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     Digest,
     FetchFailure,
     Guards,
@@ -112,4 +111,5 @@
     RowValue,
     Source,
     Write, //
+    WriteOutcome,
 };
--- a/crates/spec/src/version/accept.rs
+++ b/crates/spec/src/version/accept.rs
@@ -86,7 +86,7 @@
 
 /// Outcome of a request that changes state in the platform.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Answer<T> {
+pub enum WriteOutcome<T> {
     /// The request took effect.
     Done(T),
     /// The request did not take effect and never will.
@@ -97,7 +97,7 @@
 
 /// The table's answer to a commit.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum CommitAnswer {
+pub enum CommitOutcome {
     /// All writes were made.
     Committed,
     /// A check failed and nothing was written; the machine reads the rows next.
@@ -134,12 +134,12 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum AcceptEvent {
     /// Answer to [`AcceptAction::Store`].
-    Stored(Answer<()>),
+    Stored(WriteOutcome<()>),
     /// Answer to [`AcceptAction::Read`], with the rows in the order of the keys; `None` if the read
     /// failed.
     Rows(Option<Vec<Option<RowValue>>>),
     /// Answer to [`AcceptAction::Commit`].
-    Commit(Answer<CommitAnswer>),
+    Commit(WriteOutcome<CommitOutcome>),
 }
 
 /// Outcome of an accept.
@@ -226,7 +226,7 @@
     }
 
     /// Time to wait before the next action; it grows with the number of failures.
-    pub fn pause(&self) -> Duration {
+    pub fn backoff(&self) -> Duration {
         match self.failures {
             0 => Duration::ZERO,
             failures => INITIAL_BACKOFF * (1 << (failures - 1)),
@@ -247,11 +247,13 @@
     }
 
     /// Handles the answer to storing an object.
-    fn on_stored(&mut self, index: usize, answer: &Answer<()>) -> AcceptAction {
+    fn on_stored(&mut self, index: usize, answer: &WriteOutcome<()>) -> AcceptAction {
         match answer {
-            Answer::Done(()) => self.store(index + 1),
+            WriteOutcome::Done(()) => self.store(index + 1),
             // Objects are immutable, so an object can safely be stored again.
-            Answer::NotDone | Answer::Unknown => self.after_failure(|accept| accept.store(index)),
+            WriteOutcome::NotDone | WriteOutcome::Unknown => {
+                self.after_failure(|accept| accept.store(index))
+            }
         }
     }
 
@@ -281,24 +283,24 @@
     fn on_commit(
         &mut self,
         row_version: Option<u64>,
-        answer: Answer<CommitAnswer>,
+        answer: WriteOutcome<CommitOutcome>,
     ) -> AcceptAction {
         match answer {
-            Answer::Done(CommitAnswer::Committed) => {
+            WriteOutcome::Done(CommitOutcome::Committed) => {
                 let outcome = AcceptOutcome::Accepted(self.next_head());
                 self.finish_or_store(outcome)
             }
             // Either an earlier commit of this accept took effect, or another accept came first.
-            Answer::Done(CommitAnswer::Conflict) => self.after_failure(Self::read),
-            Answer::NotDone => self.after_failure(|accept| accept.commit(row_version)),
+            WriteOutcome::Done(CommitOutcome::Conflict) => self.after_failure(Self::read),
+            WriteOutcome::NotDone => self.after_failure(|accept| accept.commit(row_version)),
             // The answer can be lost after the commit took effect. If that were treated as "not
             // done", the operator would see "not accepted" while the daemons adopt the change, and
             // might accept it again over another operator's later change.
-            Answer::Unknown if self.guards.read_back => {
+            WriteOutcome::Unknown if self.guards.read_back => {
                 self.in_doubt = true;
                 self.after_failure(Self::read)
             }
-            Answer::Unknown => self.finish(AcceptOutcome::NotAccepted),
+            WriteOutcome::Unknown => self.finish(AcceptOutcome::NotAccepted),
         }
     }
 
--- a/crates/spec/src/version/adopt.rs
+++ b/crates/spec/src/version/adopt.rs
@@ -53,7 +53,7 @@
     /// The source knows this head.
     Head(Head),
     /// The source knows no version.
-    Nothing,
+    NoVersion,
     /// The source did not answer in time and is given up.
     Unreachable,
 }
@@ -377,7 +377,7 @@
                 self.awaited_sources.remove(&source);
                 match offer {
                     Offer::Head(head) => self.on_head(head),
-                    Offer::Nothing | Offer::Unreachable => None,
+                    Offer::NoVersion | Offer::Unreachable => None,
                 }
             }
             AdoptEvent::Fetched { digest, object } => self.on_fetched(digest, object),
--- a/crates/spec/src/version/mod.rs
+++ b/crates/spec/src/version/mod.rs
@@ -13,12 +13,12 @@
     AcceptAction,
     AcceptEvent,
     AcceptOutcome,
-    Answer,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     RowKey,
     RowValue,
     Write, //
+    WriteOutcome,
 };
 pub use adopt::{
     Adopt,
--- a/crates/spec/tests/properties.rs
+++ b/crates/spec/tests/properties.rs
@@ -3,7 +3,7 @@
 use spec::{
     Config,
     DrainTarget,
-    Target, //
+    TargetUpdate, //
 };
 use std::time::Duration;
 
@@ -108,10 +108,10 @@
     let revised = drained
         .with_target(
             "menu",
-            &Target {
+            &TargetUpdate {
                 latency_target: Some(Duration::from_millis(80)),
                 success_target_ppm: Some(999_900),
-                ..Target::default()
+                ..TargetUpdate::default()
             },
         )
         .unwrap();
@@ -144,9 +144,9 @@
         violations(config.with_drain(&unknown_region)),
         ["drains[0]: unknown region `moshy`, did you mean `moshi`?"]
     );
-    let target = Target {
+    let target = TargetUpdate {
         latency_target: Some(Duration::from_secs(4)),
-        ..Target::default()
+        ..TargetUpdate::default()
     };
     assert_eq!(
         violations(config.with_target("menu", &target)),
--- a/crates/spec/tests/simulation/mod.rs
+++ b/crates/spec/tests/simulation/mod.rs
@@ -13,11 +13,10 @@
     Adopt,
     AdoptAction,
     AdoptEvent,
-    Answer,
     BlockChange,
     Body,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     Config,
     Digest,
     Guards,
@@ -27,6 +26,7 @@
     Proposal,
     Source,
     Write, //
+    WriteOutcome,
 };
 /// Fault of one request.
 #[derive(Clone, Copy, Debug)]
@@ -80,16 +80,16 @@
             AcceptAction::Commit { checks, writes } => {
                 let commit = (checks, writes);
                 AcceptEvent::Commit(match fault {
-                    Fault::None => Answer::Done(self.commit(commit)),
-                    Fault::Lost => Answer::Unknown,
-                    Fault::Refused => Answer::NotDone,
+                    Fault::None => WriteOutcome::Done(self.commit(commit)),
+                    Fault::Lost => WriteOutcome::Unknown,
+                    Fault::Refused => WriteOutcome::NotDone,
                     Fault::EffectThenLost => {
                         self.commit(commit);
-                        Answer::Unknown
+                        WriteOutcome::Unknown
                     }
                     Fault::Late => {
                         self.late.push(commit);
-                        Answer::Unknown
+                        WriteOutcome::Unknown
                     }
                 })
             }
@@ -151,16 +151,16 @@
         Ok(())
     }
 
-    fn commit(&mut self, (checks, writes): PendingCommit) -> CommitAnswer {
+    fn commit(&mut self, (checks, writes): PendingCommit) -> CommitOutcome {
         self.platform.commit(&checks, &writes)
     }
 }
 
-fn write_outcome<T>(fault: Fault, value: T) -> Answer<T> {
+fn write_outcome<T>(fault: Fault, value: T) -> WriteOutcome<T> {
     match fault {
-        Fault::None => Answer::Done(value),
-        Fault::Refused => Answer::NotDone,
-        Fault::Lost | Fault::EffectThenLost | Fault::Late => Answer::Unknown,
+        Fault::None => WriteOutcome::Done(value),
+        Fault::Refused => WriteOutcome::NotDone,
+        Fault::Lost | Fault::EffectThenLost | Fault::Late => WriteOutcome::Unknown,
     }
 }
 
--- a/crates/standin/src/link/connection.rs
+++ b/crates/standin/src/link/connection.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Direction,
+    FaultKind,
     FaultState,
-    Kind,
     Relay, //
 };
 use crate::timer;
@@ -65,7 +65,7 @@
     let connection = Connection {
         watcher: watcher.clone(),
         epoch: state.epoch,
-        silent_from_start: state.kind == Kind::Blackhole,
+        silent_from_start: state.kind == FaultKind::Blackhole,
         relay: Arc::clone(&relay),
     };
     relay.connections.fetch_add(1, Ordering::Relaxed);
--- a/crates/standin/src/link/mod.rs
+++ b/crates/standin/src/link/mod.rs
@@ -68,7 +68,7 @@
 /// Kind of fault of a link.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// No fault.
     None,
     /// Connections close, and new ones are refused.
@@ -86,7 +86,7 @@
     /// Name of the relay.
     pub name: String,
     /// Kind of fault.
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
 /// Traffic counters of a relay; `GET /counters` returns them by relay name.
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FaultState {
     /// Kind of the current fault.
-    kind: Kind,
+    kind: FaultKind,
     /// Number of faults set so far.
     epoch: u64,
     /// Connections of earlier epochs are silent.
@@ -157,7 +157,7 @@
             addr: listener.local_addr()?,
             spec,
             state: watch::Sender::new(FaultState {
-                kind: Kind::None,
+                kind: FaultKind::None,
                 epoch: 0,
                 silent_before: 0,
                 closed_before: 0,
@@ -181,14 +181,14 @@
     }
 
     /// Replaces the current fault.
-    pub fn set_fault(&self, kind: Kind) {
+    pub fn set_fault(&self, kind: FaultKind) {
         self.state.send_modify(|state| {
             state.kind = kind;
             state.epoch += 1;
             match kind {
-                Kind::None => {}
-                Kind::Cut => state.closed_before = state.epoch,
-                Kind::SilentOld | Kind::Blackhole => state.silent_before = state.epoch,
+                FaultKind::None => {}
+                FaultKind::Cut => state.closed_before = state.epoch,
+                FaultKind::SilentOld | FaultKind::Blackhole => state.silent_before = state.epoch,
             }
         });
     }
@@ -209,7 +209,7 @@
         let mut listener = Some(listener);
         let mut watcher = self.state.subscribe();
         loop {
-            let cut = watcher.borrow_and_update().kind == Kind::Cut;
+            let cut = watcher.borrow_and_update().kind == FaultKind::Cut;
             match (&listener, cut) {
                 (Some(open), false) => tokio::select! {
                     accepted = open.accept() => match accepted {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -50,7 +50,7 @@
 /// Kind of fault of one component of the platform.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// No fault.
     #[default]
     None,
@@ -72,8 +72,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
     /// Kind of fault.
-    pub kind: Kind,
-    /// Delay in milliseconds for [`Kind::Slow`].
+    pub kind: FaultKind,
+    /// Delay in milliseconds for [`FaultKind::Slow`].
     pub delay_ms: u64,
     /// Ratio of requests that the fault affects.
     pub ratio: f64,
@@ -82,7 +82,7 @@
 impl Default for Fault {
     fn default() -> Self {
         Self {
-            kind: Kind::None,
+            kind: FaultKind::None,
             delay_ms: 0,
             ratio: 1.0,
         }
@@ -360,9 +360,9 @@
     }
 
     /// Returns the rows that a read sees under a fault.
-    fn visible_rows(&self, kind: Kind) -> &BTreeMap<String, Row> {
+    fn visible_rows(&self, kind: FaultKind) -> &BTreeMap<String, Row> {
         match kind {
-            Kind::Stale => &self.stale_rows,
+            FaultKind::Stale => &self.stale_rows,
             _ => &self.rows,
         }
     }
@@ -422,7 +422,7 @@
 async fn get_list(state: Shared, request: HttpRequest) -> HttpResponse {
     with_fault(&state, &request, Component::List, |state, kind| {
         state.counters.lists += 1;
-        let list = if kind == Kind::Stale {
+        let list = if kind == FaultKind::Stale {
             state.stale_list.clone()
         } else {
             state.list()
@@ -492,15 +492,15 @@
     state: &Shared,
     request: &HttpRequest,
     component: Component,
-    effect: impl FnOnce(&mut State, Kind) -> HttpResponse,
+    effect: impl FnOnce(&mut State, FaultKind) -> HttpResponse,
 ) -> HttpResponse {
     let fault = lock(state).next_fault(component);
     match fault.kind {
-        Kind::None | Kind::Stale => {}
-        Kind::Down => return HttpResponse::ServiceUnavailable().finish(),
-        Kind::Freeze => return future::pending().await,
-        Kind::Slow => actix_web::rt::time::sleep(Duration::from_millis(fault.delay_ms)).await,
-        Kind::LostAnswer => {
+        FaultKind::None | FaultKind::Stale => {}
+        FaultKind::Down => return HttpResponse::ServiceUnavailable().finish(),
+        FaultKind::Freeze => return future::pending().await,
+        FaultKind::Slow => actix_web::rt::time::sleep(Duration::from_millis(fault.delay_ms)).await,
+        FaultKind::LostAnswer => {
             effect(&mut lock(state), fault.kind);
             if let Some(Socket(socket)) = request.conn_data() {
                 // Fails only if the caller has already closed the connection.
--- a/crates/standin/src/upstream/handlers.rs
+++ b/crates/standin/src/upstream/handlers.rs
@@ -2,8 +2,8 @@
 
 use super::{
     record::{
-        Ended,
-        Entry, //
+        RecordEntry, //
+        RequestOutcome,
     },
     Upstream, //
 };
@@ -146,11 +146,11 @@
         body_bytes += chunk.len() as u64;
     }
     if job.record_body(body_bytes) {
-        job.end(Ended::Shed);
+        job.end(RequestOutcome::Shed);
         return refusal(&upstream, &request);
     }
     if timeout_at(deadline, job.acquire_slot()).await.is_err() {
-        job.end(Ended::Expired);
+        job.end(RequestOutcome::Expired);
         return refusal(&upstream, &request);
     }
     let (service_time, hangs, truncates) = job.start_service();
@@ -159,7 +159,7 @@
     }
     let service = timer::wait_until(std::time::Instant::now() + service_time);
     if timeout_at(deadline, service).await.is_err() {
-        job.end(Ended::Expired);
+        job.end(RequestOutcome::Expired);
         return response_builder(&upstream, StatusCode::GATEWAY_TIMEOUT, Some(&request)).finish();
     }
     let mut response = response_builder(&upstream, StatusCode::OK, Some(&request));
@@ -182,7 +182,7 @@
     let chunked = path.starts_with("/chunked/");
     if len == 0 {
         // The HTTP server never polls an empty body.
-        job.end(Ended::Ran);
+        job.end(RequestOutcome::Ran);
     }
     let truncate_at = if truncates { len / 2 } else { u64::MAX };
     let stream = body_stream(ResponseBody {
@@ -203,7 +203,7 @@
 impl Job {
     /// Adds a request to the record.
     fn begin(upstream: Arc<Upstream>, request: &HttpRequest) -> Self {
-        let entry = Entry {
+        let entry = RecordEntry {
             request: header(request, "Jasmine-Request"),
             filing: header(request, "Jasmine-Filing"),
             method: request.method().to_string(),
@@ -212,7 +212,7 @@
             started_ms: None,
             finished_ms: None,
             body_bytes: None,
-            outcome: Ended::Running,
+            outcome: RequestOutcome::Running,
         };
         let number = lock(&upstream.inner).log.begin(entry);
         Self {
@@ -281,7 +281,7 @@
     }
 
     /// Records the outcome, unless the request has already ended.
-    fn end(&mut self, outcome: Ended) {
+    fn end(&mut self, outcome: RequestOutcome) {
         if self.stage != Stage::Finished {
             self.set_stage(Stage::Finished);
             lock(&self.upstream.inner)
@@ -296,7 +296,7 @@
 
 impl Drop for Job {
     fn drop(&mut self) {
-        self.end(Ended::Cancelled);
+        self.end(RequestOutcome::Cancelled);
     }
 }
 
@@ -305,15 +305,15 @@
     async fn next_chunk(&mut self) -> Option<io::Result<Bytes>> {
         if self.sent >= self.truncate_at {
             sleep(TRUNCATE_DELAY).await;
-            self.job.end(Ended::Truncated);
+            self.job.end(RequestOutcome::Truncated);
             return Some(Err(io::Error::other("response truncated")));
         }
         if self.sent < self.len && Instant::now() >= self.deadline {
-            self.job.end(Ended::Expired);
+            self.job.end(RequestOutcome::Expired);
             return Some(Err(io::ErrorKind::TimedOut.into()));
         }
         if self.sent == self.len {
-            self.job.end(Ended::Ran);
+            self.job.end(RequestOutcome::Ran);
             return None;
         }
         let limit = CHUNK_BYTES.min(self.len.min(self.truncate_at) - self.sent);
@@ -324,7 +324,7 @@
         self.sent += chunk.len() as u64;
         if self.sent == self.len {
             // The HTTP server may not poll for the end of a body whose length it knows.
-            self.job.end(Ended::Ran);
+            self.job.end(RequestOutcome::Ran);
         }
         Some(Ok(chunk))
     }
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -58,9 +58,9 @@
 
 pub use control::control;
 pub use record::{
-    Ended,
-    Entry,
     Record, //
+    RecordEntry,
+    RequestOutcome,
 };
 pub use settings::{
     Drain,
--- a/crates/standin/src/upstream/record.rs
+++ b/crates/standin/src/upstream/record.rs
@@ -15,7 +15,7 @@
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
+pub enum RequestOutcome {
     /// It hasn't ended yet.
     Running,
     /// It ran, and its complete response was handed to the connection.
@@ -32,7 +32,7 @@
 
 /// A recorded request. If `started_ms` is set, it ran at least in part.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Entry {
+pub struct RecordEntry {
     /// The `Jasmine-Request` header.
     pub request: Option<String>,
     /// The `Jasmine-Filing` header.
@@ -50,7 +50,7 @@
     /// Length of its body, if it was read completely.
     pub body_bytes: Option<u64>,
     /// Outcome.
-    pub outcome: Ended,
+    pub outcome: RequestOutcome,
 }
 
 /// Response to `GET /record`.
@@ -65,7 +65,7 @@
     /// Maximum number of requests queued at once, that is, by how many callers exceeded the slots.
     pub max_queued: u64,
     /// Ended requests in the order in which they ended, followed by unfinished ones.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<RecordEntry>,
     /// Number of ended requests dropped because there were too many.
     pub dropped: u64,
 }
@@ -76,16 +76,16 @@
     /// Number of the next request.
     next_number: u64,
     /// Unfinished requests by number.
-    running: BTreeMap<u64, Entry>,
+    running: BTreeMap<u64, RecordEntry>,
     /// Ended requests; at most [`MAX_ENDED`].
-    ended: VecDeque<Entry>,
+    ended: VecDeque<RecordEntry>,
     /// Number of ended requests dropped.
     dropped: u64,
 }
 
 impl Log {
     /// Adds a received request and returns its number.
-    pub(super) fn begin(&mut self, entry: Entry) -> u64 {
+    pub(super) fn begin(&mut self, entry: RecordEntry) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         self.running.insert(number, entry);
@@ -93,12 +93,12 @@
     }
 
     /// Returns the unfinished request with this number.
-    pub(super) fn running(&mut self, number: u64) -> Option<&mut Entry> {
+    pub(super) fn running(&mut self, number: u64) -> Option<&mut RecordEntry> {
         self.running.get_mut(&number)
     }
 
     /// Records the end of a request.
-    pub(super) fn end(&mut self, number: u64, outcome: Ended, now_ms: u64) {
+    pub(super) fn end(&mut self, number: u64, outcome: RequestOutcome, now_ms: u64) {
         let Some(mut entry) = self.running.remove(&number) else {
             return;
         };
@@ -112,7 +112,7 @@
     }
 
     /// Returns all entries, and how many were dropped.
-    pub(super) fn entries(&self) -> (Vec<Entry>, u64) {
+    pub(super) fn entries(&self) -> (Vec<RecordEntry>, u64) {
         let entries = self.ended.iter().chain(self.running.values());
         (entries.cloned().collect(), self.dropped)
     }
--- a/crates/standin/tests/link.rs
+++ b/crates/standin/tests/link.rs
@@ -1,7 +1,7 @@
 //! Tests of links: delay, bandwidth and faults.
 
 use standin::link::{
-    Kind,
+    FaultKind,
     Relay, //
 };
 use std::{
@@ -107,7 +107,7 @@
     let relay = start_relay("").await;
     let mut old = connect(&relay).await;
     assert!(echoes(&mut old, EVENT_TIMEOUT).await);
-    relay.set_fault(Kind::Cut);
+    relay.set_fault(FaultKind::Cut);
     let end = timeout(EVENT_TIMEOUT, old.read_u8()).await.unwrap();
     assert!(end.is_err());
     let refused = |e: std::io::Error| e.kind() == ErrorKind::ConnectionRefused;
@@ -116,7 +116,7 @@
         assert!(polls.next().is_some(), "still accepts");
         sleep(Duration::from_millis(5)).await;
     }
-    relay.set_fault(Kind::None);
+    relay.set_fault(FaultKind::None);
     let mut new = loop {
         match TcpStream::connect(relay.addr()).await {
             Ok(stream) => break stream,
@@ -134,12 +134,12 @@
             let relay = start_relay("").await;
             let mut old = connect(&relay).await;
             assert!(echoes(&mut old, EVENT_TIMEOUT).await);
-            relay.set_fault(Kind::$kind);
+            relay.set_fault(FaultKind::$kind);
             assert!(!echoes(&mut old, SILENCE_TIMEOUT).await);
             let mut new = connect(&relay).await;
             let wait = if $new { EVENT_TIMEOUT } else { SILENCE_TIMEOUT };
             assert_eq!(echoes(&mut new, wait).await, $new);
-            relay.set_fault(Kind::None);
+            relay.set_fault(FaultKind::None);
             assert!(!echoes(&mut old, SILENCE_TIMEOUT).await, "silence must be permanent");
             assert!(
                 timeout(SILENCE_TIMEOUT, old.read_u8()).await.is_err(),
@@ -173,7 +173,7 @@
         .await
         .unwrap()
         .unwrap();
-    relay.set_fault(Kind::SilentOld);
+    relay.set_fault(FaultKind::SilentOld);
     drop(client);
     assert!(timeout(SILENCE_TIMEOUT, server.read_u8()).await.is_err());
 }
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -9,11 +9,11 @@
     pattern::Pattern,
     upstream::{
         self,
-        Ended,
-        Entry,
         Faults,
         Load,
         Record,
+        RecordEntry,
+        RequestOutcome,
         State,
         Upstream, //
     }, //
@@ -102,7 +102,7 @@
 }
 
 /// Returns whether a request has this outcome.
-fn has_outcome(entry: &Entry, outcome: Ended) -> bool {
+fn has_outcome(entry: &RecordEntry, outcome: RequestOutcome) -> bool {
     entry.outcome == outcome
 }
 
@@ -138,7 +138,10 @@
     assert!(pattern.matches(0, &body) && !pattern.matches(1, &body));
     assert!(!Pattern::new("/chunked/200000/b", 200_000).matches(0, &body));
     let record = upstream.record();
-    assert!(record.entries.iter().all(|e| has_outcome(e, Ended::Ran)));
+    assert!(record
+        .entries
+        .iter()
+        .all(|e| has_outcome(e, RequestOutcome::Ran)));
     assert_eq!(record.entries.len(), 3);
 }
 
@@ -165,7 +168,9 @@
     stream.write_all(b"ab").unwrap();
     stream.shutdown(Shutdown::Both).unwrap();
     let record = wait_for_record(&upstream, |r| {
-        r.entries.iter().any(|e| has_outcome(e, Ended::Cancelled))
+        r.entries
+            .iter()
+            .any(|e| has_outcome(e, RequestOutcome::Cancelled))
     });
     assert_eq!(record.await.entries[0].started_ms, None);
 }
@@ -177,8 +182,12 @@
     let calls: Vec<_> = (0..5)
         .map(|_| thread::spawn(move || read(send(addr, "/x", ""))))
         .collect();
-    let all_ran =
-        |r: &Record| r.entries.len() == 5 && r.entries.iter().all(|e| has_outcome(e, Ended::Ran));
+    let all_ran = |r: &Record| {
+        r.entries.len() == 5
+            && r.entries
+                .iter()
+                .all(|e| has_outcome(e, RequestOutcome::Ran))
+    };
     let record = wait_for_record(&upstream, all_ran).await;
     assert!(record.max_in_flight <= 2 && record.max_queued <= 3);
     assert!(calls
@@ -200,15 +209,18 @@
     assert!(record
         .entries
         .iter()
-        .all(|e| has_outcome(e, Ended::Running)));
+        .all(|e| has_outcome(e, RequestOutcome::Running)));
     assert_eq!(load(&upstream).await.in_flight, 2);
     set_faults(&upstream, json!({}));
     drop(hung_connections);
     let record = wait_for_record(&upstream, |r| {
-        r.entries.iter().all(|e| e.outcome != Ended::Running)
+        r.entries
+            .iter()
+            .all(|e| e.outcome != RequestOutcome::Running)
     });
     let started = record.await.entries.into_iter();
-    let started = started.filter(|e| has_outcome(e, Ended::Cancelled) && e.started_ms.is_some());
+    let started =
+        started.filter(|e| has_outcome(e, RequestOutcome::Cancelled) && e.started_ms.is_some());
     assert!(started.count() >= 2);
     let (head, _) = get(upstream.addr(), "/x", "").await;
     assert!(head.contains(" 200 "));
@@ -224,9 +236,9 @@
             let (head, _) = get(upstream.addr(), $path, $headers).await;
             assert!(head.contains($status) && head.contains($header), "{head}");
             let record = wait_for_record(&upstream, |r|
-                r.entries.iter().all(|e| !has_outcome(e, Ended::Running)));
+                r.entries.iter().all(|e| !has_outcome(e, RequestOutcome::Running)));
             let entry = record.await.entries.remove(0);
-            assert_eq!((entry.outcome, entry.started_ms.is_some()), (Ended::$outcome, $started));
+            assert_eq!((entry.outcome, entry.started_ms.is_some()), (RequestOutcome::$outcome, $started));
         }
     )* };
 }
@@ -256,7 +268,10 @@
     assert!(head.contains(" 503 ") && head.contains("upstream-refused: not-run"));
     let record = upstream.record();
     let late = record.entries.iter().find(|e| e.path == "/late").unwrap();
-    assert_eq!((late.outcome, late.started_ms), (Ended::Expired, None));
+    assert_eq!(
+        (late.outcome, late.started_ms),
+        (RequestOutcome::Expired, None)
+    );
     drop(hung_connections);
 }
 
@@ -352,7 +367,10 @@
     let hung_connection = send(upstream.addr(), "/x", "");
     wait_for_record(&upstream, |r| r.max_in_flight == 1).await;
     set_faults(&upstream, json!({"dead": true}));
-    let record = wait_for_record(&upstream, |r| has_outcome(&r.entries[0], Ended::Cancelled)).await;
+    let record = wait_for_record(&upstream, |r| {
+        has_outcome(&r.entries[0], RequestOutcome::Cancelled)
+    })
+    .await;
     assert!(record.entries[0].started_ms.is_some());
     let response = actix_web::rt::task::spawn_blocking(|| read(hung_connection));
     let (head, _) = response.await.unwrap();
