--- a/crates/report/src/bin/jasmine-report.rs
+++ b/crates/report/src/bin/jasmine-report.rs
@@ -1,7 +1,7 @@
-//! `jasmine-report`: asks all daemons for their counts and shows the burn of each class.
+//! `jasmine-report`: collects the counts of all daemons and prints the burn of each class.
 //!
-//! Exit codes: 0 a report was made, even if some daemons did not answer (they are named in it);
-//! 1 no daemon answered; 2 bad input, or the report can't be written.
+//! Exit codes: 0 if a report was produced, even if some daemons did not answer (the report names
+//! them); 1 if no daemon answered; 2 for bad input or if the report can't be written.
 
 use clap::{
     Parser,
@@ -14,8 +14,8 @@
     Failure, //
 };
 use report::{
-    NotAnswered,
     Report, //
+    UnansweredDaemon,
 };
 use std::{
     fs,
@@ -34,9 +34,9 @@
     },
 };
 
-/// Exit code when no daemon answered.
+/// Exit code if no daemon answered.
 const NO_ANSWER: u8 = 1;
-/// Exit code for bad input.
+/// Exit code for bad input and for a report that can't be written.
 const BAD_INPUT: u8 = 2;
 
 /// Service-level burn of each class, over all daemons.
@@ -52,31 +52,31 @@
         value_parser = op::read_addr
     )]
     daemon: Vec<String>,
-    /// Ask only the daemons that are named.
+    /// Query only the daemons given by --daemon.
     #[arg(long)]
     only: bool,
-    /// File that holds the operators' key; without it, the variable JASMINE_KEY does.
+    /// File that contains the operators' key; by default the key is read from JASMINE_KEY.
     #[arg(long, env = "JASMINE_KEY_FILE")]
     key_file: Option<PathBuf>,
-    /// Form of the report.
+    /// Format of the report.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     output: Format,
-    /// File that the report is written to; without it, standard output.
+    /// File that the report is written to; standard output by default.
     #[arg(long)]
     to: Option<PathBuf>,
-    /// Longest wait for one daemon's answer, in seconds.
+    /// Timeout for the answer of each daemon, in seconds.
     #[arg(long, default_value_t = 10)]
     request_timeout_s: u64,
 }
 
-/// Form of the report.
+/// Format of the report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 enum Format {
-    /// For people, in a terminal.
+    /// Plain text for a terminal.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
-    /// One page with plots, for a browser.
+    /// HTML page with plots for a browser.
     Html,
 }
 
@@ -89,7 +89,7 @@
     };
     let timeout = Duration::from_secs(args.request_timeout_s);
     let client = Client::new(args.daemon.clone(), key, timeout);
-    let report = match gather(&client, args.only).await {
+    let report = match query_daemons(&client, args.only).await {
         Ok(report) => report,
         Err(failure) => return fail(NO_ANSWER, &failure),
     };
@@ -100,7 +100,7 @@
     };
     match args.to {
         None => {
-            if let Err(error) = print(&text) {
+            if let Err(error) = print_report(&text) {
                 return fail(BAD_INPUT, &format!("standard output: {error}"));
             }
         }
@@ -113,12 +113,12 @@
     ExitCode::SUCCESS
 }
 
-/// Asks all daemons at once.
+/// Queries all daemons concurrently and merges their counts.
 ///
 /// # Errors
 ///
-/// When none answered.
-async fn gather(client: &Client, only: bool) -> Result<Report, String> {
+/// If no daemon answered.
+async fn query_daemons(client: &Client, only: bool) -> Result<Report, String> {
     let daemons = if only {
         client.given_daemons()
     } else {
@@ -133,9 +133,9 @@
     for (daemon, answer) in daemons.iter().zip(answers) {
         match answer {
             Ok(burn) => counted.push(burn),
-            Err(failure) => not_answered.push(NotAnswered {
+            Err(failure) => not_answered.push(UnansweredDaemon {
                 daemon: daemon.to_string(),
-                why: why(&daemon.addr, failure),
+                why: failure_reason(&daemon.addr, failure),
             }),
         }
     }
@@ -147,8 +147,8 @@
     Ok(Report::new(at_ms, counted, not_answered))
 }
 
-/// Why one daemon did not answer, without its address: it is named beside.
-fn why(addr: &str, failure: Failure) -> String {
+/// Reason why a daemon did not answer, without its address, which the report prints beside it.
+fn failure_reason(addr: &str, failure: Failure) -> String {
     match failure {
         Failure::NoAnswer { tried } => {
             let tried = tried.iter();
@@ -159,18 +159,18 @@
     }
 }
 
-/// Prints the report; who reads it may stop in the middle.
-fn print(text: &str) -> io::Result<()> {
+/// Prints the report; a reader that closes the pipe early is not an error.
+fn print_report(text: &str) -> io::Result<()> {
     let mut out = stdout().lock();
-    let printed = out.write_all(text.as_bytes()).and_then(|()| out.flush());
-    match printed {
+    let result = out.write_all(text.as_bytes()).and_then(|()| out.flush());
+    match result {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(error),
         _ => Ok(()),
     }
 }
 
 fn fail(code: u8, message: &str) -> ExitCode {
-    // Nobody may listen; the code tells as much.
+    // Standard error may be closed; the exit code reports the failure in any case.
     let _ = writeln!(stderr(), "{message}");
     ExitCode::from(code)
 }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one page that opens without network.
+//! The report as one HTML page that needs no network access.
 
 use crate::{
     plot,
@@ -6,16 +6,16 @@
         alert_lines,
         bad_pct,
         burn_text,
+        format_duration,
         latency_line,
         objective,
-        span,
         wall_time, //
     },
     ClassReport,
     Report, //
 };
 
-/// Style of the page; nothing is loaded from elsewhere.
+/// Style sheet, inlined so that the page loads no external resources.
 const STYLE: &str = "body{font-family:sans-serif;margin:2em;max-width:74em}\
     table{border-collapse:collapse;margin:.5em 0}\
     th,td{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}\
@@ -25,7 +25,7 @@
     .plots{display:flex;flex-wrap:wrap;gap:1em}";
 
 impl Report {
-    /// The report as a page.
+    /// Formats the report as an HTML page.
     pub fn html(&self) -> String {
         let at = wall_time(self.at_ms);
         let classes: String = self.classes.iter().map(class_section).collect();
@@ -36,15 +36,15 @@
              {}{}{classes}<h2>Counted since</h2>\n{}<p class=\"note\">{}</p>\n</body></html>\n",
             self.counted.len(),
             self.not_answered.len(),
-            self.missing(),
-            self.alerts(),
-            self.daemons(),
-            escape(self.past),
+            self.unanswered_section(),
+            self.alert_section(),
+            self.daemon_table(),
+            escape(self.coverage_note),
         )
     }
 
-    /// All alerts at once, for whoever sees only the top of a long page.
-    fn alerts(&self) -> String {
+    /// Alerts of all classes, shown at the top so that a long page hides none.
+    fn alert_section(&self) -> String {
         let alerts = self.classes.iter().flat_map(|class| {
             let lines = alert_lines(class).into_iter();
             lines.map(|line| format!("{}: {line}", class.class))
@@ -58,31 +58,31 @@
         lines
     }
 
-    fn missing(&self) -> String {
-        let items = self.not_answered.iter().map(|missing| {
-            let (daemon, why) = (escape(&missing.daemon), escape(&missing.why));
+    fn unanswered_section(&self) -> String {
+        let items = self.not_answered.iter().map(|unanswered| {
+            let (daemon, why) = (escape(&unanswered.daemon), escape(&unanswered.why));
             format!("<p class=\"alert\">Did not answer, not counted: {daemon}: {why}</p>\n")
         });
         items.collect()
     }
 
-    fn daemons(&self) -> String {
-        let head = ["instance", "region", "domain", "version", "counted for"];
+    fn daemon_table(&self) -> String {
+        let header = ["instance", "region", "domain", "version", "counted for"];
         let rows = self.counted.iter().map(|daemon| {
             vec![
                 format!("{}#{}", daemon.instance, daemon.incarnation),
                 daemon.region.to_string(),
                 daemon.failure_domain.to_string(),
                 daemon.version.to_string(),
-                span(daemon.age_s),
+                format_duration(daemon.age_s),
             ]
         });
-        table(&head, rows)
+        table(&header, rows)
     }
 }
 
 fn class_section(class: &ClassReport) -> String {
-    let head = [
+    let header = [
         "window",
         "covered",
         "good requests",
@@ -92,7 +92,7 @@
     ];
     let rows = class.windows.iter().map(|window| {
         vec![
-            span(window.length_s),
+            format_duration(window.length_s),
             format!("{}%", window.covered_pct),
             window.good.to_string(),
             window.bad.to_string(),
@@ -108,15 +108,18 @@
         "<h2>{}</h2>\n<p>{}.</p>\n{alerts}{}<p class=\"latency\">{}.</p>\n<div class=\"plots\">\n{}{}</div>\n",
         escape(&class.class),
         escape(&objective(class)),
-        table(&head, rows),
+        table(&header, rows),
         latency_line(&class.latency),
         plot::burn(class),
         plot::latency(class),
     )
 }
 
-fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
-    let head: String = head.iter().map(|cell| format!("<th>{cell}</th>")).collect();
+fn table(header: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
+    let header: String = header
+        .iter()
+        .map(|cell| format!("<th>{cell}</th>"))
+        .collect();
     let rows: String = rows
         .map(|cells| {
             let cells = cells.iter();
@@ -126,10 +129,10 @@
             format!("<tr>{cells}</tr>\n")
         })
         .collect();
-    format!("<table>\n<tr>{head}</tr>\n{rows}</table>\n")
+    format!("<table>\n<tr>{header}</tr>\n{rows}</table>\n")
 }
 
-/// Text as HTML; names come from files that operators wrote.
+/// Escapes text for HTML: names come from operators' files and may contain markup.
 fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for character in text.chars() {
--- a/crates/report/src/merge.rs
+++ b/crates/report/src/merge.rs
@@ -1,11 +1,11 @@
-//! Merging what the daemons answered.
+//! Merges the counts of all daemons into one report.
 
 use crate::window::{
     alerts,
     minutes,
     windows,
     Alert,
-    Counts,
+    DaemonBuckets,
     Minute,
     Window, //
 };
@@ -28,48 +28,48 @@
     BTreeSet, //
 };
 
-/// Longest latency that the histograms hold, in microseconds: beyond any deadline.
+/// Highest latency that the histograms record, in microseconds; longer than any deadline.
 const LATENCY_MAX_US: u64 = 1 << 32;
-/// Digits of a latency that count; daemons give about as many.
-const LATENCY_DIGITS: u8 = 2;
-/// Steps of the latency curve for each halving of what is left to 100 %.
-const CURVE_STEPS: u32 = 4;
+/// Significant digits of a recorded latency; daemons report about the same precision.
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 2;
+/// Points of the latency curve for each halving of the distance to 100 %.
+const CURVE_POINTS_PER_HALVING: u32 = 4;
 
-/// What is said of instances that were replaced, in every form of the report.
-pub(crate) const PAST: &str = "Counts begin with each process and survive nothing: of an instance \
-    that was replaced, what came before is gone and is not in any window; the column \"covered\" says \
-    how much of a window the answering daemons have counted.";
+/// Note on replaced instances and coverage, included in every format of the report.
+pub(crate) const COVERAGE_NOTE: &str = "Counts begin with each process and survive nothing: \
+    of an instance that was replaced, what came before is gone and is not in any window; the column \
+    \"covered\" says how much of a window the answering daemons have counted.";
 
 /// A daemon whose counts are in the report.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Counted {
-    /// The instance.
+pub struct CountedDaemon {
+    /// Instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: DomainId,
-    /// Configuration in force there.
+    /// Configuration version in force at the daemon.
     pub version: Version,
-    /// Time since it began to count, in seconds.
+    /// Time since the daemon started to count, in seconds.
     pub age_s: u64,
 }
 
-/// A daemon whose counts are missing.
+/// A daemon that did not answer, so that its counts are missing.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct NotAnswered {
-    /// Its name if it is known, and its address.
+pub struct UnansweredDaemon {
+    /// Name of the daemon, if known, and its address.
     pub daemon: String,
-    /// Why there is no answer.
+    /// Reason why the daemon's counts are missing.
     pub why: String,
 }
 
-/// Latency of whole answers since each daemon's start.
+/// Latency of complete responses since each daemon's start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LatencyReport {
-    /// Whole answers.
+    /// Number of complete responses.
     pub count: u64,
     /// Median, in microseconds.
     pub p50_us: u64,
@@ -79,65 +79,66 @@
     pub p99_us: u64,
     /// 99.9th percentile, in microseconds.
     pub p999_us: u64,
-    /// Longest, in microseconds.
+    /// Maximum, in microseconds.
     pub max_us: u64,
-    /// Curve for a plot: percentile and latency in microseconds.
+    /// Points of the plotted curve: percentile and latency in microseconds.
     #[serde(skip)]
     pub curve: Vec<(f64, u64)>,
 }
 
-/// One class over all daemons.
+/// Burn and latency of one class over all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassReport {
     /// Class.
     pub class: ClassId,
-    /// Good requests that are asked for, per million.
+    /// Target for good requests, per million.
     pub success_target_ppm: u32,
-    /// Latency up to which a whole answer is good, in milliseconds.
+    /// Latency up to which a complete response counts as good, in milliseconds.
     pub latency_target_ms: u64,
-    /// Whether daemons counted by other targets, as while a version spreads.
+    /// Whether some daemons counted by other targets, as happens while a new version spreads.
     pub targets_differ: bool,
-    /// Burn by window, the shortest first.
+    /// Burn by window, shortest window first.
     pub windows: Vec<Window>,
-    /// Burns that are too high.
+    /// Alerts raised by the windows.
     pub alerts: Vec<Alert>,
-    /// Latency.
+    /// Latency of complete responses.
     pub latency: LatencyReport,
-    /// The last hour by minutes, the oldest first.
+    /// Counts of the last hour by minute, oldest first.
     pub minutes: Vec<Minute>,
 }
 
 /// Burn of all classes over all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Wall time at which the daemons were asked, in milliseconds since the Unix epoch.
+    /// Wall time at which the daemons were queried, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// How the past of a replaced instance is treated.
-    pub past: &'static str,
-    /// Daemons that are counted, sorted by name.
-    pub counted: Vec<Counted>,
+    /// Note on replaced instances and on the coverage of windows.
+    #[serde(rename = "past")]
+    pub coverage_note: &'static str,
+    /// Daemons whose counts are included, sorted by name.
+    pub counted: Vec<CountedDaemon>,
     /// Daemons that did not answer.
-    pub not_answered: Vec<NotAnswered>,
+    pub not_answered: Vec<UnansweredDaemon>,
     /// Classes, sorted by name.
     pub classes: Vec<ClassReport>,
 }
 
 impl Report {
-    /// Merges the answers of daemons that were asked at `at_ms`.
+    /// Merges the counts of daemons that were queried at `at_ms`.
     ///
-    /// A daemon that answered twice, as under two addresses, counts once.
-    pub fn new(at_ms: u64, answers: Vec<Burn>, not_answered: Vec<NotAnswered>) -> Self {
-        let by_life: BTreeMap<(InstanceId, Incarnation), Burn> = answers
+    /// A daemon that was queried under two addresses is counted once.
+    pub fn new(at_ms: u64, answers: Vec<Burn>, not_answered: Vec<UnansweredDaemon>) -> Self {
+        let by_incarnation: BTreeMap<(InstanceId, Incarnation), Burn> = answers
             .into_iter()
             .map(|burn| ((burn.instance.clone(), burn.incarnation), burn))
             .collect();
-        let daemons: Vec<Burn> = by_life.into_values().collect();
+        let daemons: Vec<Burn> = by_incarnation.into_values().collect();
         let classes = daemons.iter().flat_map(|burn| &burn.classes);
         let classes: BTreeSet<&ClassId> = classes.map(|class| &class.class).collect();
         Self {
             at_ms,
-            past: PAST,
-            counted: daemons.iter().map(counted).collect(),
+            coverage_note: COVERAGE_NOTE,
+            counted: daemons.iter().map(counted_daemon).collect(),
             classes: classes
                 .into_iter()
                 .map(|class| class_report(class, &daemons))
@@ -147,8 +148,8 @@
     }
 }
 
-fn counted(burn: &Burn) -> Counted {
-    Counted {
+fn counted_daemon(burn: &Burn) -> CountedDaemon {
+    CountedDaemon {
         instance: burn.instance.clone(),
         incarnation: burn.incarnation,
         region: burn.region.clone(),
@@ -163,19 +164,19 @@
         .iter()
         .filter_map(|burn| Some((burn, burn.classes.iter().find(|c| c.class == *class)?)))
         .collect();
-    // Of two targets, that of the higher version is the one in force.
-    let newest = counts.iter().max_by_key(|(burn, _)| burn.version);
+    // If daemons report different targets, those of the highest version are in force.
+    let latest = counts.iter().max_by_key(|(burn, _)| burn.version);
     let targets = |class: &ClassBurn| (class.success_target_ppm, class.latency_target_ms);
-    let in_force = newest.map_or((0, 0), |(_, class)| targets(class));
-    let placed: Vec<Counts<'_>> = counts
+    let in_force = latest.map_or((0, 0), |(_, class)| targets(class));
+    let daemon_buckets: Vec<DaemonBuckets<'_>> = counts
         .iter()
-        .map(|(burn, class)| Counts {
+        .map(|(burn, class)| DaemonBuckets {
             burn,
             buckets: &class.buckets,
         })
         .collect();
     let (success_target_ppm, latency_target_ms) = in_force;
-    let windows = windows(&placed, daemons, success_target_ppm);
+    let windows = windows(&daemon_buckets, daemons, success_target_ppm);
     ClassReport {
         class: class.clone(),
         success_target_ppm,
@@ -184,24 +185,25 @@
         alerts: alerts(&windows),
         windows,
         latency: latency(counts.iter().map(|(_, class)| *class)),
-        minutes: minutes(&placed, success_target_ppm),
+        minutes: minutes(&daemon_buckets, success_target_ppm),
     }
 }
 
 fn latency<'a>(counts: impl Iterator<Item = &'a ClassBurn>) -> LatencyReport {
-    let mut merged = Histogram::<u64>::new_with_bounds(1, LATENCY_MAX_US, LATENCY_DIGITS)
-        .expect("the bounds are valid");
+    let mut merged =
+        Histogram::<u64>::new_with_bounds(1, LATENCY_MAX_US, LATENCY_SIGNIFICANT_DIGITS)
+            .expect("the bounds are valid");
     for (latency_us, count) in counts.flat_map(|class| &class.latency_us) {
         merged.saturating_record_n(*latency_us, *count);
     }
     if merged.is_empty() {
         return LatencyReport::default();
     }
-    let curve = merged.iter_quantiles(CURVE_STEPS);
-    let curve = curve.map(|step| {
+    let curve = merged.iter_quantiles(CURVE_POINTS_PER_HALVING);
+    let curve = curve.map(|point| {
         (
-            step.quantile_iterated_to() * 100.0,
-            step.value_iterated_to(),
+            point.quantile_iterated_to() * 100.0,
+            point.value_iterated_to(),
         )
     });
     LatencyReport {
--- a/crates/report/src/text.rs
+++ b/crates/report/src/text.rs
@@ -1,4 +1,4 @@
-//! The report as text.
+//! The report as plain text.
 
 use crate::{
     AlertKind,
@@ -16,7 +16,7 @@
 };
 
 impl Report {
-    /// The report for a terminal.
+    /// Formats the report for a terminal.
     pub fn text(&self) -> String {
         let mut text = format!(
             "service-level burn at {}, {} daemons counted, {} did not answer\n",
@@ -33,33 +33,33 @@
         text += "\ncounted since\n";
         for daemon in &self.counted {
             let instance = format!("{}#{}", daemon.instance, daemon.incarnation);
-            line(
+            push_line(
                 &mut text,
                 format_args!(
                     "  {instance:<24} {:>7} ago, version {}",
-                    span(daemon.age_s),
+                    format_duration(daemon.age_s),
                     daemon.version
                 ),
             );
         }
-        for missing in &self.not_answered {
-            let why = missing.why.replace('\n', " ");
-            line(
+        for unanswered in &self.not_answered {
+            let why = unanswered.why.replace('\n', " ");
+            push_line(
                 &mut text,
-                format_args!("did not answer, not counted: {}: {why}", missing.daemon),
+                format_args!("did not answer, not counted: {}: {why}", unanswered.daemon),
             );
         }
-        line(&mut text, format_args!("\n{}", self.past));
+        push_line(&mut text, format_args!("\n{}", self.coverage_note));
         text
     }
 }
 
 fn write_class(text: &mut String, class: &ClassReport) {
-    line(
+    push_line(
         text,
         format_args!("\n{}: {}", class.class, objective(class)),
     );
-    line(
+    push_line(
         text,
         format_args!(
             "  {:>6}  {:>7}  {:>10}  {:>10}  {:>9}  {:>8}",
@@ -67,11 +67,11 @@
         ),
     );
     for window in &class.windows {
-        line(
+        push_line(
             text,
             format_args!(
                 "  {:>6}  {:>6}%  {:>10}  {:>10}  {:>9}  {:>8}",
-                span(window.length_s),
+                format_duration(window.length_s),
                 window.covered_pct,
                 window.good,
                 window.bad,
@@ -80,13 +80,13 @@
             ),
         );
     }
-    line(text, format_args!("  {}", latency_line(&class.latency)));
+    push_line(text, format_args!("  {}", latency_line(&class.latency)));
     for alert in alert_lines(class) {
-        line(text, format_args!("  {alert}"));
+        push_line(text, format_args!("  {alert}"));
     }
 }
 
-/// What is asked of a class.
+/// Targets of a class.
 pub(crate) fn objective(class: &ClassReport) -> String {
     let mut text = format!(
         "{}% whole within {} ms",
@@ -99,7 +99,7 @@
     text
 }
 
-/// Percentiles of a class's latency, if there is any.
+/// Percentiles of a class's latency, if it has complete responses.
 pub(crate) fn latency_line(latency: &LatencyReport) -> String {
     if latency.count == 0 {
         return "no whole answers yet".to_owned();
@@ -107,11 +107,11 @@
     format!(
         "latency of {} whole answers: p50 {}, p90 {}, p99 {}, p99.9 {}, max {}",
         latency.count,
-        ms(latency.p50_us),
-        ms(latency.p90_us),
-        ms(latency.p99_us),
-        ms(latency.p999_us),
-        ms(latency.max_us)
+        format_ms(latency.p50_us),
+        format_ms(latency.p90_us),
+        format_ms(latency.p99_us),
+        format_ms(latency.p999_us),
+        format_ms(latency.max_us)
     )
 }
 
@@ -125,14 +125,14 @@
         format!(
             "{kind} BURN: {} or more over {} and over the last {}",
             alert.threshold,
-            span(alert.long_s),
-            span(alert.short_s)
+            format_duration(alert.long_s),
+            format_duration(alert.short_s)
         )
     });
     lines.collect()
 }
 
-/// Burn with two digits after the point.
+/// Burn with two decimal places.
 pub(crate) fn burn_text(burn: Option<f64>) -> String {
     match burn {
         None => "-".to_owned(),
@@ -141,24 +141,24 @@
     }
 }
 
-/// Part of bad requests.
+/// Percentage of bad requests.
 pub(crate) fn bad_pct(window: &Window) -> String {
     window.bad_ppm.map_or_else(|| "-".to_owned(), percent)
 }
 
-/// Parts per million as a percentage without needless digits.
+/// Parts per million as a percentage without trailing zeros.
 pub(crate) fn percent(ppm: u32) -> String {
     let text = format!("{}.{:04}", ppm / 10_000, ppm % 10_000);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
 
-/// Microseconds in milliseconds.
-fn ms(us: u64) -> String {
+/// Formats microseconds as milliseconds.
+fn format_ms(us: u64) -> String {
     format!("{:.1} ms", us as f64 / 1000.0)
 }
 
-/// Seconds in the largest unit that fits.
-pub(crate) fn span(seconds: u64) -> String {
+/// Formats seconds in the largest unit that fits.
+pub(crate) fn format_duration(seconds: u64) -> String {
     match seconds {
         0..60 => format!("{seconds} s"),
         60..3600 => format!("{} min", seconds / 60),
@@ -166,7 +166,7 @@
     }
 }
 
-/// Wall time for people.
+/// Wall time in RFC 3339 format, or `-` if it is out of range.
 pub(crate) fn wall_time(at_ms: u64) -> String {
     let at = UNIX_EPOCH.checked_add(Duration::from_millis(at_ms));
     at.map_or_else(
@@ -175,7 +175,7 @@
     )
 }
 
-/// Adds a line.
-fn line(text: &mut String, line: std::fmt::Arguments<'_>) {
+/// Appends a line to the text.
+fn push_line(text: &mut String, line: std::fmt::Arguments<'_>) {
     writeln!(text, "{line}").expect("writing to a string can't fail");
 }
--- a/crates/report/src/window.rs
+++ b/crates/report/src/window.rs
@@ -1,4 +1,4 @@
-//! Windows of time and the burn in them.
+//! Time windows, the burn in them and the alerts that follow from it.
 
 use op::{
     Bucket,
@@ -7,69 +7,71 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Windows that are reported: as much as daemons keep.
+/// Reported windows; the longest is the period for which daemons keep counts.
 pub(crate) const WINDOWS: [Duration; 4] = [
     Duration::from_secs(60),
     Duration::from_secs(5 * 60),
     Duration::from_secs(30 * 60),
     Duration::from_secs(60 * 60),
 ];
-/// Minutes that are plotted.
-pub(crate) const MINUTES: usize = 60;
-/// Milliseconds of a minute.
+/// Number of minutes in the plot of burn.
+pub(crate) const PLOTTED_MINUTES: usize = 60;
+/// Milliseconds in a minute.
 const MINUTE_MS: u64 = 60_000;
-/// One, in parts per million.
+/// The whole, in parts per million.
 const PPM: u32 = 1_000_000;
 
-/// When a burn is an alert.
+/// Alert that is raised when the burn reaches a threshold in two windows.
 ///
-/// The usual pairs for a target over 30 days are 14.4 over an hour and 6 over six hours, each
-/// confirmed by a window of a twelfth, so that an alert ends soon after its cause. Daemons keep an
-/// hour, so both are scaled down: they tell sooner, and of less.
-struct Rule {
+/// The usual rules for a target over 30 days are a burn of 14.4 over an hour and of 6 over six
+/// hours, each confirmed by a window of a twelfth of that length, so that an alert ends soon after
+/// its cause. Daemons keep counts for one hour only, so the windows are shorter here: alerts are
+/// raised earlier and for fewer failures.
+struct AlertRule {
     kind: AlertKind,
-    /// Indices in [`WINDOWS`].
-    long: usize,
-    short: usize,
-    burn: f64,
+    /// Index of the long window in [`WINDOWS`].
+    long_window: usize,
+    /// Index of the confirming window in [`WINDOWS`].
+    short_window: usize,
+    threshold: f64,
 }
 
-const RULES: [Rule; 2] = [
-    Rule {
+const ALERT_RULES: [AlertRule; 2] = [
+    AlertRule {
         kind: AlertKind::Fast,
-        long: 1,
-        short: 0,
-        burn: FAST_BURN,
+        long_window: 1,
+        short_window: 0,
+        threshold: FAST_BURN,
     },
-    Rule {
+    AlertRule {
         kind: AlertKind::Slow,
-        long: 3,
-        short: 1,
-        burn: SLOW_BURN,
+        long_window: 3,
+        short_window: 1,
+        threshold: SLOW_BURN,
     },
 ];
 
-/// Burn over five minutes, and over the last of them, that is an alert.
+/// Burn over five minutes and over the last minute that raises a fast alert.
 pub(crate) const FAST_BURN: f64 = 14.4;
-/// Burn over an hour, and over the last five minutes, that is an alert.
+/// Burn over an hour and over the last five minutes that raises a slow alert.
 pub(crate) const SLOW_BURN: f64 = 6.0;
 
-/// Which alert.
+/// Kind of an alert, by its urgency.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AlertKind {
-    /// The budget goes fast: look now.
+    /// The budget is used up fast and needs attention at once.
     Fast,
-    /// The budget goes steadily: look today.
+    /// The budget is used up steadily and needs attention within the day.
     Slow,
 }
 
-/// A burn that is too high, in a long window and in the short one at its end.
+/// A burn that reached a threshold in a long window and in the short window at its end.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Alert {
-    /// Which.
+    /// Kind of the alert.
     pub kind: AlertKind,
-    /// Burn that both windows reached.
+    /// Threshold that the burn reached in both windows.
     pub threshold: f64,
     /// Length of the long window, in seconds.
     pub long_s: u64,
@@ -80,80 +82,89 @@
 /// Requests of one class in one window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Window {
-    /// Length, in seconds.
+    /// Length of the window, in seconds.
     pub length_s: u64,
-    /// Part of the window that the answering daemons have counted, in percent.
+    /// Part of the window that is covered by the answering daemons' counts, in percent.
     pub covered_pct: u8,
     /// Requests answered whole and in time.
     pub good: u64,
     /// All others.
     pub bad: u64,
-    /// Bad requests, per million; none without requests.
+    /// Bad requests, per million; `None` without requests.
     pub bad_ppm: Option<u32>,
-    /// How many times faster than allowed the budget goes; none without requests.
+    /// Rate at which the budget is used up, relative to the allowed rate; `None` without requests.
     pub burn: Option<f64>,
 }
 
 /// Requests of one class in one minute.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Minute {
-    /// Minutes ago that it ended.
+    /// Number of minutes since this one ended.
     pub ago_min: u64,
     /// Requests answered whole and in time.
     pub good: u64,
     /// All others.
     pub bad: u64,
-    /// Burn; none without requests.
+    /// Burn in this minute; `None` without requests.
     pub burn: Option<f64>,
 }
 
-/// One daemon's buckets of one class, with what is needed to place them in time.
-pub(crate) struct Counts<'a> {
+/// One daemon's buckets of one class, with the report that gives their position in time.
+pub(crate) struct DaemonBuckets<'a> {
     pub(crate) burn: &'a Burn,
     pub(crate) buckets: &'a [Bucket],
 }
 
-impl Counts<'_> {
-    /// Buckets with how long ago each began, in milliseconds.
-    fn with_ages(&self) -> impl Iterator<Item = (u64, Bucket)> + '_ {
+impl DaemonBuckets<'_> {
+    /// Buckets with the time since the start of each, in milliseconds.
+    fn buckets_with_ages(&self) -> impl Iterator<Item = (u64, Bucket)> + '_ {
         let bucket_ms = self.burn.bucket_ms;
         self.buckets.iter().map(move |bucket| {
-            let began_ms = bucket.index.saturating_mul(bucket_ms);
-            (self.burn.age_ms.saturating_sub(began_ms), *bucket)
+            let start_ms = bucket.index.saturating_mul(bucket_ms);
+            (self.burn.age_ms.saturating_sub(start_ms), *bucket)
         })
     }
 }
 
-/// How many times faster than allowed the budget goes; none without requests.
+/// Rate at which the budget is used up, relative to the allowed rate; `None` without requests.
 pub(crate) fn burn(good: u64, bad: u64, success_target_ppm: u32) -> Option<f64> {
-    let all = good + bad;
+    let total = good + bad;
     let budget = f64::from(PPM.saturating_sub(success_target_ppm)) / f64::from(PPM);
-    if all == 0 {
+    if total == 0 {
         return None;
     }
-    let bad_part = bad as f64 / all as f64;
-    // A target of all requests leaves no budget: without a bad one nothing burns, with one all
-    // does. The largest finite number stands for that, as JSON has no infinity.
+    let bad_ratio = bad as f64 / total as f64;
+    // A target of 100 % leaves no budget: the burn is 0 without bad requests and infinite with any.
+    // `f64::MAX` stands for infinity, which JSON can't represent.
     if budget == 0.0 {
         return Some(if bad == 0 { 0.0 } else { f64::MAX });
     }
-    Some(bad_part / budget)
+    Some(bad_ratio / budget)
 }
 
-/// All windows of a class.
-pub(crate) fn windows(counts: &[Counts<'_>], daemons: &[Burn], target_ppm: u32) -> Vec<Window> {
+/// Burn of a class in each of [`WINDOWS`].
+pub(crate) fn windows(
+    counts: &[DaemonBuckets<'_>],
+    daemons: &[Burn],
+    target_ppm: u32,
+) -> Vec<Window> {
     WINDOWS
         .iter()
         .map(|length| window(counts, daemons, target_ppm, *length))
         .collect()
 }
 
-fn window(counts: &[Counts<'_>], daemons: &[Burn], target_ppm: u32, length: Duration) -> Window {
+fn window(
+    counts: &[DaemonBuckets<'_>],
+    daemons: &[Burn],
+    target_ppm: u32,
+    length: Duration,
+) -> Window {
     let length_ms = millis(length);
     let mut good = 0;
     let mut bad = 0;
-    for (began_ms_ago, bucket) in counts.iter().flat_map(Counts::with_ages) {
-        if began_ms_ago <= length_ms {
+    for (age_ms, bucket) in counts.iter().flat_map(DaemonBuckets::buckets_with_ages) {
+        if age_ms <= length_ms {
             good += bucket.good;
             bad += bucket.bad;
         }
@@ -169,24 +180,24 @@
     }
 }
 
-/// Part of a window that the daemons have counted, rounded down.
+/// Part of a window that is covered by the daemons' counts, in percent, rounded down.
 fn covered_pct(daemons: &[Burn], length_ms: u64) -> u8 {
     let covered_ms: u64 = daemons.iter().map(|d| d.age_ms.min(length_ms)).sum();
-    let whole_ms = length_ms * daemons.len() as u64;
-    let pct = covered_ms * 100 / whole_ms.max(1);
+    let total_ms = length_ms * daemons.len() as u64;
+    let pct = covered_ms * 100 / total_ms.max(1);
     u8::try_from(pct).unwrap_or(100)
 }
 
-/// The last hour by minutes, the oldest first.
-pub(crate) fn minutes(counts: &[Counts<'_>], target_ppm: u32) -> Vec<Minute> {
-    let mut minutes: Vec<Minute> = (0..MINUTES as u64)
+/// Counts of the last hour by minute, oldest first.
+pub(crate) fn minutes(counts: &[DaemonBuckets<'_>], target_ppm: u32) -> Vec<Minute> {
+    let mut minutes: Vec<Minute> = (0..PLOTTED_MINUTES as u64)
         .map(|ago_min| Minute {
             ago_min,
             ..Minute::default()
         })
         .collect();
-    for (began_ms_ago, bucket) in counts.iter().flat_map(Counts::with_ages) {
-        let index = usize::try_from(began_ms_ago / MINUTE_MS).unwrap_or(usize::MAX);
+    for (age_ms, bucket) in counts.iter().flat_map(DaemonBuckets::buckets_with_ages) {
+        let index = usize::try_from(age_ms / MINUTE_MS).unwrap_or(usize::MAX);
         if let Some(minute) = minutes.get_mut(index) {
             minute.good += bucket.good;
             minute.bad += bucket.bad;
@@ -199,17 +210,20 @@
     minutes
 }
 
-/// Alerts that the windows give.
+/// Alerts that the windows raise.
 pub(crate) fn alerts(windows: &[Window]) -> Vec<Alert> {
-    let reached = |index: usize, burn: f64| windows[index].burn.is_some_and(|b| b >= burn);
-    RULES
+    let reached =
+        |index: usize, threshold: f64| windows[index].burn.is_some_and(|burn| burn >= threshold);
+    ALERT_RULES
         .iter()
-        .filter(|rule| reached(rule.long, rule.burn) && reached(rule.short, rule.burn))
+        .filter(|rule| {
+            reached(rule.long_window, rule.threshold) && reached(rule.short_window, rule.threshold)
+        })
         .map(|rule| Alert {
             kind: rule.kind,
-            threshold: rule.burn,
-            long_s: WINDOWS[rule.long].as_secs(),
-            short_s: WINDOWS[rule.short].as_secs(),
+            threshold: rule.threshold,
+            long_s: WINDOWS[rule.long_window].as_secs(),
+            short_s: WINDOWS[rule.short_window].as_secs(),
         })
         .collect()
 }
--- a/crates/report/tests/system.rs
+++ b/crates/report/tests/system.rs
@@ -1,4 +1,4 @@
-//! `jasmine-report` over real daemons.
+//! `jasmine-report` queries real daemons.
 
 use rig::{
     Layout,
@@ -40,8 +40,8 @@
     std::str::from_utf8(bytes).unwrap()
 }
 
-/// One request, over a connection of its own.
-fn work(rig: &Rig, id: &str) {
+/// Sends one request over a new connection and expects status 200.
+fn send_request(rig: &Rig, id: &str) {
     let mut stream = TcpStream::connect(&rig.daemons[id].callers).unwrap();
     let head = "GET /v1/work/menu/x HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
@@ -50,15 +50,15 @@
     assert!(answer.starts_with(b"HTTP/1.1 200"), "{}", text(&answer));
 }
 
-/// Symptom: a report misses an instance's failures and nobody notices. Sequence: requests at two
-/// daemons, then one is killed and, later, replaced. Cause: counts live in the process; what is
-/// missing or gone has to be said.
+/// Guards against a report that silently omits an instance's failures. Two daemons handle requests,
+/// then one is killed and later replaced. Counts are lost with their process, so the report has to
+/// name the daemons that did not answer.
 #[test]
-fn the_report_counts_all_daemons_and_names_the_missing() {
+fn the_report_counts_all_daemons_and_names_unanswered_ones() {
     let mut rig = Rig::start(Layout::one_region()).unwrap();
     for _ in 0..5 {
-        work(&rig, "arusha-0");
-        work(&rig, "arusha-1");
+        send_request(&rig, "arusha-0");
+        send_request(&rig, "arusha-1");
     }
     let daemon = rig.daemons["arusha-0"].operator.clone();
     let json = |args: &[&str]| -> Value {
@@ -71,8 +71,8 @@
     assert_eq!(class["class"], "menu");
     assert_eq!(class["success_target_ppm"], 999_000);
     let hour = &class["windows"][3];
-    let all = hour["good"].as_u64().unwrap() + hour["bad"].as_u64().unwrap();
-    assert_eq!(all, 10, "{report}");
+    let total = hour["good"].as_u64().unwrap() + hour["bad"].as_u64().unwrap();
+    assert_eq!(total, 10, "{report}");
     assert_eq!(class["latency"]["count"], 10);
     assert_eq!(report["not_answered"], serde_json::json!([]));
     assert_eq!(json(&["--only"])["counted"].as_array().unwrap().len(), 1);
@@ -80,8 +80,8 @@
     rig.kill("arusha-1");
     let report = json(&[]);
     assert_eq!(report["counted"].as_array().unwrap().len(), 1);
-    let missing = report["not_answered"][0]["daemon"].as_str().unwrap();
-    assert!(missing.starts_with("arusha-1 ("), "{report}");
+    let unanswered = report["not_answered"][0]["daemon"].as_str().unwrap();
+    assert!(unanswered.starts_with("arusha-1 ("), "{report}");
     assert_eq!(report["classes"][0]["latency"]["count"], 5);
 
     rig.start_daemon("arusha-1").unwrap();
@@ -90,7 +90,7 @@
     assert_eq!(report["counted"].as_array().unwrap().len(), 2, "{report}");
     assert_eq!(
         report["classes"][0]["latency"]["count"], 5,
-        "the past is gone"
+        "counts of the killed process are lost"
     );
 
     let output = run(&["--daemon", &daemon]);
@@ -102,8 +102,8 @@
     assert!(text(&output.stdout).contains("<svg"), "{output:?}");
 }
 
-/// Answers every connection as a daemon of another release might.
-fn another_release() -> String {
+/// Starts a server that answers every connection as a daemon of another release might.
+fn start_other_release() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn bad_input_and_no_daemon_are_told() {
-    let other = another_release();
+fn bad_input_and_unusable_daemons_are_reported() {
+    let other = start_other_release();
     let empty = env::temp_dir().join(format!("jasmine-report-{}.key", process::id()));
     fs::write(&empty, "\n").unwrap();
     let empty_key = empty.to_str().unwrap();
@@ -152,10 +152,10 @@
     fs::remove_file(empty).unwrap();
 }
 
-/// Symptom: a job that keeps reports goes on although there is none. Sequence: the report is made,
-/// then the file can't be written, or the key is another one. Cause: a failure that comes late.
+/// Guards against a job that archives reports and doesn't notice that there is none. The report is
+/// generated but its file can't be written, or the key is wrong: the exit code has to show it.
 #[test]
-fn a_report_that_is_made_and_lost_is_told() {
+fn write_errors_and_wrong_keys_are_reported() {
     let key = "the-operators-key-of-the-rig";
     let rig = Rig::start(Layout {
         operator_key: Some(key),
@@ -169,7 +169,7 @@
     fs::write(&right, key).unwrap();
     fs::write(&wrong, "another-key-of-the-same-sort").unwrap();
     let (right, wrong) = (right.to_str().unwrap(), wrong.to_str().unwrap());
-    let at = |args: &[&str]| run(&[&["--daemon", &daemon], args].concat());
+    let run_on_daemon = |args: &[&str]| run(&[&["--daemon", &daemon], args].concat());
     for (args, code, message) in [
         (&["--key-file", right][..], 0, ""),
         (&["--key-file", right, "--to", "/dev/full"], 2, "/dev/full"),
@@ -186,7 +186,7 @@
         ),
         (&[], 1, "key is missing or wrong"),
     ] {
-        let output = at(args);
+        let output = run_on_daemon(args);
         assert_eq!(output.status.code(), Some(code), "{args:?} {output:?}");
         let messages = text(&output.stderr);
         assert!(messages.contains(message), "{args:?} {output:?}");
