--- a/demo.sh
+++ b/demo.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Brings up a three-region deployment at a user's sizes on loopback, drives a mixed load at it with
-# a drain, a leaving upstream and a planned stop, and prints a table by class. The last line is
-# `N requests, V violations`; the exit status is not zero when V > 0.
+# Starts a deployment of three regions on loopback with the sizes of an example user, runs a mixed
+# load with a drain, a leaving upstream and a planned stop, and prints a table by class. The last
+# line is `N requests, V violations`; the exit status is not zero if V > 0.
 #
-# Everything is ended by its id when the script ends, also on Ctrl-C. Ports are free ones, taken by
-# reservation, so that two demos can run side by side. With DEMO_KEEP set the folder of logs, records
-# and the report is kept; after a failure it always is.
+# Every process is ended by its id when the script ends, also on Ctrl-C. Free ports are reserved, so
+# that two demos can run side by side. If DEMO_KEEP is set, the folder with the logs, records and the
+# report is kept; after a failure it is always kept.
 set -euo pipefail
 
 usage() {
@@ -13,7 +13,7 @@
     exit 2
 }
 
-# Sizes: service=upstreams:slots:service_ms; delays between regions, each way.
+# Sizes as service=upstreams:slots:service_ms, and the one-way delay between regions.
 case "${1:-}" in
 kilima)
     regions=(arusha moshi dar)
@@ -40,16 +40,16 @@
 dir=$(mktemp -d "${TMPDIR:-/tmp}/jasmine-demo.XXXXXX")
 ports=${TMPDIR:-/tmp}/jasmine-demo-ports
 mkdir -p "$ports"
-started=()
+child_pids=()
 reserved=()
 
-# Ends what was started, newest first, and waits for it.
+# Ends all started processes, newest first, and waits for them.
 cleanup() {
     local status=$? i
     trap - EXIT INT TERM
-    for ((i = ${#started[@]} - 1; i >= 0; i--)); do
-        kill -KILL "${started[i]}" 2>/dev/null || true
-        wait "${started[i]}" 2>/dev/null || true
+    for ((i = ${#child_pids[@]} - 1; i >= 0; i--)); do
+        kill -KILL "${child_pids[i]}" 2>/dev/null || true
+        wait "${child_pids[i]}" 2>/dev/null || true
     done
     for port in "${reserved[@]}"; do
         rmdir "$ports/$port" 2>/dev/null || true
@@ -65,8 +65,8 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# Sets `addr` to an address with a free port. Another demo may look at the same moment, so the port
-# is reserved by making a folder, of which only one of them can be the maker.
+# Sets `addr` to an address with a free port. Another demo may look for one at the same time, so the
+# port is reserved by creating a folder, which only one of them can do.
 free_addr() {
     local port
     while :; do
@@ -80,15 +80,15 @@
     done
 }
 
-# Starts a program with its output in a log; its id is appended to `started`.
+# Starts a program with its output in a log; its process id is appended to `child_pids`.
 start() {
     local log=$dir/$1.log program=$2
     shift 2
     "$bin/$program" "$@" >"$log" 2>&1 &
-    started+=($!)
+    child_pids+=($!)
 }
 
-# Waits until a log has a line that matches.
+# Waits until a log contains a matching line.
 wait_line() {
     local i
     for ((i = 0; i < 600; i++)); do
@@ -100,13 +100,13 @@
     exit 1
 }
 
-# Prints the address that a stand-in announced under a name.
+# Prints the address that a stand-in announced for a name.
 announced() {
     awk -v name="$2" '$1 == "listening" && NF == 3 && $2 == name { print $3; exit }
         $1 == "listening" && NF == 2 && name == "" { print $2; exit }' "$dir/$1.log"
 }
 
-# The instances, with their addresses.
+# Instances and their addresses.
 ids=()
 declare -A region_of domain_of callers_of peers_of operator_of
 for region in "${regions[@]}"; do
@@ -121,7 +121,7 @@
     done
 done
 
-# The platform, with its list of instances.
+# Platform, with its list of instances.
 {
     echo '{"instances":['
     separator=
@@ -137,7 +137,7 @@
 wait_line platform '^listening'
 platform=$(announced platform "")
 
-# The upstreams, dealt out over the regions and their failure domains.
+# Upstreams, distributed evenly over the regions and their failure domains.
 {
     echo '['
     separator=
@@ -158,7 +158,7 @@
 wait_line upstreams '^listening control'
 upstreams=$(announced upstreams control)
 
-# The links: a relay from each region to each daemon of the others.
+# Links: a relay from each region to each daemon of the other regions.
 relays=()
 for region in "${regions[@]}"; do
     for id in "${ids[@]}"; do
@@ -171,11 +171,11 @@
 start links standin-link "${relays[@]}"
 wait_line links '^listening control'
 declare -A dial_of
-while read -r _ name at; do
-    dial_of[$name]=$at
+while read -r _ name dial_addr; do
+    dial_of[$name]=$dial_addr
 done < <(grep '^listening' "$dir/links.log")
 
-# The daemons.
+# Daemons.
 declare -A pid_of
 for id in "${ids[@]}"; do
     {
@@ -202,7 +202,7 @@
     pid_of[$id]=$!
 done
 
-# The configuration. A daemon that has just started may not take it yet.
+# Configuration. It is retried because a daemon that has just started may not accept it yet.
 ctl=("$bin/jasminectl")
 for id in "${ids[@]}"; do
     ctl+=(--daemon "${operator_of[$id]}")
@@ -217,10 +217,10 @@
     fi
     sleep 0.2
 done
-# Its progress while the daemons come up would look like trouble.
+# Only the result is printed: progress messages from the daemons' start would look like failures.
 tail -n 2 "$dir/accept.log"
 
-# Waits until a daemon answers `GET /v1/ready` with success.
+# Waits until a daemon answers `GET /v1/ready` with status 200.
 wait_ready() {
     local i host=${1%:*} port=${1#*:} line
     for ((i = 0; i < 600; i++)); do
@@ -241,14 +241,14 @@
 done
 echo "$user: ${#ids[@]} daemons ready in ${#regions[@]} regions"
 
-# Meanwhile: a planned stop of one entry under load. The drain and the leaving upstream are events
-# of the scene, so that the judge knows when they began.
+# Planned stop of one entry during the load. The drain and the leaving upstream are events of the
+# scene, so that the load driver's checks know when they began.
 stopped=${regions[1]}-0
 (
     sleep 12
     kill -TERM "${pid_of[$stopped]}"
 ) &
-started+=($!)
+child_pids+=($!)
 
 load=("$bin/jasmine-load" run "scenes/$user.yaml" --config "examples/$user.yaml")
 load+=(--platform "$platform" --upstreams "$upstreams")
@@ -260,7 +260,7 @@
 status=0
 "${load[@]}" >"$dir/load.log" || status=$?
 
-# A planned stop under load ends with status 0 within its limit.
+# A planned stop under load has to end with status 0 within its time limit.
 for ((i = 0; i < 300; i++)); do
     kill -0 "${pid_of[$stopped]}" 2>/dev/null || break
     sleep 0.1
--- a/measure/blocks.sh
+++ b/measure/blocks.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# A daemon's memory and look-ups with a large block table.
+# Memory and look-up performance of a daemon with a large block table.
 #
 #   measure/blocks.sh BLOCKS [SECONDS]
 #
-# Accepts a table of BLOCKS blocks through one daemon, and lets another adopt it as it starts. Then
-# accepts ten differences of 1,000 blocks while look-ups go on, and at last a table of as many blocks
-# that shares none with the one in force. Prints one row of a table; memory is of the daemon that
-# accepted, of the one that only adopted, and of one that started afterwards.
+# Accepts a table of BLOCKS blocks through one daemon while a second adopts it, and starts a third
+# afterwards. Then accepts ten differences of 1,000 blocks during look-ups, and finally a table of
+# the same size that has no block in common with the one in force. Prints one row of a table; memory
+# is given for the daemon that accepted, the one that adopted, and the one that started later.
 . "$(dirname "$0")/lib.sh"
 
 BLOCKS=$1
@@ -16,11 +16,11 @@
 DOMAINS=1
 SERVICES=menu
 UPSTREAMS=1
-# Sites; the blocks' preferences name three of them each.
+# Number of regions; each preference of the blocks lists three of them.
 SITES=${SITES:-6}
 
-# Three of four blocks are IPv4 of 24 bits, the rest IPv6 of 48; 500 preferences; no block twice.
-# Tables 0 and 1 have no block in common as long as there are at most 7 million.
+# Three quarters of the blocks are IPv4 /24, the rest IPv6 /48, with 500 preferences and no
+# duplicates. Tables 0 and 1 have no block in common up to 7 million blocks.
 write_blocks() { # TABLE
     awk -v n="$BLOCKS" -v sites="$SITES" -v table="$1" 'BEGIN {
         srand(1 + table)
@@ -49,7 +49,7 @@
     }' >"$DIR/difference.txt"
 }
 
-# The configuration with all sites as regions; only r0 has daemons here.
+# Configuration with SITES regions, of which only r0 has daemons.
 write_config() {
     {
         echo "name: measure"
@@ -65,7 +65,7 @@
         echo "blocks:"
         echo "  - {block: 10.1.0.0/16, regions: [r0]}"
     } >"$DIR/config.yaml"
-    # The same without blocks in it, which stand in a file of their own from now on.
+    # The same configuration without blocks, which are passed in a separate file from here on.
     sed '/^blocks:/,$d' "$DIR/config.yaml" >"$DIR/config2.yaml"
 }
 
@@ -74,10 +74,10 @@
     echo "$(($(status_kib "$pid" VmRSS) / 1024)) ($(($(status_kib "$pid" VmHWM) / 1024)))"
 }
 
-# Begins at `begun`, so that the writing of the file is no part of what is timed.
+# Sets `accept_start` after writing the file, so that the writing is not timed.
 accept_table() { # TABLE
     write_blocks "$1"
-    begun=$(now)
+    accept_start=$(now)
     ctl 0 --request-timeout-s 120 accept "$DIR/config2.yaml" --blocks "$DIR/blocks$1.txt" --wait \
         >"$DIR/accept.log" 2>&1 || { cat "$DIR/accept.log" >&2; exit 1; }
 }
@@ -87,7 +87,7 @@
         --seconds "$SECONDS_EACH" --output "$1" >"$DIR/lookups.log"
 }
 
-bring_up_two() {
+start_two_daemons() {
     copy_binaries
     start_stand_ins
     start_daemon 0
@@ -102,33 +102,33 @@
     wait_ready 1
 }
 
-bring_up_two
-fresh=$(memory 0)
+start_two_daemons
+memory_before=$(memory 0)
 accept_table 0
-took=$(awk "BEGIN { printf \"%.1f\", $(now) - $begun }")
-accepted="$(memory 0) | $(memory 1)"
+seconds_until_in_force=$(awk "BEGIN { printf \"%.1f\", $(now) - $accept_start }")
+memory_after_accept="$(memory 0) | $(memory 1)"
 start_daemon 2
 wait_ready 2
 sleep 2
-started=$(memory 2)
+memory_after_late_start=$(memory 2)
 look_up "$DIR/quiet.json"
 look_up "$DIR/busy.json" &
-driver=$!
+driver_pid=$!
 for k in 1 2 3 4 5 6 7 8 9 10; do
     write_difference "$k"
     ctl 0 accept "$DIR/config2.yaml" --blocks "$DIR/difference.txt" >"$DIR/accept.log" 2>&1 ||
         cat "$DIR/accept.log" >&2
     sleep 0.5
 done
-wait "$driver"
-differences="$(memory 0), $(memory 1), $(memory 2)"
+wait "$driver_pid"
+memory_after_differences="$(memory 0), $(memory 1), $(memory 2)"
 accept_table 1
 sleep 1
-other="$(memory 0), $(memory 1), $(memory 2)"
-figures() { jq -r '"\(.per_s | round)/s, p99 \(.p99_us) us, p99.9 \(.p999_us) us"' "$1"; }
+memory_after_other_table="$(memory 0), $(memory 1), $(memory 2)"
+lookup_results() { jq -r '"\(.per_s | round)/s, p99 \(.p99_us) us, p99.9 \(.p999_us) us"' "$1"; }
 if [ -n "${HEADER:-}" ]; then
     echo "| blocks | VmRSS (VmHWM) MiB before | accepting daemon | adopting daemon | started after | after 10 differences: accepting, adopting, started | after another table | seconds until in force at both | look-ups quiet | look-ups with 10 differences |"
     echo "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 fi
-echo "| $BLOCKS | $fresh | $accepted | $started | $differences | $other | $took | $(figures "$DIR/quiet.json") | $(figures "$DIR/busy.json") |"
+echo "| $BLOCKS | $memory_before | $memory_after_accept | $memory_after_late_start | $memory_after_differences | $memory_after_other_table | $seconds_until_in_force | $(lookup_results "$DIR/quiet.json") | $(lookup_results "$DIR/busy.json") |"
 echo "load average: $(cut -d' ' -f1-3 /proc/loadavg)" >&2
--- a/measure/control.sh
+++ b/measure/control.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Control's cost per daemon, idle and under a light load.
+# Cost of the control thread per daemon, idle and under a light load.
 #
 #   measure/control.sh DAEMONS REGIONS DOMAINS [SECONDS]
 #
@@ -24,9 +24,9 @@
     } >"$DIR/scene.yaml"
 }
 
-# Looks at every daemon's picture ten times: instances seen, and those of them that are not fresh
-# and that are silent.
-picture() {
+# Reads every daemon's view of the instances ten times; prints the number of instances, and how many
+# of them are old and silent.
+view_freshness() {
     local i
     for _ in 1 2 3 4 5 6 7 8 9 10; do
         for ((i = 0; i < DAEMONS; i++)); do
@@ -37,7 +37,7 @@
         "\(length) / \(map(select(. == "old")) | length) / \(map(select(. == "silent")) | length)"'
 }
 
-row() { # NAME
+print_row() { # NAME
     local reads
     platform_counts >"$DIR/counts1"
     sample >"$DIR/before"
@@ -47,24 +47,24 @@
     reads=$(jq -rs --argjson t "$(($(awk 'NR==1{print int($2*100)}' "$DIR/after") - $(awk 'NR==1{print int($2*100)}' "$DIR/before")))" \
         '[.[0][:4], .[1][:4]] | transpose | map((.[1] - .[0]) * 100 / $t | . * 10 | round / 10) | map(tostring) | join(" / ")' \
         "$DIR/counts1" "$DIR/counts2")
-    echo "| $DAEMONS | $REGIONS×$DOMAINS | $1 | $(compare "$DIR/before" "$DIR/after") | $reads | $(picture) |"
+    echo "| $DAEMONS | $REGIONS×$DOMAINS | $1 | $(compare "$DIR/before" "$DIR/after") | $reads | $(view_freshness) |"
 }
 
 bring_up
 if [ -n "${HEADER:-}" ]; then
-    echo "| daemons | regions×domains | load | $COMPARED | table reads / commits / conflicts / list reads a second, all | instances in pictures / old / silent |"
+    echo "| daemons | regions×domains | load | $COMPARED_COLUMNS | table reads / commits / conflicts / list reads a second, all | instances in views / old / silent |"
     echo "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 fi
 sleep 8
-row idle
+print_row idle
 write_scene
 args=()
 for ((i = 0; i < DAEMONS; i++)); do args+=(--daemon "$(region_of "$i")=$(host "$i"):7001"); done
 start "$DIR/load.log" "$DIR/bin/jasmine-load" run "$DIR/scene.yaml" "${args[@]}" \
     --platform "$PLATFORM" --upstreams "$UPSTREAM_CONTROL"
-load=$LAST
+load_pid=$LAST_PID
 sleep 3
-row "24/s each"
-wait "$load" || echo "the load driver ended with $?" >&2
+print_row "24/s each"
+wait "$load_pid" || echo "the load driver ended with $?" >&2
 [ -z "${VERBOSE:-}" ] || { cat "$DIR/load.log"; metrics_of 0; }
 echo "load average: $(cut -d' ' -f1-3 /proc/loadavg)" >&2
--- a/measure/lib.sh
+++ b/measure/lib.sh
@@ -1,11 +1,11 @@
-# Brings up real daemons with stand-ins on loopback, for the measurements in this folder.
+# Starts real daemons with stand-ins on loopback for the measurements in this folder.
 #
-# Sourced, not run. Every process is a child of the calling script, ended by its own id when the
-# script ends for whatever reason. Daemon number I listens on an address of its own, 127.A.B.C with
-# a random A, so that runs side by side don't take each other's ports; stand-ins take free ports.
+# This file is sourced, not run. Every process is a child of the calling script and is ended by its
+# id when the script ends, for any reason. Each daemon listens on its own address 127.A.B.C with a
+# random A, so that concurrent runs don't conflict over ports; stand-ins use free ports.
 #
-# BIN names the folder with release binaries (default target/release). They are copied first: a
-# build meanwhile must not change what is measured.
+# BIN is the folder with the release binaries (default target/release). They are copied first, so
+# that a concurrent build doesn't change the measured programs.
 
 set -euo pipefail
 
@@ -13,32 +13,32 @@
 DIR=$(mktemp -d "${TMPDIR:-/tmp}/jasmine-measure.XXXXXX")
 PIDS=()
 DAEMON_PIDS=()
-# Numbers of daemons that are down on purpose; they are not sampled.
+# Numbers of the daemons that a script has killed; they are not sampled.
 declare -A DOWN=()
 NET=$((RANDOM % 150 + 64))
-# Settings of daemons that differ from the defaults, as lines of YAML.
+# Daemon settings that differ from the defaults, as YAML lines.
 TERMS=${TERMS:-}
 # Services, each with a class of the same name.
 SERVICES=${SERVICES:-menu orders}
 # Upstreams of each service in each region.
 UPSTREAMS=${UPSTREAMS:-3}
-# Address of the platform for daemons; a script may put a relay there.
+# Platform address in the daemons' settings; a script may set it to a relay.
 PLATFORM=
 
-end_all() {
+cleanup() {
     trap - EXIT INT TERM
     local pid
     for pid in "${PIDS[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
-    # A planned stop waits for callers' look-ups to run out; nothing here needs that.
+    # A planned stop waits until callers' look-ups have expired, which measurements don't need.
     sleep 1
     for pid in "${PIDS[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
     wait 2>/dev/null || true
     if [ -z "${KEEP:-}" ]; then rm -rf "$DIR"; else echo "kept: $DIR" >&2; fi
 }
-trap end_all EXIT
+trap cleanup EXIT
 trap 'exit 130' INT TERM
 
-# Seconds since some start, with fractions.
+# Monotonic time in seconds, with fractions.
 now() { cut -d' ' -f1 /proc/uptime; }
 
 copy_binaries() {
@@ -66,16 +66,17 @@
 region_of() { echo "r$(($1 % REGIONS))"; }
 domain_of() { echo "d$(($1 / REGIONS % DOMAINS))"; }
 
-# Starts a process in the background with its log; its id goes to PIDS and to LAST.
+# Starts a process in the background with its output in LOG. Its id is set in LAST_PID and added to
+# PIDS.
 start() { # LOG COMMAND...
     local log=$1
     shift
     "$@" >"$log" 2>&1 &
-    LAST=$!
-    PIDS+=("$LAST")
+    LAST_PID=$!
+    PIDS+=("$LAST_PID")
 }
 
-# The platform and the upstreams. Needs DAEMONS, REGIONS and DOMAINS (in each region).
+# Starts the platform and the upstreams. Needs DAEMONS, REGIONS and DOMAINS (in each region).
 start_stand_ins() {
     local i host
     for ((i = 0; i < DAEMONS; i++)); do
@@ -84,8 +85,8 @@
             '{id:$id,region:$r,failure_domain:$d,callers_addr:($h+":7001"),
               peers_addr:($h+":7002"),operator_addr:($h+":7003"),state:"live"}'
     done >"$DIR/instances"
-    # Listed instances that don't run, in the regions there are: they show what depends on the
-    # number of instances alone, such as intervals.
+    # PHANTOMS more instances are listed in the same regions but don't run. They show effects that
+    # depend only on the number of listed instances, such as intervals.
     for ((i = DAEMONS; i < DAEMONS + ${PHANTOMS:-0}; i++)); do
         echo "{\"id\":\"e$i\",\"region\":\"$(region_of "$i")\",\"failure_domain\":\"$(domain_of "$i")\"," \
             "\"callers_addr\":\"127.0.0.1:1\",\"peers_addr\":\"127.0.0.1:1\",\"operator_addr\":\"127.0.0.1:1\"," \
@@ -126,10 +127,10 @@
 $TERMS}
 YAML
     start "$DIR/e$i.log" "$DIR/bin/jasmined" "$DIR/e$i.yaml"
-    DAEMON_PIDS[i]=$LAST
+    DAEMON_PIDS[i]=$LAST_PID
 }
 
-# The operators' configuration, as accepted first.
+# Writes the operators' configuration that is accepted first.
 write_config() {
     local r s to rank=0 names
     names=$(seq -s, -f r%g 0 $((REGIONS - 1)))
@@ -177,7 +178,7 @@
     done
 }
 
-# Brings everything up; all daemons are ready on return.
+# Starts the whole deployment; all daemons are ready on return.
 bring_up() {
     local i
     copy_binaries
@@ -191,13 +192,13 @@
     for ((i = 0; i < DAEMONS; i++)); do wait_ready "$i"; done
 }
 
-# What the platform was asked for so far, as a JSON list: reads, commits, conflicts, list reads,
-# objects read or stored.
+# Numbers of calls to the platform so far, as a JSON list: table reads, commits, conflicts, list
+# reads, and objects read or stored.
 platform_counts() {
     curl -s "http://$PLATFORM/counters" | jq -c '[.reads, .commits, .conflicts, .lists, .objects]'
 }
 
-# Nanoseconds that thread $2 of process $1 was on a processor; the main thread is control.
+# CPU time of thread $2 of process $1, in nanoseconds; the main thread is the control thread.
 thread_ns() { cut -d' ' -f1 "/proc/$1/task/$2/schedstat"; }
 process_ns() { cat "/proc/$1"/task/*/schedstat | awk '{ sum += $1 } END { printf "%d\n", sum }'; }
 status_kib() { awk -v key="$2:" '$1 == key { print $2 }' "/proc/$1/status"; }
@@ -218,7 +219,7 @@
     done
 }
 
-# One row from two samples: means and greatest values over daemons.
+# Prints a table row from two samples: means and maximums over the daemons.
 compare() { # BEFORE AFTER
     awk 'NR == FNR { for (k = 2; k <= 7; k++) a[$1, k] = $k; next }
         {
@@ -231,4 +232,4 @@
         END { printf "%.2f | %.2f | %.2f | %.0f | %.0f | %.1f | %.1f | %.2f", \
             cs / n, cm, ps / n, bs / n, bm, ms / n, mm, qs / n }' "$1" "$2"
 }
-COMPARED='control % of a core, mean | most | process % | sent B/s, mean | most | VmRSS MiB, mean | most | platform calls/s'
+COMPARED_COLUMNS='control % of a core, mean | most | process % | sent B/s, mean | most | VmRSS MiB, mean | most | platform calls/s'
--- a/measure/scenes.sh
+++ b/measure/scenes.sh
@@ -1,25 +1,27 @@
 #!/usr/bin/env bash
-# Runs all scenes under their policies, one at a time, and prints the table of docs/MEASURES.md.
+# Runs all scenes with each of their policies, one at a time, and prints the table that
+# docs/MEASURES.md contains.
 #
-# Options go on to the driver: `--policies ours,hot-cold`, `--earlier FOLDER` for the `jasmined` of
-# an earlier commit beside this one's, `--reports`, `--slowest menu/arusha`, `--shares`. SCENES names
-# some of the scenes. The binaries are copied first, so that a build meanwhile changes nothing.
+# Options are passed to the driver: `--policies ours,hot-cold`, `--earlier FOLDER` to compare with
+# the `jasmined` of an earlier commit, `--reports`, `--slowest menu/arusha`, `--shares`. SCENES
+# selects scenes by name. The binaries are copied first, so that a concurrent build doesn't affect
+# the runs.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 cd "$root"
-all="steady burst drain lost cold lag lies slow platform-down storm dinner"
+default_scenes="steady burst drain lost cold lag lies slow platform-down storm dinner"
 
 cargo build --release --locked --quiet -p daemon -p standin
 cargo build --release --locked --quiet -p rig --example measure
 release=${CARGO_TARGET_DIR:-$root/target}/release
-copy=$(mktemp -d "${TMPDIR:-/tmp}/jasmine-scenes.XXXXXX")
-trap 'rm -rf "$copy"' EXIT
-cp "$release"/{jasmined,standin-platform,standin-upstream,standin-link} "$copy"
-mkdir "$copy/examples"
-cp "$release/examples/measure" "$copy/examples"
+bin_copy=$(mktemp -d "${TMPDIR:-/tmp}/jasmine-scenes.XXXXXX")
+trap 'rm -rf "$bin_copy"' EXIT
+cp "$release"/{jasmined,standin-platform,standin-upstream,standin-link} "$bin_copy"
+mkdir "$bin_copy/examples"
+cp "$release/examples/measure" "$bin_copy/examples"
 
 files=()
-for scene in ${SCENES:-$all}; do
+for scene in ${SCENES:-$default_scenes}; do
     files+=("scenes/$scene.yaml")
 done
-"$copy/examples/measure" "$@" "${files[@]}"
+"$bin_copy/examples/measure" "$@" "${files[@]}"
