--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -36,7 +36,7 @@
         global = true,
         env = "JASMINE_DAEMON",
         value_delimiter = ',',
-        value_parser = op::read_addr
+        value_parser = op::parse_addr
     )]
     pub(crate) daemon: Vec<String>,
     /// File with the operators' key; by default, the key is read from the variable JASMINE_KEY.
--- a/crates/ctl/src/command/accept.rs
+++ b/crates/ctl/src/command/accept.rs
@@ -19,7 +19,7 @@
 use base::Version;
 use op::{
     AcceptRequest,
-    ConfigAnswer,
+    ConfigResponse,
     Refusal, //
 };
 use std::path::Path;
@@ -47,7 +47,7 @@
 
 /// Version in force; zero if none was accepted yet.
 async fn version_in_force(context: &Context) -> Result<Version, Failure> {
-    match context.client.get::<ConfigAnswer>("/op/v1/config").await {
+    match context.client.get::<ConfigResponse>("/op/v1/config").await {
         Ok(answer) => Ok(answer.head.version),
         Err(op::Failure::Refused {
             refusal: Refusal::NotFound { .. },
--- a/crates/ctl/src/command/change.rs
+++ b/crates/ctl/src/command/change.rs
@@ -14,8 +14,8 @@
     Version, //
 };
 use op::{
+    AcceptEffect,
     Accepted,
-    AcceptedHow,
     Change,
     Confirmation,
     Unconfirmed, //
@@ -154,11 +154,11 @@
 fn describe(accepted: &Accepted, subject: &str) -> String {
     let version = accepted.version;
     let mut text = match accepted.how {
-        AcceptedHow::New => format!("{subject}: accepted as version {version}"),
-        AcceptedHow::Repeated => {
+        AcceptEffect::New => format!("{subject}: accepted as version {version}"),
+        AcceptEffect::Repeated => {
             format!("{subject}: was accepted already by an earlier request, as version {version}")
         }
-        AcceptedHow::Unchanged => {
+        AcceptEffect::Unchanged => {
             format!("{subject}: nothing to change, it is so in version {version}")
         }
     };
--- a/crates/ctl/src/command/diff.rs
+++ b/crates/ctl/src/command/diff.rs
@@ -11,7 +11,7 @@
         Output, //
     },
 };
-use op::ConfigAnswer;
+use op::ConfigResponse;
 use serde_json::json;
 use spec::{
     Config,
@@ -79,7 +79,7 @@
 
 async fn fetch(global: &Global, path: &str) -> Result<Side, Failure> {
     let context = Context::new(global.clone())?;
-    let response: ConfigAnswer = context.client.get(path).await?;
+    let response: ConfigResponse = context.client.get(path).await?;
     let name = format!("version {}", response.head.version);
     let config = spec::parse(&name, &response.text);
     Ok(Side {
--- a/crates/ctl/src/command/history.rs
+++ b/crates/ctl/src/command/history.rs
@@ -9,7 +9,7 @@
     table::Table,
 };
 use base::Version;
-use op::ConfigAnswer;
+use op::ConfigResponse;
 use spec::Head;
 use std::time::{
     Duration,
@@ -24,7 +24,7 @@
 ) -> Result<Output, Failure> {
     if let Some(version) = version {
         let path = format!("/op/v1/config/{version}");
-        let response: ConfigAnswer = context.client.get(&path).await?;
+        let response: ConfigResponse = context.client.get(&path).await?;
         return Ok(Output::new(format_file(&response), &response));
     }
     let path = format!("/op/v1/history?limit={limit}");
@@ -42,8 +42,8 @@
 }
 
 /// Formats a version as a file that `accept` reads, with its author and time in a comment.
-fn format_file(response: &ConfigAnswer) -> String {
-    let ConfigAnswer { head, text, .. } = response;
+fn format_file(response: &ConfigResponse) -> String {
+    let ConfigResponse { head, text, .. } = response;
     let accepted_at = wall_time(head.accepted_at_ms);
     format!(
         "# Version {} by {}, {accepted_at}.\n{text}",
--- a/crates/ctl/src/command/target.rs
+++ b/crates/ctl/src/command/target.rs
@@ -14,7 +14,7 @@
     table::Table,
 };
 use op::{
-    ConfigAnswer,
+    ConfigResponse,
     TargetRequest, //
 };
 use serde_json::{
@@ -25,7 +25,7 @@
 
 /// Shows the targets in force.
 pub(super) async fn show(context: &Context, class: Option<String>) -> Result<Output, Failure> {
-    let response: ConfigAnswer = context.client.get("/op/v1/config").await?;
+    let response: ConfigResponse = context.client.get("/op/v1/config").await?;
     let version = response.head.version;
     let config = spec::parse(&format!("version {version}"), &response.text);
     let config = config.map_err(|findings| Failure::Refused(findings.to_string()))?;
--- a/crates/daemon/src/process/control/config/accept/mod.rs
+++ b/crates/daemon/src/process/control/config/accept/mod.rs
@@ -33,9 +33,9 @@
 use base::Version;
 use bytestring::ByteString;
 use op::{
+    AcceptEffect,
     AcceptRequest,
     Accepted,
-    AcceptedHow,
     Refusal, //
 };
 use plat::HttpPlatform;
@@ -177,7 +177,7 @@
             if config == **base.config() {
                 return Ok(Accepted {
                     version: base.version(),
-                    how: AcceptedHow::Unchanged,
+                    how: AcceptEffect::Unchanged,
                     difference: Vec::new(),
                 });
             }
--- a/crates/daemon/src/process/control/config/accept/response.rs
+++ b/crates/daemon/src/process/control/config/accept/response.rs
@@ -11,8 +11,8 @@
 use base::Version;
 use blocks::Table;
 use op::{
+    AcceptEffect,
     Accepted,
-    AcceptedHow,
     Refusal, //
 };
 use spec::{
@@ -57,7 +57,7 @@
         });
         Accepted {
             version,
-            how: AcceptedHow::New,
+            how: AcceptEffect::New,
             difference,
         }
     }
@@ -78,7 +78,7 @@
         }
         Ok(Accepted {
             version: head.version,
-            how: AcceptedHow::Repeated,
+            how: AcceptEffect::Repeated,
             difference: Vec::new(),
         })
     }
--- a/crates/daemon/src/process/control/config/history.rs
+++ b/crates/daemon/src/process/control/config/history.rs
@@ -14,7 +14,7 @@
 };
 use base::Version;
 use op::{
-    ConfigAnswer,
+    ConfigResponse,
     Refusal, //
 };
 use plat::{
@@ -36,7 +36,7 @@
 
 /// Requests a version; without a number, the one in force at this daemon.
 #[derive(Clone, Copy, Debug, Message)]
-#[rtype(result = "Result<ConfigAnswer, Refusal>")]
+#[rtype(result = "Result<ConfigResponse, Refusal>")]
 pub(crate) struct GetConfig(pub(crate) Option<Version>);
 
 /// Requests the heads of the newest versions, newest first.
@@ -47,7 +47,7 @@
 }
 
 impl Handler<GetConfig> for Control {
-    type Result = ResponseFuture<Result<ConfigAnswer, Refusal>>;
+    type Result = ResponseFuture<Result<ConfigResponse, Refusal>>;
 
     fn handle(
         &mut self,
@@ -79,18 +79,18 @@
     }
 }
 
-fn answer_of(adopted: &Adopted) -> ConfigAnswer {
-    ConfigAnswer {
+fn answer_of(adopted: &Adopted) -> ConfigResponse {
+    ConfigResponse {
         head: adopted.head().clone(),
         text: adopted.config().to_string(),
         blocks: adopted.block_object(),
     }
 }
 
-async fn read_config(platform: &HttpPlatform, version: Version) -> Result<ConfigAnswer, Refusal> {
+async fn read_config(platform: &HttpPlatform, version: Version) -> Result<ConfigResponse, Refusal> {
     let head = read_version(platform, version).await?;
     let body = read_body(platform, &head).await?;
-    Ok(ConfigAnswer {
+    Ok(ConfigResponse {
         head,
         text: body.config.to_string(),
         blocks: body.blocks,
--- a/crates/daemon/src/process/control/status.rs
+++ b/crates/daemon/src/process/control/status.rs
@@ -30,7 +30,6 @@
     LeaseState, //
 };
 use op::{
-    Bounds,
     Burn,
     ClassBurn,
     DrainStatus,
@@ -42,6 +41,7 @@
     ResourceStatus,
     ShareStatus,
     Shares,
+    SlotUsage,
     Status, //
 };
 use share::Amounts;
@@ -188,7 +188,7 @@
                 .iter()
                 .filter(|upstream| upstream.accepts_work())
                 .count(),
-            slots: Bounds { usable, used },
+            slots: SlotUsage { usable, used },
             waiting: pool.waiting(),
         }
     }
--- a/crates/daemon/src/process/operator/mod.rs
+++ b/crates/daemon/src/process/operator/mod.rs
@@ -55,7 +55,7 @@
     DrainRequest,
     Refusal,
     TargetRequest,
-    WITH_BLOCKS, //
+    CONTENT_TYPE_WITH_BLOCKS, //
 };
 use serde::{
     Deserialize,
@@ -100,7 +100,10 @@
                 web::resource("/op/v1/accept")
                     .route(
                         web::post()
-                            .guard(guard::Header(CONTENT_TYPE.as_str(), WITH_BLOCKS))
+                            .guard(guard::Header(
+                                CONTENT_TYPE.as_str(),
+                                CONTENT_TYPE_WITH_BLOCKS,
+                            ))
                             .to(accept_with_blocks),
                     )
                     .route(web::post().to(accept))
--- a/crates/op/src/change.rs
+++ b/crates/op/src/change.rs
@@ -4,7 +4,7 @@
     AcceptRequest,
     DrainRequest,
     TargetRequest,
-    WITH_BLOCKS, //
+    CONTENT_TYPE_WITH_BLOCKS, //
 };
 use bytes::Bytes;
 use serde::Serialize;
@@ -56,7 +56,7 @@
             blocks: None,
         };
         let body = [&to_json(&request), &b"\n"[..], blocks.as_bytes()].concat();
-        (WITH_BLOCKS, body.into())
+        (CONTENT_TYPE_WITH_BLOCKS, body.into())
     }
 }
 
--- a/crates/op/src/client.rs
+++ b/crates/op/src/client.rs
@@ -82,11 +82,11 @@
         let mut tried = Vec::new();
         for daemon in &self.daemons {
             match self.get_from(daemon, path).await {
-                Err(Failure::NoAnswer { tried: reasons }) => tried.extend(reasons),
+                Err(Failure::NoResponse { tried: reasons }) => tried.extend(reasons),
                 result => return result,
             }
         }
-        Err(Failure::NoAnswer { tried })
+        Err(Failure::NoResponse { tried })
     }
 
     /// Reads `path` from one daemon.
@@ -100,7 +100,7 @@
         path: &str,
     ) -> Result<T, Failure> {
         let request = self.http.get(format!("http://{daemon}{path}"));
-        let no_response = |reason| Failure::NoAnswer {
+        let no_response = |reason| Failure::NoResponse {
             tried: vec![format!("{daemon}: {reason}")],
         };
         match self.exchange(request, Bytes::new()).await {
@@ -113,7 +113,7 @@
     }
 
     /// The daemons that this client is configured with.
-    pub fn given_daemons(&self) -> Vec<Daemon> {
+    pub fn configured_daemons(&self) -> Vec<Daemon> {
         let to_daemon = |addr: &String| Daemon {
             addr: addr.clone(),
             instance: None,
@@ -137,7 +137,7 @@
                 instance: Some(instance.instance),
             })
             .collect();
-        for configured in self.given_daemons() {
+        for configured in self.configured_daemons() {
             if daemons.iter().all(|daemon| daemon.addr != configured.addr) {
                 daemons.push(configured);
             }
@@ -197,7 +197,7 @@
         Err(if in_doubt {
             Failure::Unknown { tried }
         } else {
-            Failure::NoAnswer { tried }
+            Failure::NoResponse { tried }
         })
     }
 
--- a/crates/op/src/daemon.rs
+++ b/crates/op/src/daemon.rs
@@ -8,7 +8,7 @@
 /// # Errors
 ///
 /// When it is not of the form HOST:PORT.
-pub fn read_addr(text: &str) -> Result<String, String> {
+pub fn parse_addr(text: &str) -> Result<String, String> {
     let is_host = |host: &str| {
         let is_host_char = |c: char| c.is_ascii_alphanumeric() || ".-_:[]".contains(c);
         !host.is_empty() && host.chars().all(is_host_char)
--- a/crates/op/src/failure.rs
+++ b/crates/op/src/failure.rs
@@ -14,7 +14,7 @@
         refusal: Refusal,
     },
     /// No daemon gave a valid response; nothing was changed.
-    NoAnswer {
+    NoResponse {
         /// Result of each attempt.
         tried: Vec<String>,
     },
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (summary, tried) = match self {
             Self::Refused { daemon, refusal } => return write!(f, "{daemon}: {refusal}"),
-            Self::NoAnswer { tried } => ("no daemon answered", tried),
+            Self::NoResponse { tried } => ("no daemon answered", tried),
             Self::Unknown { tried } => ("the outcome is unknown", tried),
         };
         f.write_str(summary)?;
--- a/crates/op/src/lib.rs
+++ b/crates/op/src/lib.rs
@@ -28,7 +28,7 @@
 pub use change::Change;
 pub use client::Client;
 pub use daemon::{
-    read_addr,
+    parse_addr,
     Daemon, //
 };
 pub use failure::Failure;
@@ -43,13 +43,12 @@
     DrainAction,
     DrainRequest,
     TargetRequest,
-    WITH_BLOCKS, //
+    CONTENT_TYPE_WITH_BLOCKS, //
 };
 pub use response::{
+    AcceptEffect,
     Accepted,
-    AcceptedHow,
-    Bounds,
-    ConfigAnswer,
+    ConfigResponse,
     Confirmation,
     DrainStatus,
     Drains,
@@ -60,6 +59,7 @@
     ResourceStatus,
     ShareStatus,
     Shares,
+    SlotUsage,
     Status,
     Unconfirmed, //
 };
--- a/crates/op/src/request.rs
+++ b/crates/op/src/request.rs
@@ -20,7 +20,7 @@
 ///
 /// As a JSON string, a table of 1.7 million blocks would be in the receiving daemon's memory twice
 /// and raise its resident size above the limit.
-pub const WITH_BLOCKS: &str = "application/x-jasmine-accept";
+pub const CONTENT_TYPE_WITH_BLOCKS: &str = "application/x-jasmine-accept";
 
 /// Puts a configuration into force: `POST /op/v1/accept`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -35,7 +35,7 @@
     /// Configuration, in YAML.
     pub text: String,
     /// Block table, or a difference to the one in force; if absent, the table stays. A large one
-    /// follows the request's line instead, see [`WITH_BLOCKS`].
+    /// follows the request's line instead, see [`CONTENT_TYPE_WITH_BLOCKS`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub blocks: Option<String>,
 }
--- a/crates/op/src/response.rs
+++ b/crates/op/src/response.rs
@@ -28,7 +28,7 @@
 /// How an accepted version came into force.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum AcceptedHow {
+pub enum AcceptEffect {
     /// This request created the version.
     New,
     /// An earlier request with the same accept id created it.
@@ -43,7 +43,7 @@
     /// Version that contains it.
     pub version: Version,
     /// How that version came into force.
-    pub how: AcceptedHow,
+    pub how: AcceptEffect,
     /// Changes from the previous version, as text; empty if nothing differs or they are unknown.
     #[serde(default)]
     pub difference: Vec<String>,
@@ -51,7 +51,7 @@
 
 /// A version of the configuration: `GET /op/v1/config`, `GET /op/v1/config/<version>`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ConfigAnswer {
+pub struct ConfigResponse {
     /// Version, author and the accept that created it.
     #[serde(flatten)]
     pub head: Head,
@@ -63,7 +63,7 @@
 
 /// A limit and its current use.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Bounds {
+pub struct SlotUsage {
     /// Number that may be used now.
     pub usable: u32,
     /// Number in use.
@@ -111,7 +111,7 @@
     /// Listed upstreams that accept new work.
     pub open: usize,
     /// Slots of this daemon.
-    pub slots: Bounds,
+    pub slots: SlotUsage,
     /// Requests that wait for a slot.
     pub waiting: u32,
 }
--- a/crates/report/src/bin/jasmine-report.rs
+++ b/crates/report/src/bin/jasmine-report.rs
@@ -49,7 +49,7 @@
         env = "JASMINE_DAEMON",
         required = true,
         value_delimiter = ',',
-        value_parser = op::read_addr
+        value_parser = op::parse_addr
     )]
     daemon: Vec<String>,
     /// Query only the daemons given by --daemon.
@@ -120,7 +120,7 @@
 /// If no daemon answered.
 async fn query_daemons(client: &Client, only: bool) -> Result<Report, String> {
     let daemons = if only {
-        client.given_daemons()
+        client.configured_daemons()
     } else {
         let known = client.known_daemons().await;
         known.map_err(|failure| failure.to_string())?
@@ -150,7 +150,7 @@
 /// Reason why a daemon did not answer, without its address, which the report prints beside it.
 fn failure_reason(addr: &str, failure: Failure) -> String {
     match failure {
-        Failure::NoAnswer { tried } => {
+        Failure::NoResponse { tried } => {
             let tried = tried.iter();
             let tried = tried.map(|t| t.strip_prefix(&format!("{addr}: ")).unwrap_or(t));
             tried.collect::<Vec<_>>().join("; ")
--- a/crates/report/tests/system.rs
+++ b/crates/report/tests/system.rs
@@ -40,15 +40,9 @@
     std::str::from_utf8(bytes).unwrap()
 }
 
-<<<<<<< HEAD
-/// One request, over a connection of its own.
-fn work(rig: &Rig, id: &str) {
-    let mut stream = TcpStream::connect(&rig.daemons[id].callers_addr).unwrap();
-=======
 /// Sends one request over a new connection and expects status 200.
 fn send_request(rig: &Rig, id: &str) {
-    let mut stream = TcpStream::connect(&rig.daemons[id].callers).unwrap();
->>>>>>> x8
+    let mut stream = TcpStream::connect(&rig.daemons[id].callers_addr).unwrap();
     let head = "GET /v1/work/menu/x HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     let mut answer = Vec::new();
--- a/crates/spec/src/version/accept.rs
+++ b/crates/spec/src/version/accept.rs
@@ -7,8 +7,7 @@
 //!
 //! - The row exists: the accept took effect, even if later versions followed.
 //! - The row is absent and the head has moved: the commit's check of the head fails, so it can
-//!   never
-//!   take effect. Another operator's accept came first.
+//!   never take effect. Another operator's accept came first.
 //! - The row is absent and the head has not moved: the commit may still be in flight, so the same
 //!   commit is sent again. Both check the same head, so at most one takes effect.
 //!
