--- a/crates/balance/src/choose.rs
+++ b/crates/balance/src/choose.rs
@@ -46,7 +46,7 @@
 /// Cost of crossing a region's boundary in addition to the round trip, as a fraction of the target.
 const REGION_CROSSING_COST: f64 = 0.3;
 /// Fraction of the remaining time that the estimated response time may take. The estimate is a mean, and half of all
-/// answers take longer.
+/// responses take longer.
 const TIME_USED: f64 = 0.9;
 /// Maximum wait for a slot of a request that misses its target anyway, as a fraction of the warm service time. It
 /// admits some requests of a burst without building a queue.
@@ -271,10 +271,10 @@
         .collect()
 }
 
-/// Returns whether an answer is expected within the target.
+/// Returns whether a response is expected within the target.
 ///
-/// Before any answer has been observed, this is false for upstreams that may have to be warmed first. All entries then
-/// use the upstream that the key ranks highest, rather than a different one in each failure domain.
+/// Before any response has been observed, this is false for upstreams that may have to be warmed first. All entries
+/// then use the upstream that the key ranks highest, rather than a different one in each failure domain.
 fn is_in_target(estimate: &Estimate, query: &Query<'_>) -> bool {
     let known = query.service_times.is_known() || !query.has_affinity_key || estimate.known_warm;
     known && estimate.expectation.response_time <= query.target_left.mul_f64(TIME_USED)
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -27,7 +27,7 @@
     unreachable: bool,
     /// Duration of the next ejection.
     next_ejection: Duration,
-    /// Moving average of the latency in seconds; zero before the first answer.
+    /// Moving average of the latency in seconds; zero before the first response.
     latency_s: f64,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl Health {
-    /// Records a complete answer. Returns whether the upstream has recovered from failing.
-    pub fn note_answer(&mut self, latency: Duration) -> bool {
+    /// Records a complete response. Returns whether the upstream has recovered from failing.
+    pub fn note_response(&mut self, latency: Duration) -> bool {
         let was_failing = self.failure_rate >= EJECTION_THRESHOLD;
         self.failure_rate *= 1.0 - FAILURE_WEIGHT;
         self.unreachable = false;
@@ -98,12 +98,12 @@
         !self.unreachable
     }
 
-    /// Returns whether the next request is a probe: the ejection has ended, and no answer has arrived since.
+    /// Returns whether the next request is a probe: the ejection has ended, and no response has arrived since.
     pub fn is_probing(&self, now: Now) -> bool {
         !self.is_ejected(now) && self.failure_rate >= EJECTION_THRESHOLD
     }
 
-    /// Returns the average latency, or `None` before the first answer.
+    /// Returns the average latency, or `None` before the first response.
     pub fn latency(&self) -> Option<Duration> {
         (self.latency_s > 0.0).then(|| Duration::from_secs_f64(self.latency_s))
     }
--- a/crates/balance/src/rate_limiter.rs
+++ b/crates/balance/src/rate_limiter.rs
@@ -7,7 +7,7 @@
 /// Window that bounds bursts to one second's worth of the limit.
 const BURST_SPAN: Duration = Duration::from_secs(1);
 /// Window over which the limit is enforced. At least one request per window is allowed, however low the limit, because
-/// its answer shows whether the limit has ended.
+/// its response shows whether the limit has ended.
 const SPAN: Duration = Duration::from_secs(4);
 /// Percentage of the limit that is used. The rest covers requests that other entries send before they learn of the
 /// limit.
--- a/crates/balance/src/service_times.rs
+++ b/crates/balance/src/service_times.rs
@@ -14,11 +14,11 @@
 const WEIGHT_COLD: f64 = 0.1;
 /// Weight of the latest result in the rate at which upstreams assumed warm are warm.
 const WEIGHT_ASSUMED_WARM: f64 = 0.05;
-/// Cold service time before the first answer.
+/// Cold service time before the first response.
 const COLD_DEFAULT: Duration = Duration::from_millis(300);
 /// Ratio of warm to cold service time before both have been observed.
 const WARM_RATIO_DEFAULT: f64 = 0.4;
-/// An answer from an upstream not known to be warm counts as warm if its service time is below this multiple of the
+/// A response from an upstream not known to be warm counts as warm if its service time is below this multiple of the
 /// warm estimate.
 const WARM_FACTOR_MAX: f64 = 1.6;
 
@@ -32,7 +32,7 @@
 }
 
 impl ServiceTimes {
-    /// Records the service time of an answer that did not wait for a slot. `known_warm` is whether the upstream was
+    /// Records the service time of a response that did not wait for a slot. `known_warm` is whether the upstream was
     /// known to have served the key recently.
     pub fn note(&mut self, known_warm: bool, service_time: Duration) {
         let time_s = service_time.as_secs_f64();
@@ -60,7 +60,7 @@
         self.warm_s = Some(warm + weight * (time_s - warm));
     }
 
-    /// Returns whether any answer has been recorded.
+    /// Returns whether any response has been recorded.
     pub fn is_known(&self) -> bool {
         self.warm_s.is_some() || self.cold_s.is_some()
     }
--- a/crates/balance/src/upstream.rs
+++ b/crates/balance/src/upstream.rs
@@ -23,7 +23,7 @@
 /// Age from which a report has no weight, because most of the requests that it counted have ended.
 const REPORT_STALE: Duration = Duration::from_millis(2000);
 
-/// Load that an upstream states in an answer.
+/// Load that an upstream states in a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
     /// Requests being processed.
@@ -61,7 +61,7 @@
     pub lease_until: Option<Now>,
     /// Limits the requests sent to it while it is cold.
     pub cold_start_limiter: ColdStartLimiter,
-    /// Maximum requests per second from all entries combined, as stated in its last answer; `None` if it stated none.
+    /// Maximum requests per second from all entries combined, as stated in its last response; `None` if it stated none.
     pub limit_per_s: Option<f64>,
     /// Limits the requests sent to it while it states a limit.
     pub rate_limiter: RateLimiter,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Stores the load stated in an answer. Must be called while the answered request still counts in
+    /// Stores the load stated in a response. Must be called while the answered request still counts in
     /// [`Self::in_flight`].
     ///
     /// The report includes this entry's own requests; the remainder is attributed to other entries.
@@ -198,6 +198,6 @@
     if age <= REPORT_FRESH {
         return 1.0;
     }
-    let fading = (REPORT_STALE - REPORT_FRESH).as_secs_f64();
-    (1.0 - (age - REPORT_FRESH).as_secs_f64() / fading).max(0.0)
+    let decay_s = (REPORT_STALE - REPORT_FRESH).as_secs_f64();
+    (1.0 - (age - REPORT_FRESH).as_secs_f64() / decay_s).max(0.0)
 }
--- a/crates/balance/tests/choose.rs
+++ b/crates/balance/tests/choose.rs
@@ -160,7 +160,7 @@
     ];
     let key = key_for(&all, &[2, 0, 1]);
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 2);
-    // With the wait, a warm answer would miss the target.
+    // With the wait, a warm response would miss the target.
     all[2].in_flight = 16;
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 0);
 }
@@ -205,7 +205,7 @@
 
 /// Guards against ranking a key's upstreams over all regions although callers of one region share its keys. Each key
 /// went to the highest rank of all regions, and entries that did not know of that upstream warmed further ones: a sixth
-/// of all answers were late though their keys had been served before, and half of all bytes left the caller's failure
+/// of all responses were late though their keys had been served before, and half of all bytes left the caller's failure
 /// domain.
 #[test]
 fn key_stays_in_its_callers_region() {
@@ -377,7 +377,7 @@
     let mut all = vec![upstream("a", "home"), upstream("b", "home")];
     let key = key_for(&all, &[0, 1]);
     for _ in 0..30 {
-        all[0].health.note_answer(ms(1500));
+        all[0].health.note_response(ms(1500));
     }
     assert_eq!(sent_to(choose(&mut all, &query(key), &here(), NOW)), 1);
 }
@@ -459,7 +459,7 @@
 }
 
 /// Guards against service time estimates that include the wait in queues. Longer estimates let longer waits be
-/// accepted: ten seconds after a burst most answers were still late, while none was right after a restart of all
+/// accepted: ten seconds after a burst most responses were still late, while none was right after a restart of all
 /// entries.
 #[test]
 fn queueing_does_not_raise_the_service_time() {
@@ -467,7 +467,7 @@
     for _ in 0..100 {
         times.note(true, ms(100));
     }
-    // Three of four answers include a wait, although none was expected.
+    // Three of four responses include a wait, although none was expected.
     for _ in 0..100 {
         for time_ms in [400, 500, 110, 350] {
             times.note(true, ms(time_ms));
@@ -482,7 +482,7 @@
 
 /// Guards against assuming that upstreams are warm before any has served a request. With all caches empty, each key
 /// went to its highest rank in any region, which added a round trip to the cold service time: more than half of all
-/// answers were late in the first two seconds of a day, although a cold answer meets the target.
+/// responses were late in the first two seconds of a day, although a cold response meets the target.
 #[test]
 fn no_upstream_is_assumed_warm_at_first() {
     let mut all = vec![
@@ -496,7 +496,7 @@
         ..query(key)
     };
     assert_eq!(sent_to(choose(&mut all, &first, &here(), NOW)), 0);
-    // If a cold answer misses the target in any case, this region is warmed as well.
+    // If a cold response misses the target in any case, this region is warmed as well.
     let short_target = Query {
         target_left: ms(150),
         ..first
@@ -504,7 +504,7 @@
     assert_eq!(sent_to(choose(&mut all, &short_target, &here(), NOW)), 0);
 }
 
-/// Guards against answers of upstreams that other entries have warmed reducing the cold service time.
+/// Guards against responses of upstreams that other entries have warmed reducing the cold service time.
 #[test]
 fn warm_answers_of_unknown_upstreams_count_as_warm() {
     let mut times = ServiceTimes::default();
--- a/crates/balance/tests/restart_of_all.rs
+++ b/crates/balance/tests/restart_of_all.rs
@@ -1,6 +1,6 @@
 //! All entries start simultaneously, and callers send requests for all keys at once.
 //!
-//! No entry has observed an answer or knows which keys are warm. The entries must still choose the same upstream for a
+//! No entry has observed a response or knows which keys are warm. The entries must still choose the same upstream for a
 //! key, because the key is slow at each further upstream that it is sent to.
 
 use balance::{
@@ -83,7 +83,7 @@
     }
 }
 
-/// Guards against keys moving once the first answers show that cold requests miss the target.
+/// Guards against keys moving once the first responses show that cold requests miss the target.
 #[test]
 fn a_key_stays_where_it_was_warmed_first() {
     let mut observed = ServiceTimes::default();
--- a/crates/entry/src/control/limits.rs
+++ b/crates/entry/src/control/limits.rs
@@ -1,6 +1,6 @@
 //! Exchanges the limits that upstreams state with the other entries.
 //!
-//! While an upstream states a limit, only the entry that holds its lease sends to it and sees its answers. The other
+//! While an upstream states a limit, only the entry that holds its lease sends to it and sees its responses. The other
 //! entries learn from that entry's reports that the limit has changed or ended.
 
 use crate::{
--- a/crates/entry/src/control/loads.rs
+++ b/crates/entry/src/control/loads.rs
@@ -1,6 +1,6 @@
 //! Exchange of requests in flight at each upstream, and of the affinity keys that upstreams are warm for.
 //!
-//! By itself, an entry knows the load of an upstream only from the answers that it receives, and nothing about
+//! By itself, an entry knows the load of an upstream only from the responses that it receives, and nothing about
 //! upstreams that it has not used recently, such as those of another region that it would spill over to. So the entries
 //! exchange their loads at short intervals, through their hubs. Only the choice among upstreams depends on them: a lost
 //! or late message makes the choice less efficient but never incorrect.
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -305,7 +305,7 @@
         self.publish();
     }
 
-    /// Withdraws this entry: it is no longer ready, and the other entries leave it out of their answers to look-ups.
+    /// Withdraws this entry: it is no longer ready, and the other entries leave it out of their responses to look-ups.
     pub(crate) async fn begin_stop(&self) {
         self.state.borrow_mut().stopping = true;
         self.publish();
--- a/crates/entry/src/control/sessions.rs
+++ b/crates/entry/src/control/sessions.rs
@@ -138,7 +138,7 @@
             failure_domain: settings.failure_domain.clone(),
         };
         let options = Options {
-            // With these values, a lost entry is left out of look-up answers within some three seconds, well before
+            // With these values, a lost entry is left out of look-up responses within some three seconds, well before
             // timeouts of its callers would detect the loss.
             ping_interval: Duration::from_millis(700),
             pong_timeout: Duration::from_millis(1200),
--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -73,7 +73,7 @@
     }
 
     /// Records that a request was answered, which clears its earlier crashes.
-    pub(crate) fn note_answer(&self, request: Fingerprint, now: Now) {
+    pub(crate) fn note_response(&self, request: Fingerprint, now: Now) {
         let mut state = self.lock();
         let cleared = state.quarantine.note_answer(request, now);
         if !cleared.is_empty() {
--- a/crates/entry/src/dialect.rs
+++ b/crates/entry/src/dialect.rs
@@ -7,7 +7,7 @@
 /// The entry defines the meaning of each; the deployment defines its name.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Id of one attempt of a caller; forwarded unchanged and repeated in the answer.
+    /// Id of one attempt of a caller; forwarded unchanged and repeated in the response.
     pub request_id: HeaderName,
     /// Remaining time until the caller's deadline, which also limits the upstream's work, in milliseconds.
     pub deadline_ms: HeaderName,
@@ -15,22 +15,22 @@
     pub affinity_cookie: &'static str,
     /// Incarnation that the request is addressed to; any other incarnation refuses it.
     pub target: HeaderName,
-    /// In an answer: the upstream did not run the request.
+    /// In a response: the upstream did not run the request.
     pub not_run: HeaderName,
-    /// In an answer: proof that it was made by the upstream.
+    /// In a response: proof that it was made by the upstream.
     pub seal: HeaderName,
-    /// In an answer: running requests, waiting requests and slots of the upstream.
+    /// In a response: running requests, waiting requests and slots of the upstream.
     pub load: HeaderName,
-    /// In an answer: maximum requests per second that the upstream accepts from all entries combined. The first header
+    /// In a response: maximum requests per second that the upstream accepts from all entries combined. The first header
     /// present is used; if none is present, the upstream has no limit.
     pub limit_per_s: Vec<HeaderName>,
     /// Path of look-ups.
     pub lookup_path: &'static str,
     /// Path of the readiness check.
     pub ready_path: &'static str,
-    /// Field of a look-up's answer that lists addresses.
+    /// Field of a look-up's response that lists addresses.
     pub addresses_field: &'static str,
-    /// Field of a look-up's answer that states how long the answer is valid, in seconds.
+    /// Field of a look-up's response that states how long the response is valid, in seconds.
     pub ttl_s_field: &'static str,
 }
 
--- a/crates/entry/src/limits.rs
+++ b/crates/entry/src/limits.rs
@@ -48,7 +48,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records the limit stated in an answer.
+    /// Records the limit stated in a response.
     pub(crate) fn note(
         &self,
         upstream: &UpstreamId,
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -64,7 +64,7 @@
 /// Reserve at the end of the grace period, since timers fire late on a busy machine.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 /// Part of the grace period during which requests are still accepted, in percent. With a longer part, a request that
-/// arrives just before its end would be cut off by the end of the process. By then the look-up answers of most
+/// arrives just before its end would be cut off by the end of the process. By then the look-up responses of most
 /// callers have expired; requests of the others are refused as not run, and these callers use another entry.
 const SERVE_PCT: u32 = 50;
 /// Minimum time between the last accepted request and the end of the process, so that refusals reach the callers.
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -31,7 +31,7 @@
     pub cold_slack: f64,
     /// Maximum fraction of a region's requests that may move to another region from one window to the next.
     pub shift_max: f64,
-    /// Maximum time for which an answer to a look-up is valid.
+    /// Maximum time for which a response to a look-up is valid.
     pub lookup_ttl_max: Duration,
 }
 
--- a/crates/entry/src/traffic/attempt.rs
+++ b/crates/entry/src/traffic/attempt.rs
@@ -246,7 +246,7 @@
         fleet.note_failure(&incarnation, false, traffic.now());
     } else {
         let placement = &in_flight.placement;
-        fleet.note_answer(&incarnation, placement, sent.elapsed(), traffic.now());
+        fleet.note_response(&incarnation, placement, sent.elapsed(), traffic.now());
     }
     drop(fleet);
     received(
--- a/crates/entry/src/traffic/dispatch.rs
+++ b/crates/entry/src/traffic/dispatch.rs
@@ -206,7 +206,7 @@
         progress.may_have_run = true;
         if !response.status.is_server_error() {
             let crashes = &self.traffic.shared.channels.crashes;
-            crashes.note_answer(self.fingerprint, self.traffic.now());
+            crashes.note_response(self.fingerprint, self.traffic.now());
         }
         if !retry {
             let progress = std::mem::take(progress);
--- a/crates/entry/src/traffic/fleet/outcome.rs
+++ b/crates/entry/src/traffic/fleet/outcome.rs
@@ -100,7 +100,7 @@
     }
 
     /// Records that a complete response arrived after `took`.
-    pub(in crate::traffic) fn note_answer(
+    pub(in crate::traffic) fn note_response(
         &mut self,
         incarnation: &Incarnation,
         placement: &Placement,
@@ -119,7 +119,7 @@
         };
         let round_trip = self.location.round_trip(&upstream.region);
         let service_time = took.saturating_sub(round_trip);
-        if upstream.health.note_answer(service_time) {
+        if upstream.health.note_response(service_time) {
             emit(&Event::UpstreamBack {
                 upstream: incarnation.id.clone(),
                 service: incarnation.service.clone(),
--- a/crates/limit/src/limits.rs
+++ b/crates/limit/src/limits.rs
@@ -27,7 +27,7 @@
         self.known.is_empty()
     }
 
-    /// Records the limit stated in an answer. Returns a report for the other entries if the limit has changed.
+    /// Records the limit stated in a response. Returns a report for the other entries if the limit has changed.
     pub fn note(
         &mut self,
         upstream: &UpstreamId,
--- a/crates/member/src/upstreams.rs
+++ b/crates/member/src/upstreams.rs
@@ -49,7 +49,7 @@
         true
     }
 
-    pub(crate) fn record_answer(&mut self, upstream: &str, as_of: Now) {
+    pub(crate) fn record_response(&mut self, upstream: &str, as_of: Now) {
         if let Some(record) = self.by_id.get_mut(upstream) {
             record.as_of = record.as_of.max(Some(as_of));
         }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// Marks an upstream as leaving, on an answer's header, a health report or a refusal.
+    /// Marks an upstream as leaving, on a response's header, a health report or a refusal.
     ///
     /// `age` is an upper bound of the report's age. Returns whether the mark is new and has to be
     /// relayed.
@@ -132,9 +132,9 @@
     }
 
     /// Records that an upstream answered at most `age` ago.
-    pub fn record_upstream_answer(&mut self, upstream: &str, age: Duration, now: Now) {
+    pub fn record_upstream_response(&mut self, upstream: &str, age: Duration, now: Now) {
         self.upstreams
-            .record_answer(upstream, now.saturating_sub(age));
+            .record_response(upstream, now.saturating_sub(age));
     }
 
     /// Leaving marks to relay to other daemons.
@@ -265,7 +265,7 @@
             record.identity = listed.identity.clone();
         }
         // A list older than this incarnation refers to the previous one. Applying it would keep a
-        // restarted instance out of all answers for good.
+        // restarted instance out of look-up results for good.
         let of_this_incarnation = record.incarnation == 0 || as_of >= record.incarnation_since;
         if listed.is_leaving && of_this_incarnation {
             record.state = record.state.max(LeaseState::Leaving);
--- a/crates/member/tests/view.rs
+++ b/crates/member/tests/view.rs
@@ -271,11 +271,11 @@
     report_marks_upstream: |p| assert!(mark(p, 20)) => true;
     repeated_report_is_not_new: |p| assert!(mark(p, 20) && !mark(p, 21)) => true;
     list_marks_upstream: |p| list_u(p, true, 20) => true;
-    /// Guards against new work for a leaving upstream because a delayed list clears the mark that an
-    /// answer's header set.
+    /// Guards against new work for a leaving upstream because a delayed list clears the mark that a
+    /// response's header set.
     delayed_list_does_not_clear_mark: |p| { mark(p, 20); list_u(p, false, 21) } => true;
     answer_does_not_clear_mark:
-        |p| { mark(p, 20); p.record_upstream_answer("u", Duration::ZERO, at(21)) } => true;
+        |p| { mark(p, 20); p.record_upstream_response("u", Duration::ZERO, at(21)) } => true;
     /// Guards against an upstream that came back and never gets work again.
     listed_return_clears_mark:
         |p| { mark(p, 20); list_u(p, true, 30); list_u(p, false, 40) } => false;
--- a/crates/rig/examples/measure/inspect.rs
+++ b/crates/rig/examples/measure/inspect.rs
@@ -1,4 +1,4 @@
-//! Details of a run, printed on demand or when a promise was broken.
+//! Details of a run, printed on demand or when a guarantee was violated.
 
 use crate::run::Outcome;
 use load::CallerRecord;
@@ -24,8 +24,8 @@
 pub(crate) fn print_shares(rig: &Rig, region: Option<&str>) {
     let daemons = rig.daemons.values();
     for daemon in daemons.filter(|daemon| region.is_none_or(|region| daemon.region == region)) {
-        let reply = rig.operator_request(&daemon.id, "/op/v1/shares", None);
-        for pool in reply.body["pools"].as_array().into_iter().flatten() {
+        let response = rig.operator_request(&daemon.id, "/op/v1/shares", None);
+        for pool in response.body["pools"].as_array().into_iter().flatten() {
             let sum = |field: &str| -> u64 {
                 let resources = pool["resources"].as_array().into_iter().flatten();
                 resources
--- a/crates/rig/examples/measure/table.rs
+++ b/crates/rig/examples/measure/table.rs
@@ -43,7 +43,7 @@
     drain_ms: Option<u64>,
     retries_per_request: f64,
     queued: u64,
-    broken: BTreeMap<String, usize>,
+    violations: BTreeMap<String, usize>,
     load_average: [f64; 2],
     recovery: Option<Recovery>,
 }
@@ -99,7 +99,7 @@
             drain_ms: report.drains.iter().map(|drain| drain.duration_ms).max(),
             retries_per_request: retries as f64 / offered.max(1) as f64,
             queued: report.uses.values().map(|used| used.queued).sum(),
-            broken: broken(report),
+            violations: violations_by_kind(report),
             load_average: outcome.load_average,
             recovery: recovery(plan, outcome),
         }
@@ -115,8 +115,8 @@
     means.fold(100.0, f64::min)
 }
 
-/// Number of broken promises by kind, without queueing, which has its own column.
-fn broken(report: &Report) -> BTreeMap<String, usize> {
+/// Number of violated guarantees by kind, without queueing, which has its own column.
+fn violations_by_kind(report: &Report) -> BTreeMap<String, usize> {
     let mut kinds = BTreeMap::new();
     for violation in &report.violations {
         if !matches!(violation.breach, Breach::Queued { .. }) {
@@ -244,17 +244,17 @@
             self.retries_per_request,
             self.queued,
         )?;
-        let broken: Vec<_> = self
-            .broken
+        let violations: Vec<_> = self
+            .violations
             .iter()
             .map(|(kind, n)| format!("{n} {kind}"))
             .collect();
-        let broken = if broken.is_empty() {
+        let violations = if violations.is_empty() {
             "0".to_owned()
         } else {
-            broken.join(", ")
+            violations.join(", ")
         };
         let [before, after] = self.load_average;
-        write!(f, " {broken} | {before:.0} to {after:.0} |")
+        write!(f, " {violations} | {before:.0} to {after:.0} |")
     }
 }
--- a/crates/rig/src/http.rs
+++ b/crates/rig/src/http.rs
@@ -19,7 +19,7 @@
 
 /// Status and body of a response.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct Response {
     /// Status; 0 without a response.
     pub status: u16,
     /// Body as JSON; a string with its text, or with the error, if it is not JSON.
@@ -47,7 +47,7 @@
 }
 
 /// Sends a request and waits for the response.
-pub(crate) fn send(method: Method, addr: &str, path: &str, body: Option<&Value>) -> Reply {
+pub(crate) fn send(method: Method, addr: &str, path: &str, body: Option<&Value>) -> Response {
     send_with_key(method, addr, path, body, None)
 }
 
@@ -58,7 +58,7 @@
     path: &str,
     body: Option<&Value>,
     key: Option<&str>,
-) -> Reply {
+) -> Response {
     let url = format!("http://{addr}{path}");
     actix_rt::System::new().block_on(async move {
         let client = Client::builder().timeout(TIMEOUT).finish();
@@ -74,12 +74,12 @@
             Ok(mut response) => {
                 let bytes = response.body().await.unwrap_or_default();
                 let text = || Value::String(String::from_utf8_lossy(&bytes).into_owned());
-                Reply {
+                Response {
                     status: response.status().as_u16(),
                     body: serde_json::from_slice(&bytes).unwrap_or_else(|_| text()),
                 }
             }
-            Err(error) => Reply {
+            Err(error) => Response {
                 status: 0,
                 body: Value::String(error.to_string()),
             },
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use http::{
     send_raw,
-    Reply, //
+    Response, //
 };
 pub use layout::{
     ClassLayout,
--- a/crates/rig/src/rig.rs
+++ b/crates/rig/src/rig.rs
@@ -4,7 +4,7 @@
     http::{
         send,
         send_with_key,
-        Reply, //
+        Response, //
     },
     layout::{
         domain,
@@ -93,7 +93,7 @@
     /// Names of the relays by the pair of regions, source first.
     relays: BTreeMap<(String, String), Vec<String>>,
     running: BTreeMap<String, Process>,
-    disturbed: Vec<Disruption>,
+    disruptions: Vec<Disruption>,
     leaving: Vec<Leaving>,
     /// Limits that the configuration in force sets, for the judge.
     limits: Limits,
@@ -115,13 +115,13 @@
 }
 
 impl Trial {
-    /// Checks that requests were sent, that no promise was broken and that a share of at least
+    /// Checks that requests were sent, that no guarantee was violated and that a share of at least
     /// `min_done` of the requests ended as `done`.
     ///
     /// # Panics
     ///
     /// Panics with the report otherwise.
-    pub fn assert_promises_kept(&self, min_done: f64) {
+    pub fn assert_guarantees_kept(&self, min_done: f64) {
         let report = &self.report;
         assert!(report.requests > 0, "nothing was asked");
         assert!(report.violations.is_empty(), "\n{report}");
@@ -186,7 +186,7 @@
             links: None,
             relays: BTreeMap::new(),
             running: BTreeMap::new(),
-            disturbed: Vec::new(),
+            disruptions: Vec::new(),
             leaving: Vec::new(),
             limits: Limits::default(),
             _stand_ins: stand_ins,
@@ -298,11 +298,13 @@
         loop {
             let mut refusal = String::new();
             for id in self.daemons.keys() {
-                let reply = self.operator_request(id, "/op/v1/accept", Some(&body));
-                if reply.status == 200 {
-                    return reply.body["version"].as_u64().ok_or(reply.body.to_string());
+                let response = self.operator_request(id, "/op/v1/accept", Some(&body));
+                if response.status == 200 {
+                    return response.body["version"]
+                        .as_u64()
+                        .ok_or(response.body.to_string());
                 }
-                refusal = format!("{} {}", reply.status, reply.body);
+                refusal = format!("{} {}", response.status, response.body);
             }
             if Instant::now() > deadline {
                 return Err(format!("configuration not accepted: {refusal}"));
@@ -312,7 +314,7 @@
     }
 
     /// Sends a request to a daemon's operator port: POST with a body, else GET.
-    pub fn operator_request(&self, id: &str, path: &str, body: Option<&Value>) -> Reply {
+    pub fn operator_request(&self, id: &str, path: &str, body: Option<&Value>) -> Response {
         let method = if body.is_some() {
             Method::POST
         } else {
@@ -324,7 +326,7 @@
 
     /// Kills a daemon by SIGKILL.
     pub fn kill(&mut self, id: &str) {
-        self.mark_disturbed(id, None);
+        self.mark_disrupted(id, None);
         if let Some(mut process) = self.running.remove(id) {
             process.kill();
         }
@@ -337,8 +339,8 @@
 
     /// Stops a daemon by SIGSTOP while `action` runs.
     pub fn freeze_while<T>(&mut self, id: &str, action: impl FnOnce() -> T) -> T {
-        self.mark_disturbed(id, None);
-        let index = self.disturbed.len() - 1;
+        self.mark_disrupted(id, None);
+        let index = self.disruptions.len() - 1;
         if let Some(process) = self.running.get_mut(id) {
             process.signal(Signal::SIGSTOP);
         }
@@ -346,7 +348,7 @@
         if let Some(process) = self.running.get_mut(id) {
             process.signal(Signal::SIGCONT);
         }
-        self.disturbed[index].to_us = Some(unix_us());
+        self.disruptions[index].to_us = Some(unix_us());
         result
     }
 
@@ -358,8 +360,8 @@
     }
 
     /// Tells the judge to excuse cut and unanswered requests at an entry from now on.
-    fn mark_disturbed(&mut self, id: &str, to_us: Option<UnixUs>) {
-        self.disturbed.push(Disruption {
+    fn mark_disrupted(&mut self, id: &str, to_us: Option<UnixUs>) {
+        self.disruptions.push(Disruption {
             entry: self.daemons[id].callers_addr.as_str().into(),
             from_us: unix_us(),
             to_us,
@@ -368,23 +370,23 @@
 
     /// Tells the judge to excuse cut and unanswered requests at all entries, for faults that break
     /// the callers' connections themselves.
-    pub fn mark_all_disturbed(&mut self) {
+    pub fn mark_all_disrupted(&mut self) {
         for id in self.daemons.keys().cloned().collect::<Vec<_>>() {
-            self.mark_disturbed(&id, None);
+            self.mark_disrupted(&id, None);
         }
     }
 
     /// Sets the platform's faults, such as `{"table":{"kind":"down"}}`.
     pub fn fault_platform(&self, faults: &Value) {
-        let reply = send(Method::POST, &self.platform, "/fault", Some(faults));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = send(Method::POST, &self.platform, "/fault", Some(faults));
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Sets an upstream's faults, such as `{"slow_factor":4}`.
     pub fn fault_upstream(&self, id: &str, faults: &Value) {
         let path = format!("/fault?id={id}");
-        let reply = send(Method::POST, &self.upstreams, &path, Some(faults));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = send(Method::POST, &self.upstreams, &path, Some(faults));
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Clears the upstreams' records of requests that ran, as after a warm-up.
@@ -392,8 +394,8 @@
         for upstream in self.layout.upstreams() {
             let id = upstream["id"].as_str().unwrap_or_default();
             let path = format!("/record/clear?id={id}");
-            let reply = send(Method::POST, &self.upstreams, &path, None);
-            assert_eq!(reply.status, 200, "{}", reply.body);
+            let response = send(Method::POST, &self.upstreams, &path, None);
+            assert_eq!(response.status, 200, "{}", response.body);
         }
     }
 
@@ -414,8 +416,8 @@
             let pair = (pair.0.to_owned(), pair.1.to_owned());
             for name in self.relays.get(&pair).into_iter().flatten() {
                 let fault = json!({"name": name, "kind": kind});
-                let reply = send(Method::POST, links, "/fault", Some(&fault));
-                assert_eq!(reply.status, 200, "{}", reply.body);
+                let response = send(Method::POST, links, "/fault", Some(&fault));
+                assert_eq!(response.status, 200, "{}", response.body);
             }
         }
     }
@@ -424,8 +426,8 @@
     pub fn fault_platform_relay(&self, id: &str, kind: &str) {
         let links = self.links.as_deref().unwrap_or_default();
         let fault = json!({"name": platform_relay_name(id), "kind": kind});
-        let reply = send(Method::POST, links, "/fault", Some(&fault));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = send(Method::POST, links, "/fault", Some(&fault));
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Counters of the relays' traffic so far, by relay, as `standin-link` counts it.
@@ -433,26 +435,26 @@
     /// The relay from a region to a daemon's callers' port is named `<region>><address>`.
     pub fn link_counters(&self) -> Value {
         let links = self.links.as_deref().unwrap_or_default();
-        let reply = send(Method::GET, links, "/counters", None);
-        assert_eq!(reply.status, 200, "{}", reply.body);
-        reply.body
+        let response = send(Method::GET, links, "/counters", None);
+        assert_eq!(response.status, 200, "{}", response.body);
+        response.body
     }
 
     /// Adds an upstream that the test itself serves to the platform's list.
     pub fn list_upstream(&self, upstream: &Value) {
         let id = upstream["id"].as_str().unwrap_or_default();
         let path = format!("/list/upstreams/{id}");
-        let reply = send(Method::PUT, &self.platform, &path, Some(upstream));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = send(Method::PUT, &self.platform, &path, Some(upstream));
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// Addresses for a scene. Its events may name the targets `platform`, `upstreams` and
     /// `operator`; the last is the operator port of a daemon in the last region.
-    pub fn sites(&self) -> Addresses {
-        let mut sites = Addresses::default();
+    pub fn addresses(&self) -> Addresses {
+        let mut addresses = Addresses::default();
         for daemon in self.daemons.values() {
             let region: ByteString = daemon.region.as_str().into();
-            let addrs = sites.daemons.entry(region).or_default();
+            let addrs = addresses.daemons.entry(region).or_default();
             addrs.push(daemon.callers_addr.as_str().into());
         }
         let last = self.layout.regions.last().map_or("", |region| region.name);
@@ -465,9 +467,9 @@
                 operator_daemon.map_or(&self.platform, |daemon| &daemon.operator_addr),
             ),
         ] {
-            sites.targets.insert(name.into(), addr.as_str().into());
+            addresses.targets.insert(name.into(), addr.as_str().into());
         }
-        sites
+        addresses
     }
 
     /// Regions of the entries, by their addresses for callers.
@@ -493,8 +495,8 @@
     /// Drives a scene, calls `fault` meanwhile, and judges the evidence.
     pub fn run(&mut self, scene: &Scene, fault: impl FnOnce(&mut Self)) -> Trial {
         let load = {
-            let (scene, sites) = (scene.clone(), self.sites());
-            thread::spawn(move || drive(&scene, &sites))
+            let (scene, addresses) = (scene.clone(), self.addresses());
+            thread::spawn(move || drive(&scene, &addresses))
         };
         fault(self);
         let driven = load.join().expect("the load driver does not panic");
@@ -509,7 +511,7 @@
             runs: gathered.runs,
             upstreams: gathered.upstreams,
             leaving: [self.leaving.clone(), leaving(&driven.events)].concat(),
-            disruptions: self.disturbed.clone(),
+            disruptions: self.disruptions.clone(),
             links: Vec::new(),
             entries: self.entries(),
             limits: self.limits.clone(),
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Promises under faults: real binaries under load, checked by the judge.
+//! Guarantees under faults: real binaries under load, checked by the judge.
 //!
 //! Each row starts a system, drives load, injects a fault and lets the judge compare the outcomes
-//! that callers got with the requests that upstreams ran. A row passes if no promise was broken and
-//! the share of requests that ended as `done` is at least the row's. Verdicts depend on records and
-//! generous limits, never on a short timeout.
+//! that callers got with the requests that upstreams ran. A row passes if no guarantee was violated
+//! and the share of requests that ended as `done` is at least the row's. Verdicts depend on records
+//! and generous limits, never on a short timeout.
 
 use load::{
     Burst,
@@ -158,8 +158,8 @@
     scene
 }
 
-/// As [`Trial::assert_promises_kept`], and lists some of the requests that did not end as `done`.
-fn assert_promises_kept(trial: &Trial, min_done: f64) {
+/// As [`Trial::assert_guarantees_kept`], and lists some of the requests that did not end as `done`.
+fn assert_guarantees_kept(trial: &Trial, min_done: f64) {
     let report = &trial.report;
     println!("{report}");
     assert!(report.requests > 0, "nothing was asked");
@@ -191,7 +191,7 @@
         sleep(SETTLE_TIME);
         fault(rig);
     });
-    assert_promises_kept(&trial, min_done);
+    assert_guarantees_kept(&trial, min_done);
 }
 
 macro_rules! rows {
@@ -477,7 +477,7 @@
             .config()
             .replace("name: rig", &format!("name: {name}"))
     });
-    let replies = std::thread::scope(|scope| {
+    let responses = std::thread::scope(|scope| {
         let accept = |id: &'static str, author: &'static str, text: String| {
             let (rig, base) = (&rig, base.clone());
             scope.spawn(move || {
@@ -492,7 +492,7 @@
         let second = accept("moshi-1", "two", second_text);
         [first.join().unwrap(), second.join().unwrap()]
     });
-    let mut statuses = replies.clone().map(|reply| reply.status);
+    let mut statuses = responses.clone().map(|response| response.status);
     statuses.sort_unstable();
-    assert_eq!(statuses, [200, 409], "{replies:?}");
+    assert_eq!(statuses, [200, 409], "{responses:?}");
 }
--- a/crates/rig/tests/promises.rs
+++ b/crates/rig/tests/promises.rs
@@ -1,9 +1,9 @@
-//! Promises whose violation shows only under full load or at a particular moment.
+//! Guarantees whose violation shows only under full load or at a particular moment.
 //!
 //! `faults.rs` drives little load, so a slot with two owners goes unnoticed there: nothing queues.
 //! The rows here exhaust the resource that a mechanism guards (slots, a cap, an expired lease) and
-//! inject the fault when only that mechanism keeps the promise. Each row was also run with its
-//! mechanism disabled; docs/PROMISES.md has both results.
+//! inject the fault when only that mechanism upholds the guarantee. Each row was also run with
+//! its mechanism disabled; docs/PROMISES.md has both results.
 
 use load::{
     judge,
@@ -260,7 +260,7 @@
                 fault(rig);
             });
             println!("{}", trial.report);
-            trial.assert_promises_kept($min_done);
+            trial.assert_guarantees_kept($min_done);
         }
     )*};
 }
@@ -460,7 +460,7 @@
     let addr = rig.daemons["arusha-1"].callers_addr.clone();
     let scene = scene(&rig.layout, 3, vec![menu(100.0)]);
     let trial = rig.run(&scene, |_| await_responses(send_concurrent_requests(&addr)));
-    trial.assert_promises_kept(SINGLE_FAULT);
+    trial.assert_guarantees_kept(SINGLE_FAULT);
 }
 
 /// Cap on the link in the tests that fill it with shifted requests.
@@ -519,7 +519,7 @@
         peak_rate > Some(CAP_BYTES_PER_S / 4),
         "hardly any requests were shifted"
     );
-    trial.assert_promises_kept(0.3);
+    trial.assert_guarantees_kept(0.3);
 }
 
 /// Symptom: callers are refused at home while the other region is idle, or a shift saturates the
@@ -536,7 +536,7 @@
         rates.min() > Some(CAP_BYTES_PER_S / 4),
         "the shift dropped far below its cap"
     );
-    trial.assert_promises_kept(0.3);
+    trial.assert_guarantees_kept(0.3);
 }
 
 /// Bytes exchanged so far between the first region's entries and the second's callers' ports.
@@ -662,9 +662,9 @@
     cut_off.for_each(|id| rig.fault_platform_relay(id, "cut"));
     let text = rig.layout.config().replace("name: rig", "name: rig-two");
     let body = json!({"accept_id": "two", "author": "rig", "text": text});
-    let reply = rig.operator_request("arusha-0", "/op/v1/accept", Some(&body));
-    assert_eq!(reply.status, 200, "{}", reply.body);
-    let version = reply.body["version"].as_u64().expect("a version");
+    let response = rig.operator_request("arusha-0", "/op/v1/accept", Some(&body));
+    assert_eq!(response.status, 200, "{}", response.body);
+    let version = response.body["version"].as_u64().expect("a version");
     wait_for_version(&rig, version);
 }
 
@@ -1015,7 +1015,7 @@
         .map(ToString::to_string)
         .collect();
     assert!(refused.is_empty(), "{refused:#?}\n{}", trial.report);
-    trial.assert_promises_kept(1.0);
+    trial.assert_guarantees_kept(1.0);
 }
 
 /// Symptom: a planned stop aborts a long request. Sequence: an entry is asked to stop with requests
@@ -1047,7 +1047,7 @@
         let status = rig.terminate("arusha-0").expect("the entry ends");
         assert!(status.success(), "{status}");
     });
-    trial.assert_promises_kept(SINGLE_FAULT);
+    trial.assert_guarantees_kept(SINGLE_FAULT);
 }
 
 /// Symptom: two operators each believe that their configuration is in force. Sequence: both are
@@ -1078,14 +1078,17 @@
             });
             rig.operator_request(id, "/op/v1/accept", Some(&body))
         };
-        let replies = thread::scope(|scope| {
+        let responses = thread::scope(|scope| {
             let threads = ["arusha-0", "moshi-1"].map(|id| scope.spawn(move || accept(id)));
             threads.map(|thread| thread.join().unwrap())
         });
-        let accepted = replies.iter().filter(|reply| reply.status == 200).count();
+        let accepted = responses
+            .iter()
+            .filter(|response| response.status == 200)
+            .count();
         assert!(
             accepted <= 1,
-            "round {round}: both were accepted: {replies:?}"
+            "round {round}: both were accepted: {responses:?}"
         );
         total_accepted += accepted;
     }
@@ -1110,8 +1113,8 @@
         "accept_id": "drain", "author": "rig", "action": "start",
         "target": {"kind": "region", "id": "arusha"},
     });
-    let reply = rig.operator_request("arusha-0", "/op/v1/drain", Some(&drain));
-    assert_eq!(reply.status, 200, "{}", reply.body);
+    let response = rig.operator_request("arusha-0", "/op/v1/drain", Some(&drain));
+    assert_eq!(response.status, 200, "{}", response.body);
     // Wait until both regions know that this one takes no requests.
     sleep(SETTLE_TIME);
     let addr = rig.daemons["arusha-0"].callers_addr.clone();
--- a/crates/rig/tests/steering.rs
+++ b/crates/rig/tests/steering.rs
@@ -1,8 +1,8 @@
 //! Load balancing under faults, checked against the records of callers and upstreams.
 //!
-//! The tests run the real binaries. In each of them no promise may be broken; one promise is that
-//! no upstream gets more requests than it has slots. Service times are long compared with the
-//! machine's scheduling noise, and limits are wide.
+//! The tests run the real binaries. No test may violate a guarantee, such as that no upstream gets
+//! more requests than it has slots. Service times are long compared with the machine's scheduling
+//! noise, and limits are wide.
 
 use load::{
     unix_us,
@@ -132,7 +132,7 @@
         factor: 4.0,
     });
     let trial = rig.run(&scene, |_| {});
-    trial.assert_promises_kept(0.97);
+    trial.assert_guarantees_kept(0.97);
     let shifted_us = shifted_finishes_us(&trial);
     assert!(shifted_us.len() >= 30, "only {} shifted", shifted_us.len());
     // Callers' timestamps are inexact, so two seconds may carry two and a half times the cap.
@@ -158,7 +158,7 @@
         rig.fault_upstream("arusha-menu-0", &json!({"slow_factor": 10.0}));
         slowed_us = unix_us();
     });
-    trial.assert_promises_kept(0.99);
+    trial.assert_guarantees_kept(0.99);
     let window_us = (slowed_us + 3_000_000, slowed_us + 8_000_000);
     let slow = count_runs(&trial, "arusha-menu-0", window_us.0, window_us.1);
     let other = count_runs(&trial, "arusha-menu-1", window_us.0, window_us.1);
@@ -189,7 +189,7 @@
             rig.fault_upstream(&format!("{HOME}-menu-{index}"), &json!({"lie": lie}));
         }
     });
-    trial.assert_promises_kept(0.97);
+    trial.assert_guarantees_kept(0.97);
     let used = &trial.report.uses["arusha/menu"];
     assert!(used.peak_in_flight <= used.slots, "\n{}", trial.report);
 }
@@ -209,8 +209,8 @@
             "accept_id": action, "author": "rig", "action": action,
             "target": {"kind": "upstream", "id": "arusha-menu-0"},
         });
-        let reply = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
+        assert_eq!(response.status, 200, "{}", response.body);
     };
     let mut drain_end_us = 0;
     let trial = rig.run(&scene(80.0, 15_000), |rig| {
@@ -221,7 +221,7 @@
         drain(rig, "stop");
         drain_end_us = unix_us();
     });
-    trial.assert_promises_kept(0.99);
+    trial.assert_guarantees_kept(0.99);
     let runs = trial
         .runs
         .iter()
@@ -258,10 +258,10 @@
             "accept_id": "drain", "author": "rig", "action": "start",
             "target": {"kind": "region", "id": HOME},
         });
-        let reply = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
-        assert_eq!(reply.status, 200, "{}", reply.body);
+        let response = rig.operator_request("moshi-0", "/op/v1/drain", Some(&body));
+        assert_eq!(response.status, 200, "{}", response.body);
     });
-    trial.assert_promises_kept(0.99);
+    trial.assert_guarantees_kept(0.99);
 }
 
 /// Symptom: callers of one entry wait and are refused while another entry of the region has free
@@ -291,5 +291,5 @@
     scene.classes[0].deadline_ms = 700;
     scene.classes[0].tries = 1;
     let trial = rig.run(&scene, |_| {});
-    trial.assert_promises_kept(0.99);
+    trial.assert_guarantees_kept(0.99);
 }
--- a/crates/route/src/config.rs
+++ b/crates/route/src/config.rs
@@ -20,7 +20,7 @@
     Idempotent,
     /// May run at most once; resent only if it is proven that it did not run.
     NonIdempotent,
-    /// Idempotent, with large answers.
+    /// Idempotent, with large responses.
     Download,
 }
 
@@ -89,7 +89,7 @@
     pub prefix: ByteString,
     /// Whether requests may be repeated.
     pub kind: Kind,
-    /// Maximum time until a caller gets an answer.
+    /// Maximum time until a caller gets a response.
     pub timeout: Duration,
     /// Response time that is aimed for.
     pub latency_target: Duration,
