--- a/crates/entry/src/crashes.rs
+++ b/crates/entry/src/crashes.rs
@@ -75,7 +75,7 @@
     /// Records that a request was answered, which clears its earlier crashes.
     pub(crate) fn note_response(&self, request: Fingerprint, now: Now) {
         let mut state = self.lock();
-        let cleared = state.quarantine.note_answer(request, now);
+        let cleared = state.quarantine.note_response(request, now);
         if !cleared.is_empty() {
             state.unsent.extend(cleared);
             self.due.notify_one();
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -79,7 +79,7 @@
 
     /// Records that a request was answered, which clears its crashes. Returns the cleared reports for the other
     /// entries.
-    pub fn note_answer(&mut self, request: Fingerprint, now: Now) -> Vec<Report> {
+    pub fn note_response(&mut self, request: Fingerprint, now: Now) -> Vec<Report> {
         let crashes = self.requests.get_mut(&request);
         let counted = crashes.into_iter().flatten().filter(|crash| !crash.cleared);
         let cleared = counted.map(|crash| {
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -58,14 +58,14 @@
 fn answer_clears_earlier_crashes() {
     let mut quarantine = crashed(&[1, 2]);
     let mut other = quarantine.clone();
-    let cleared = quarantine.note_answer(REQUEST, at_s(2));
+    let cleared = quarantine.note_response(REQUEST, at_s(2));
     assert_eq!(cleared.len(), 2);
     for quarantine in [&mut quarantine, &mut other] {
         quarantine.merge(&cleared, at_s(3));
         quarantine.note_crash(REQUEST, 3, at_s(4));
         assert_eq!(quarantine.remaining(REQUEST, at_s(5)), None);
     }
-    assert_eq!(quarantine.note_answer(REQUEST + 1, at_s(5)), []);
+    assert_eq!(quarantine.note_response(REQUEST + 1, at_s(5)), []);
 }
 
 /// Guards against entries forwarding the same report to each other forever.
