--- a/crates/ctl/examples/spread.rs
+++ b/crates/ctl/examples/spread.rs
@@ -1,8 +1,8 @@
 //! Measures how long an accepted version takes to be in force at every daemon.
 //!
-//! `cargo run -p ctl --example spread -- [ENTRIES_PER_REGION [SLOW_MS]]`, after `cargo build -p
-//! daemon -p standin`: three regions on loopback with 5 ms between them, the terms at their
-//! defaults, each call of the platform `SLOW_MS` slower than else.
+//! Run `cargo run -p ctl --example spread -- [ENTRIES_PER_REGION [SLOW_MS]]` after `cargo build -p
+//! daemon -p standin`. The rig has three regions on loopback with 5 ms between them and the default
+//! terms; each platform call is delayed by `SLOW_MS`.
 
 use rig::{
     Layout,
@@ -18,10 +18,10 @@
     },
 };
 
-/// Accepts that are measured.
+/// Number of accepts that are measured.
 const ROUNDS: u64 = 10;
-/// Longest wait for a version to be in force.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout for a version to be in force at every daemon.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn main() {
     let arg = |index: usize, default: u64| {
@@ -33,7 +33,7 @@
     let region = |name| RegionLayout { name, entries };
     let rig = Rig::start(Layout {
         regions: ["arusha", "moshi", "dar"].map(region).to_vec(),
-        between_regions_us: 5_000,
+        inter_region_delay_us: 5_000,
         terms: Vec::new(),
         ..Layout::one_region()
     })
@@ -52,24 +52,24 @@
             "accept_id": format!("round-{round}"), "author": "spread",
             "base_version": round + 1, "text": text,
         });
-        let sent = Instant::now();
-        let reply = rig.operator("arusha-0", "/op/v1/accept", Some(&body));
+        let sent_at = Instant::now();
+        let reply = rig.operator_request("arusha-0", "/op/v1/accept", Some(&body));
         assert_eq!(reply.status, 200, "{}", reply.body);
-        let accepted = Instant::now();
+        let accepted_at = Instant::now();
         while !rig.daemons.keys().all(|id| version(&rig, id) == round + 2) {
-            assert!(accepted.elapsed() < LIMIT, "not in force everywhere");
+            assert!(accepted_at.elapsed() < TIMEOUT, "not in force everywhere");
             thread::sleep(Duration::from_millis(5));
         }
         println!(
             "{round:>5}  {:>9}  {:>28}",
-            (accepted - sent).as_millis(),
-            accepted.elapsed().as_millis()
+            (accepted_at - sent_at).as_millis(),
+            accepted_at.elapsed().as_millis()
         );
         thread::sleep(Duration::from_millis(500));
     }
 }
 
 fn version(rig: &Rig, id: &str) -> u64 {
-    let reply = rig.operator(id, "/op/v1/status", None);
+    let reply = rig.operator_request(id, "/op/v1/status", None);
     reply.body["version"].as_u64().unwrap_or(0)
 }
--- a/crates/spec/src/version/mod.rs
+++ b/crates/spec/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration: how one is accepted, and how a daemon adopts it.
+//! Versions of the configuration: accepting a version, and its adoption by daemons.
 
 mod accept;
 mod adopt;
@@ -13,12 +13,12 @@
     AcceptAction,
     AcceptEvent,
     AcceptOutcome,
-    Answer,
     Check,
-    CommitAnswer,
+    CommitOutcome,
     RowKey,
     RowValue,
     Write, //
+    WriteOutcome,
 };
 pub use adopt::{
     Adopt,
